--- /dev/null
+++ b/tests/test_stored_data.py
@@ -0,0 +1,308 @@
+"""Data stored or sent by an earlier version is read by this one, and written in the same form.
+
+The files under ``tests/fixtures/stored`` were written by the functions ``write_...`` of this module at the
+revision that its README names.  SQL columns, JSON and MessagePack keys are derived from the fields of
+structs, so a renamed field that does not keep its key fails here.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import contextlib
+import csv
+import io
+import json
+import sqlite3
+from pathlib import Path
+
+import msgspec
+import pyarrow
+import pytest
+from click.testing import CliRunner
+from pyarrow import parquet
+
+from canvasplank.cli import cli
+from canvasplank.fleet.backend import Tenure
+from canvasplank.fleet.rows import Answer, Holding, Member, Request, Rows, Sign, Task
+from canvasplank.fleet.sqlite import Sqlite as FleetSqlite
+from canvasplank.learning import asking, view
+from canvasplank.learning.merge import exported
+from canvasplank.learning.view import Learned, PeerView
+from canvasplank.membership import keeper
+from canvasplank.membership.kept import KeptList, KeptServer
+from canvasplank.membership.roster import Roster
+from canvasplank.settings import Instance
+from canvasplank.store.backend import Count
+from canvasplank.store.records import ANSWERED, OVER, Outcome
+from canvasplank.store.sqlite import Sqlite as StoreSqlite
+from canvasplank.work import files, usage
+from canvasplank.work.usage import Sum
+
+STORED = Path(__file__).parent / "fixtures" / "stored"
+START_MS = 1_800_000_000_000  # Unix time of the first record
+PERIOD_MS, REPEAT_MS = 3_600_000, 30_000
+PERIOD = START_MS // PERIOD_MS
+FLEET_FILE = """backend = "sqlite"
+path = "{path}"
+proxies_most = 8
+renew_ms = 1.0
+lease_ms = 400.0
+margin_ms = 1.0
+[[budget]]
+name = "all"
+kind = "set-ups"
+whole_per_s = 80.0
+kept_back = 0.2
+"""
+
+
+def dump(path: Path) -> str:
+    """The database as SQL statements."""
+    with contextlib.closing(sqlite3.connect(path)) as database:
+        return "\n".join(database.iterdump()) + "\n"
+
+
+def restored(name: str, folder: Path) -> Path:
+    """A database made from the statements of a fixture."""
+    path = folder / name
+    with contextlib.closing(sqlite3.connect(path)) as database:
+        database.executescript((STORED / f"{name}.sql").read_text())
+    return path
+
+
+def outcome(place: int, final: str = "served", after_ms: int = 0, **more) -> Outcome:
+    taken_ms = START_MS + 1000 * place + after_ms
+    return Outcome(f"{place:016x}", "proxy-1", taken_ms, "reading", final, "core-a", 1, taken_ms + 40, **more)
+
+
+OUTCOMES = [
+    outcome(1, version=OVER, ended_ms=START_MS + 9000, ending="ended", member="acme", number="7f01"),
+    outcome(2, version=OVER, ended_ms=START_MS + 9500, ending="cut"),
+    outcome(3, "refused", member="acme", number="7f02", version=ANSWERED),
+    outcome(4, "failed"),
+    outcome(5, "given_up", number="7f03"),
+    outcome(6, after_ms=PERIOD_MS, member="zenith"),
+]
+
+
+def holding(held: int, demand: int | None = None) -> Holding:
+    return Holding(80_000, 16_000, held, demand)
+
+
+# ------------------------------------------------------------------------------- written by this version
+
+
+async def write_fleet(path: Path) -> None:
+    """Two proxies with allocations, a worker with a task, one that failed, and the usage ledger."""
+    store, fleet = StoreSqlite(str(path)), FleetSqlite(str(path))
+    await fleet.open()
+    await store.open()
+    await fleet.migrate(usage.SCHEMA)
+    await store.write(OUTCOMES)
+    await fleet.transact(Request("proxy-1", None, 1, 8, 400.0, {"all": holding(0, 50_000)}, hears=True))
+    await fleet.transact(Request("proxy-2", None, 1, 8, 600.0, {"all": holding(0)}))
+    await fleet.transact(Request("proxy-1", 1, 2, 8, 400.0, {"all": holding(30_000, 50_000)}, hears=True))
+    await fleet.transact(Request("proxy-2", 2, 2, 8, 600.0, {"all": holding(0)}))
+    await fleet.transact(Request("worker-1", None, 1, 8, 400.0, {}, able=("close", "export", "retain"),
+                                 ready={"close": 0, "export": 0, "retain": 0}))
+    await fleet.transact(Request("worker-1", 3, 2, 8, 400.0, {}, able=("close", "export", "retain"),
+                                 given_up=("retain",)))
+    closing = Tenure("close", 1, 3)
+    made = usage.Closing(PERIOD, (PERIOD + 1) * PERIOD_MS)
+    await fleet.act(closing, usage.closing(made, PERIOD_MS, REPEAT_MS, None, closing.term))
+    await fleet.act(Tenure("export", 1, 3), usage.exported(PERIOD, 1))
+    await fleet.close()
+    await store.close()
+
+
+async def write_store(path: Path) -> None:
+    store = StoreSqlite(str(path))
+    await store.open()
+    await store.write(OUTCOMES)
+    await store.close()
+
+
+def write_endpoint_list(path: Path) -> None:
+    instances = [Instance("core-a", "10.0.0.1:5060", "ready", 0, START_MS - 5000.0, "north"),
+                 Instance("core-b", "10.0.0.2:5060", "draining", 1)]
+    keeper.write(str(path), Roster(instances, float(START_MS)).kept())
+
+
+def peer_view() -> bytes:
+    learned = [("core-a", START_MS - 5000.0, 12.5, False, False, START_MS - 100.0),
+               ("core-b", None, None, True, True, START_MS + 500.0)]
+    return view.encode(exported("proxy-1", learned, float(START_MS)))
+
+
+SUMS = [Sum(PERIOD, "", "reading", "failed", 0, 2), Sum(PERIOD, "acme", "reading", "served", 0, 1),
+        Sum(PERIOD - 1, "acme", "reading", "refused", 1, 3)]
+
+
+# --------------------------------------------------------------------------------------------------- tests
+
+
+def test_the_rows_of_a_fleet_are_read(tmp_path):
+    async def read() -> Rows:
+        fleet = FleetSqlite(str(restored("fleet.db", tmp_path)))
+        await fleet.open()
+        try:
+            return await fleet.look()
+        finally:
+            await fleet.close()
+
+    works = ("close", "export", "retain")
+    assert asyncio.run(read()) == Rows(
+        members={
+            1: Member(1, "proxy-1", 2, 8, 400.0, {"all": holding(32_000, 50_000)}, hears=True),
+            2: Member(2, "proxy-2", 2, 8, 600.0, {"all": holding(32_000)}),
+            3: Member(3, "worker-1", 2, 8, 400.0, {}, able=works),
+        },
+        next_incarnation=4,
+        tasks={"close": Task(1, 3), "export": Task(1, 3), "retain": Task(1, None, 1, 3)},
+    )
+
+
+def test_a_fleet_goes_on_from_the_rows_of_an_earlier_version(tmp_path):
+    async def renew() -> Answer:
+        fleet = FleetSqlite(str(restored("fleet.db", tmp_path)))
+        await fleet.open()
+        try:
+            return await fleet.transact(Request("proxy-2", 2, 3, 8, 600.0, {"all": holding(32_000)},
+                                                dead=(Sign(1, 2, 400.0),)))
+        finally:
+            await fleet.close()
+
+    answer = asyncio.run(renew())
+    assert answer.incarnation == 2 and answer.grants["all"].share == 64_000
+    assert answer.seen == (Sign(2, 3, 600.0), Sign(3, 2, 400.0))
+
+
+def test_the_columns_and_keys_of_a_fleet_stay(tmp_path):
+    asyncio.run(write_fleet(tmp_path / "fleet.db"))
+    assert dump(tmp_path / "fleet.db") == (STORED / "fleet.db.sql").read_text()
+    with contextlib.closing(sqlite3.connect(tmp_path / "fleet.db")) as database:
+        [(form, content)] = database.execute("SELECT form, content FROM fleet_member WHERE incarnation = 1")
+    assert form == 1
+    assert json.loads(content) == {
+        "most": 8, "lease_ms": 400.0, "able": [], "hears": True,
+        "holdings": {"all": {"whole": 80_000, "reserve": 16_000, "held": 32_000, "demand": 50_000}},
+    }
+
+
+def test_the_command_line_shows_a_fleet_of_an_earlier_version(tmp_path):
+    (tmp_path / "fleet.toml").write_text(FLEET_FILE.format(path=restored("fleet.db", tmp_path)))
+    said = {command: CliRunner().invoke(cli, [*command.split(), "--fleet", str(tmp_path / "fleet.toml")])
+            for command in ("fleet status", "fleet owners", "budgets show")}
+    assert said["fleet status"].output == ("proxy-1\t1\t2 requests\tquiet\nproxy-2\t2\t2 requests\tquiet\n"
+                                           "worker-1\t3\t2 requests\tquiet\n")
+    assert said["fleet owners"].output == ("close\tworker-1 (3)\tterm 1\nexport\tworker-1 (3)\tterm 1\n"
+                                           "retain\tnobody\tterm 1\tfailed 1 times, last at 3\n")
+    assert said["budgets show"].output == ("all\tleased 64 of 64/s\tfree 0/s\n"
+                                           "  proxy-1\t1\tholds 32/s\twants 50/s\n"
+                                           "  proxy-2\t2\tholds 32/s\twants -\n")
+
+
+def test_the_usage_ledger_is_read_and_closed_again(tmp_path):
+    async def close_next() -> tuple[list[Sum], list[Sum]]:
+        fleet = FleetSqlite(str(restored("fleet.db", tmp_path)))
+        await fleet.open()
+        try:
+            await fleet.migrate(usage.SCHEMA)
+            first = [Sum(*row) for row in await fleet.read(usage.SUMS, (PERIOD,))]
+            assert await fleet.read(usage.LAST_CLOSED) == [(PERIOD,)]
+            made = usage.Closing(PERIOD + 1, (PERIOD + 2) * PERIOD_MS)
+            await fleet.act(Tenure("close", 1, 3), usage.closing(made, PERIOD_MS, REPEAT_MS, PERIOD, 1))
+            return first, [Sum(*row) for row in await fleet.read(usage.SUMS, (PERIOD + 1,))]
+        finally:
+            await fleet.close()
+
+    first, second = asyncio.run(close_next())
+    assert first == [
+        Sum(PERIOD, "", "reading", "failed", 0, 1), Sum(PERIOD, "", "reading", "given_up", 0, 1),
+        Sum(PERIOD, "", "reading", "served", 0, 1), Sum(PERIOD, "acme", "reading", "refused", 0, 1),
+        Sum(PERIOD, "acme", "reading", "served", 0, 1),
+    ]
+    assert second == [Sum(PERIOD + 1, "zenith", "reading", "served", 0, 1)]
+
+
+def test_the_records_of_calls_are_read(tmp_path):
+    async def count() -> list[Count]:
+        store = StoreSqlite(str(restored("store.db", tmp_path)))
+        await store.open()
+        try:
+            return await store.count(0, "proxy-1")
+        finally:
+            await store.close()
+
+    assert sorted(asyncio.run(count()), key=str) == sorted([
+        Count("reading", "failed", None, 1), Count("reading", "given_up", None, 1),
+        Count("reading", "refused", None, 1), Count("reading", "served", "cut", 1),
+        Count("reading", "served", "ended", 1), Count("reading", "served", None, 1),
+    ], key=str)
+
+
+def test_the_columns_of_the_records_stay(tmp_path):
+    asyncio.run(write_store(tmp_path / "store.db"))
+    assert dump(tmp_path / "store.db") == (STORED / "store.db.sql").read_text()
+
+
+def test_a_later_row_of_a_call_takes_the_place_of_an_earlier_version_s(tmp_path):
+    async def write() -> None:
+        store = StoreSqlite(str(path))
+        await store.open()
+        await store.write([outcome(3, "served", version=OVER, ended_ms=START_MS + 8000, ending="released")])
+        await store.close()
+
+    path = restored("store.db", tmp_path)
+    asyncio.run(write())
+    with contextlib.closing(sqlite3.connect(path)) as database:
+        rows = database.execute("SELECT final, ended_ms, ending, version, closed_in FROM call_outcome "
+                                "WHERE call_id = '0000000000000003'").fetchall()
+    assert rows == [("served", START_MS + 8000, "released", 2, None)]
+
+
+def test_a_cached_endpoint_list_is_read_and_written_the_same(tmp_path):
+    cached = STORED / "servers.json"
+    assert keeper.read(str(cached)) == KeptList(1, float(START_MS), [
+        KeptServer("core-a", "10.0.0.1:5060", "ready", 0, START_MS - 5000.0),
+        KeptServer("core-b", "10.0.0.2:5060", "draining", 1),
+    ])
+    write_endpoint_list(tmp_path / "servers.json")
+    assert (tmp_path / "servers.json").read_bytes() == cached.read_bytes()
+    assert list(json.loads(cached.read_bytes())["servers"][0]) == [
+        "instance_id", "host_port", "lifecycle", "cell", "started_at_ms"]
+
+
+def test_a_peer_s_view_is_read_and_sent_the_same():
+    data = (STORED / "peer-view.msgpack").read_bytes()
+    assert view.decode(data) == PeerView(1, "proxy-1", float(START_MS), [
+        Learned("core-a", START_MS - 5000.0, START_MS - 100.0, 12.5),
+        Learned("core-b", None, float(START_MS), None, True, True),
+    ])
+    assert peer_view() == data
+    assert asking.ASK == b"view\n"
+    assert asking.framed(data) == len(data).to_bytes(4, "big") + data
+    sent = msgspec.msgpack.decode(data)
+    assert list(sent) == ["version", "peer", "taken_ms", "servers"]
+    assert list(sent["servers"][0]) == [
+        "instance_id", "started_ms", "learned_ms", "rate_per_s", "slow", "silent"]
+
+
+def test_an_export_as_csv_stays():
+    data = (STORED / "usage.csv").read_bytes()
+    assert files.as_csv(SUMS, PERIOD_MS) == data
+    assert next(csv.reader(io.StringIO(data.decode()))) == [
+        "period_start", "member", "class_name", "final", "correction", "calls"]
+
+
+def test_an_export_as_parquet_stays():
+    stored = parquet.read_table(STORED / "usage.parquet")
+    assert parquet.read_table(pyarrow.BufferReader(files.as_parquet(SUMS, PERIOD_MS))).equals(stored)
+    assert stored.column_names == ["period_start", "member", "class_name", "final", "correction", "calls"]
+
+
+@pytest.mark.parametrize("form", ["csv", "parquet"])
+def test_an_export_that_an_earlier_version_left_is_the_same_file(form, tmp_path):
+    name = f"usage-{PERIOD}.{form}"
+    (tmp_path / name).write_bytes((STORED / f"usage.{form}").read_bytes())
+    assert not files.publish(tmp_path, name, files.FORMATS[form](SUMS, PERIOD_MS), lambda point: None)
