--- a/canvasplank/policy/controller.py
+++ b/canvasplank/policy/controller.py
@@ -62,8 +62,8 @@
         self._woke_ms = -1.0  # the instant at which a standstill of ours was noticed
         self._least_weight = min(c.weight for c in settings.classes)
         parts = {1.0, settings.over_quota_weight if self._parts else 1.0}
-        weights = sorted({c.weight * part * late for c in settings.classes for part in parts
-                         for late in (1.0, c.late_weight)})
+        weighted = [(c.weight * part, c.late_weight) for c in settings.classes for part in parts]
+        weights = sorted({weight * late for weight, late_weight in weighted for late in (1.0, late_weight)})
         step = (HIGHEST_THRESHOLD - LOWEST_THRESHOLD) / max(1, len(weights) - 1)
         self._thresholds = {weight: LOWEST_THRESHOLD + step * rank for rank, weight in enumerate(weights)}
 
@@ -83,10 +83,9 @@
                 self._on_established(event)
             case api.AttemptEnded():
                 self._on_ended(event)
-            case api.TimerFired(token):
-                if token == f"look {self._alarms}":
-                    self._alarm_ms = NEVER
-                    self._look()
+            case api.TimerFired(token) if token == f"look {self._alarms}":
+                self._alarm_ms = NEVER
+                self._look()
             case api.ServerList():
                 self._on_list(event)
                 self._look()
@@ -98,8 +97,8 @@
                 self._on_report(self._servers[server_id], report)
             case api.Hinted():
                 self._on_hint(event)
-            case api.CircuitsReported(server_id, _, circuits) if server_id in self._servers:
-                if 0 < circuits < NEVER:
+            case api.CircuitsReported(server_id, _, circuits) if 0 < circuits < NEVER:
+                if server_id in self._servers:
                     self._servers[server_id].circuits = circuits
                     self._note_reported(self._servers[server_id])
         return self._actions
@@ -138,8 +137,8 @@
             self._due(max(self._now, oldest_ms + self._silent_ms))
             view.lost_ms = self._now if self._now > oldest_ms + self._overdue(view) else view.lost_ms
         if self._now > self._woke_ms:  # what is read on waking came at some time before
-            view.delay_ms = event.waited_ms if view.delay_ms is None else (
-                view.delay_ms + DELAY_WEIGHT * (event.waited_ms - view.delay_ms))
+            usual_ms = event.waited_ms if view.delay_ms is None else view.delay_ms
+            view.delay_ms = usual_ms + DELAY_WEIGHT * (event.waited_ms - usual_ms)
             view.least_ms = min(event.waited_ms, view.least_ms or NEVER)
             was_slow, view.slow = view.slow, event.waited_ms > self._overdue(view)
             if was_slow and view.slow:  # cut to the answers before them: they came by no chance
@@ -286,9 +285,10 @@
 
     def _may_move(self, call: CallState) -> bool:
         """Whether a call that waits in vain has time and somewhere to go."""
-        return (self._settings.cancel_allowed and call.attempts < self._settings.max_attempts
-                and self._now + self._settings.rules.release_ms < self._ends_ms(call)
-                and any(self._serves(v, call) and not v.silent for v in self._servers.values()))
+        if not self._settings.cancel_allowed or call.attempts >= self._settings.max_attempts:
+            return False
+        in_time = self._now + self._settings.rules.release_ms < self._ends_ms(call)
+        return in_time and any(self._serves(v, call) and not v.silent for v in self._servers.values())
 
     def _end(self, call: CallState) -> None:
         """Rule 1: the caller's time is nearly up."""
@@ -353,9 +353,9 @@
 
     def _admits(self, view: ServerView, call: CallState) -> bool:
         self._settle(view)
-        return (not view.silent and self._warm_at(view) <= self._now
-                and view.bucket.admits(self._thresholds[self._weight(call)])
-                and self._budget_at(view, call) <= self._now)
+        ready = not view.silent and self._warm_at(view) <= self._now
+        admits = ready and view.bucket.admits(self._thresholds[self._weight(call)])
+        return admits and self._budget_at(view, call) <= self._now
 
     def _budget_at(self, view: ServerView, call: CallState, *, take: bool = False) -> float:
         return self._now + (self.spend(call.call, call.attempts, view.server_id, take) if self.spend else 0.0)
--- a/canvasplank/policy/servers.py
+++ b/canvasplank/policy/servers.py
@@ -10,10 +10,8 @@
 
 FLOOR_RATE = 1.0  # the rate rule (ND1621's adaptation): calls/s, at least after a cut, and ...
 GROWTH = 0.1  # ... per quiet second, or FLOOR_RATE, whichever is more
-# Exception (fleet size): a gateway's part of the one call a second is this much of an even share of what a
-# server's circuits can carry; while these are not reported, the second is shared past so many gateways.
-FAIR_PART = 0.25
-FEW_GATEWAYS = 8
+FAIR_PART = 0.25  # Exception (fleet size): of an even share, our part of that one call a second; where no
+FEW_GATEWAYS = 8  # share is known, the second is shared past so many gateways
 OPEN_SHARES = 1.5  # even shares: the most that a bucket leaks, with circuits reported, or so many times the
 OPEN_TIMES = 4.0  # calls that the server answers us lately, if those are enough to tell
 ENOUGH_ANSWERS = 6  # a second holds few: the cut looks back over as many as this, up to ...
@@ -112,6 +110,12 @@
             count += 1
         return count * SECOND_MS / (span_ms if count >= ENOUGH_ANSWERS else LOOK_BACK_MS)
 
+    def learned(self, slow_ms: float) -> tuple[str, float | None, float | None, bool, bool, float]:
+        rate = self.bucket.rate if self.bucket.rate < NEVER else None
+        heard_ms = max(self.heard_ms, self.silent_ms, self.tried_ms) if self.silent else self.heard_ms
+        slow = (self.delay_ms or 0.0) >= slow_ms
+        return self.server_id, self.started_ms, rate, slow, self.silent, heard_ms
+
 
 class ServerControl:
     """The decisions about servers; those about calls stand on them (``controller``)."""
@@ -134,10 +138,7 @@
 
     def learned(self) -> list[tuple[str, float | None, float | None, bool, bool, float]]:
         """For a new instance: each server's id, start, rate (None: open), whether slow, silent, last word."""
-        return [(v.server_id, v.started_ms, v.bucket.rate if v.bucket.rate < NEVER else None,
-                 (v.delay_ms or 0.0) >= self._silent_ms, v.silent,
-                 max(v.heard_ms, v.silent_ms, v.tried_ms) if v.silent else v.heard_ms)
-                for v in self._servers.values()]
+        return [view.learned(self._silent_ms) for view in self._servers.values()]
 
     def _on_hint(self, hint: api.Hinted) -> None:
         """Exception (learned start): a peer's word counts only before any of our own."""
