--- a/benchmarks/budgets.py
+++ b/benchmarks/budgets.py
@@ -89,12 +89,19 @@
         before = sum(share(shared, n) for n in others)
         gone = share(shared, "n0")
         await shared.end("n0", signal.SIGKILL)
-        used_s = await until(lambda: sum(share(shared, n) for n in others) >= before + 0.8 * gone * (
-            len(others) / (len(others) + 1)))
+        used_s = await until(
+            lambda: (
+                sum(share(shared, n) for n in others)
+                >= before + 0.8 * gone * (len(others) / (len(others) + 1))
+            )
+        )
         load.cancel()
         size = f"{count} proxies"
-        return [("joining: started", size, "s", started_s), ("joining: has its share", size, "s", joined_s),
-                ("dead: its share is used again", size, "s", used_s)]
+        return [
+            ("joining: started", size, "s", started_s),
+            ("joining: has its share", size, "s", joined_s),
+            ("dead: its share is used again", size, "s", used_s),
+        ]
 
 
 async def skewed(static: bool) -> list[Row]:
@@ -135,9 +142,12 @@
             agent._task.cancel()
         await store.stop()
         size = f"{count} proxies"
-        return [("store: transactions", size, "a second", per_s), ("store: members", size, "", joined),
-                ("store: per proxy", size, "a second", per_s / count),
-                ("store: stand-in and client together", size, "ms of processor a transaction", cpu_ms)]
+        return [
+            ("store: transactions", size, "a second", per_s),
+            ("store: members", size, "", joined),
+            ("store: per proxy", size, "a second", per_s / count),
+            ("store: stand-in and client together", size, "ms of processor a transaction", cpu_ms),
+        ]
 
 
 async def set_up_times(variant: str) -> list[Row]:
@@ -150,9 +160,11 @@
         await callers.settled(4.0)
         took = sorted(1000 * t.took_s for t in callers.tries.values() if t.outcome == "served")
         shared.store.faults.stalled = False
-        return [("set-up time: median", variant, "ms", statistics.median(took)),
-                ("set-up time: 99 %", variant, "ms", took[int(0.99 * len(took))]),
-                ("set-ups served", variant, "of all", len(took) / len(callers.tries))]
+        return [
+            ("set-up time: median", variant, "ms", statistics.median(took)),
+            ("set-up time: 99 %", variant, "ms", took[int(0.99 * len(took))]),
+            ("set-ups served", variant, "of all", len(took) / len(callers.tries)),
+        ]
 
 
 async def faults(count: int) -> list[Row]:
@@ -187,11 +199,21 @@
         load.cancel()
         traces = [read_trace(path, "all") for path in shared.logs()]
         size = f"{count} proxies, {len(traces)} processes"
-        return [("faults: most that shares summed to", size, f"of {PLAN.whole_per_s * 0.9:g} a second",
-                 most_shared(traces)),
-                ("faults: worst window over the whole", size, f"units, {len(traces)} allowed",
-                 worst_window(traces, PLAN.whole_per_s, PLAN.burst_ms)),
-                ("faults: units spent", size, "", float(sum(len(trace.spent) for trace in traces)))]
+        return [
+            (
+                "faults: most that shares summed to",
+                size,
+                f"of {PLAN.whole_per_s * 0.9:g} a second",
+                most_shared(traces),
+            ),
+            (
+                "faults: worst window over the whole",
+                size,
+                f"units, {len(traces)} allowed",
+                worst_window(traces, PLAN.whole_per_s, PLAN.burst_ms),
+            ),
+            ("faults: units spent", size, "", float(sum(len(trace.spent) for trace in traces))),
+        ]
 
 
 def chart(rows: list[Row], path: Path) -> None:
@@ -202,9 +224,16 @@
     import matplotlib.pyplot as plt
 
     figure, axes = plt.subplots(1, 3, figsize=(12, 3.2))
-    for axis, what, title in zip(axes, ("used", "store: transactions", "has its share"), (
-            "used of 160/s, nine tenths at one proxy", "store: transactions a second",
-            "joining proxy has its share after, s"), strict=True):
+    for axis, what, title in zip(
+        axes,
+        ("used", "store: transactions", "has its share"),
+        (
+            "used of 160/s, nine tenths at one proxy",
+            "store: transactions a second",
+            "joining proxy has its share after, s",
+        ),
+        strict=True,
+    ):
         found = [(variant, value) for name, variant, _, value in rows if name.endswith(what)]
         axis.bar([variant for variant, _ in found], [value for _, value in found], color="#4477aa", width=0.5)
         axis.set_title(title, fontsize=9)
--- a/benchmarks/learning_join.py
+++ b/benchmarks/learning_join.py
@@ -54,11 +54,14 @@
 
         mine = [t for t in since if t.proxy == new]
         return Played(
-            served(first, by_new=True), served(later, by_new=True),
-            served(first, by_new=False), served(later, by_new=False),
+            served(first, by_new=True),
+            served(later, by_new=True),
+            served(first, by_new=False),
+            served(later, by_new=False),
             late=sum(t.outcome == "served" and t.took_s > t.kind.aim_s for t in mine),
             lost=sum(t.outcome in ("lost", "given_up") for t in mine),
-            steady_after_s=_steady_after(since, joined_s, new))
+            steady_after_s=_steady_after(since, joined_s, new),
+        )
 
 
 STEADY_SPAN_S, STEADY_LESS = 2.0, 0.15
@@ -108,14 +111,16 @@
             joined_s = time.time()
             await load
             await callers.settled(5.0)
-            played = Played.of([t for t in callers.tries.values() if t.due_s < joined_s + AFTER_S], joined_s,
-                               new.address)
+            played = Played.of(
+                [t for t in callers.tries.values() if t.due_s < joined_s + AFTER_S], joined_s, new.address
+            )
             await callers.stop()
             return played
 
 
-async def _all(plays: list[tuple[int, bool]], at_once: int, rate: float, slow: float,
-               mend_s: float | None) -> list[Played]:
+async def _all(
+    plays: list[tuple[int, bool]], at_once: int, rate: float, slow: float, mend_s: float | None
+) -> list[Played]:
     gate = asyncio.Semaphore(at_once)
 
     async def one(seed: int, ask: bool) -> Played:
@@ -136,20 +141,28 @@
     plays = [(seed, ask) for seed in range(1, seeds + 1) for ask in (False, True)]
     with contextlib.suppress(KeyboardInterrupt):
         results = dict(zip(plays, asyncio.run(_all(plays, at_once, rate, slow, mend)), strict=True))
-        print("| seed | asked | new, first 5 s | new, later | running, first 5 s | running, later "
-              "| late | lost | steady after |")
+        print(
+            "| seed | asked | new, first 5 s | new, later | running, first 5 s | running, later "
+            "| late | lost | steady after |"
+        )
         print("| --- | --- | --- | --- | --- | --- | --- | --- | --- |")
         for (seed, ask), p in results.items():
             whom = "a running one" if ask else "no one"
-            print(f"| {seed} | {whom} | {p.new_first:.3f} | {p.new_later:.3f} | {p.old_first:.3f} "
-                  f"| {p.old_later:.3f} | {p.late} | {p.lost} | {p.steady_after_s:.0f} s |")
+            print(
+                f"| {seed} | {whom} | {p.new_first:.3f} | {p.new_later:.3f} | {p.old_first:.3f} "
+                f"| {p.old_later:.3f} | {p.late} | {p.lost} | {p.steady_after_s:.0f} s |"
+            )
         for ask in (False, True):
             some = [p for (_, asked), p in results.items() if asked is ask]
-            first, later = (statistics.mean(each) for each in zip(
-                *((p.new_first, p.new_later) for p in some), strict=True))
-            print(f"mean, {'asked' if ask else 'alone'}: first 5 s {first:.3f}, later {later:.3f}, "
-                  f"late {sum(p.late for p in some)}, "
-                  f"steady after at most {max(p.steady_after_s for p in some):.0f} s")
+            first, later = (
+                statistics.mean(each)
+                for each in zip(*((p.new_first, p.new_later) for p in some), strict=True)
+            )
+            print(
+                f"mean, {'asked' if ask else 'alone'}: first 5 s {first:.3f}, later {later:.3f}, "
+                f"late {sum(p.late for p in some)}, "
+                f"steady after at most {max(p.steady_after_s for p in some):.0f} s"
+            )
 
 
 if __name__ == "__main__":
--- a/benchmarks/ownership.py
+++ b/benchmarks/ownership.py
@@ -71,9 +71,20 @@
         """Start one."""
         with (self.folder / f"{name}.log").open("wb") as log:
             self.workers[name] = await asyncio.create_subprocess_exec(
-                sys.executable, "-m", "canvasplank", "worker", "--fleet", str(self.folder / "fleet.toml"),
-                "--work", str(self.folder / "work.toml"), "--name", name, cwd=ROOT, stderr=log,
-                env=os.environ | {"CANVASPLANK_LOG": "json"})
+                sys.executable,
+                "-m",
+                "canvasplank",
+                "worker",
+                "--fleet",
+                str(self.folder / "fleet.toml"),
+                "--work",
+                str(self.folder / "work.toml"),
+                "--name",
+                name,
+                cwd=ROOT,
+                stderr=log,
+                env=os.environ | {"CANVASPLANK_LOG": "json"},
+            )
 
     async def owners(self) -> dict[str, str]:
         """Who owns what, by name."""
@@ -101,8 +112,11 @@
 async def taking_over() -> list[tuple]:
     """After a kill, a freeze, and SIGTERM."""
     rows = []
-    for what, how in {"killed": signal.SIGKILL, "frozen": signal.SIGSTOP,
-                      "told to stop": signal.SIGTERM}.items():
+    for what, how in {
+        "killed": signal.SIGKILL,
+        "frozen": signal.SIGSTOP,
+        "told to stop": signal.SIGTERM,
+    }.items():
         with tempfile.TemporaryDirectory() as folder:
             play = Play(Path(folder))
             await play.start()
@@ -129,8 +143,10 @@
         await play.worker("w0")
         for first in range(0, count, BATCH):
             now_ms = int(time.time() * 1000)
-            batch = [Outcome(f"{n:016x}", "n0", now_ms - n % 3000, "low", "served", "s", 1, now_ms)
-                     for n in range(first, min(count, first + BATCH))]
+            batch = [
+                Outcome(f"{n:016x}", "n0", now_ms - n % 3000, "low", "served", "s", 1, now_ms)
+                for n in range(first, min(count, first + BATCH))
+            ]
             if rng.random() < 0.3:
                 play.store.faults.drop_after_commit = 1
             for _ in range(2 if rng.random() < 0.2 else 1):  # a batch that was written may come again
@@ -150,8 +166,10 @@
         until = time.monotonic() + 60
         while time.monotonic() < until and (exported(play.out) < count or await _waits(play)):
             await asyncio.sleep(0.5)
-        rows = [("records written, exported", f"{crashes} owners killed", "",
-                 f"{count}, {exported(play.out)}"), ("files", "", "", len(list(play.out.glob("*.csv"))))]
+        rows = [
+            ("records written, exported", f"{crashes} owners killed", "", f"{count}, {exported(play.out)}"),
+            ("files", "", "", len(list(play.out.glob("*.csv")))),
+        ]
         await play.stop()
         return rows
 
@@ -162,12 +180,19 @@
         play = Play(Path(folder))
         # Guards the measurement against the stand-in's own work, which in this process would hold callers up.
         apart = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "standins.postgresql", folder, cwd=ROOT,
-            stdin=asyncio.subprocess.PIPE, stdout=asyncio.subprocess.PIPE)
+            sys.executable,
+            "-m",
+            "standins.postgresql",
+            folder,
+            cwd=ROOT,
+            stdin=asyncio.subprocess.PIPE,
+            stdout=asyncio.subprocess.PIPE,
+        )
         await play.start((await apart.stdout.readline()).decode().strip())
         now_ms = int(time.time() * 1000) - 5000
-        await play.records.write([Outcome(f"{n:016x}", "n0", now_ms - n, "low", "served", "s", 1, now_ms)
-                                  for n in range(100_000)])
+        await play.records.write(
+            [Outcome(f"{n:016x}", "n0", now_ms - n, "low", "served", "s", 1, now_ms) for n in range(100_000)]
+        )
         server = CallServer("s-0", capacity_per_s=5000.0, hold_ms=50.0, lines=100_000)
         async with fleet(Path(folder), [server], instances=1) as started:
             proxy = await started.proxy("n0", 1)
@@ -184,9 +209,11 @@
         apart.kill()
         await apart.wait()
         variant = f"{done} records exported meanwhile"
-        return [("set-up time: median", variant, "ms", statistics.median(took)),
-                ("set-up time: 99 %", variant, "ms", took[int(0.99 * len(took))]),
-                ("set-ups served", variant, "of all", len(took) / len(callers.tries))]
+        return [
+            ("set-up time: median", variant, "ms", statistics.median(took)),
+            ("set-up time: 99 %", variant, "ms", took[int(0.99 * len(took))]),
+            ("set-ups served", variant, "of all", len(took) / len(callers.tries)),
+        ]
 
 
 async def _waits(play: Play) -> bool:
@@ -203,8 +230,12 @@
 
 async def measure(count: int) -> list[tuple]:
     """Everything, one after another."""
-    return [*await taking_over(), *await set_up_times(False), *await set_up_times(True),
-            *await exactly_once(count)]
+    return [
+        *await taking_over(),
+        *await set_up_times(False),
+        *await set_up_times(True),
+        *await exactly_once(count),
+    ]
 
 
 def main(folder: str, count: str = "100000") -> None:
--- a/benchmarks/store_latency.py
+++ b/benchmarks/store_latency.py
@@ -63,8 +63,14 @@
     async def start(self, folder: Path) -> str:
         """Start it; gives its DSN."""
         self._process = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "standins.postgresql", str(folder), cwd=ROOT,
-            stdin=asyncio.subprocess.PIPE, stdout=asyncio.subprocess.PIPE)
+            sys.executable,
+            "-m",
+            "standins.postgresql",
+            str(folder),
+            cwd=ROOT,
+            stdin=asyncio.subprocess.PIPE,
+            stdout=asyncio.subprocess.PIPE,
+        )
         return (await self._process.stdout.readline()).decode().strip()
 
     def tell(self, command: str) -> None:
@@ -101,8 +107,12 @@
 
 Trouble = Callable[[Database], Awaitable[None]]
 STORES: dict[str, Trouble | None] = {
-    "none": None, "SQLite": None, "PostgreSQL": _nothing, "PostgreSQL stalled 5 s": _stall,
-    "PostgreSQL resets by turns": _drop, "PostgreSQL away 5 s": _away,
+    "none": None,
+    "SQLite": None,
+    "PostgreSQL": _nothing,
+    "PostgreSQL stalled 5 s": _stall,
+    "PostgreSQL resets by turns": _drop,
+    "PostgreSQL away 5 s": _away,
 }
 
 
@@ -112,8 +122,11 @@
         folder, database = Path(name), Database()
         dsn = await database.start(folder)
         path = folder / ("outcomes.db" if store == "SQLite" else DATA)
-        text = (f'backend = "sqlite"\npath = "{path}"\n' if store == "SQLite"
-                else f'backend = "postgresql"\ndsn = "{dsn}"\n')
+        text = (
+            f'backend = "sqlite"\npath = "{path}"\n'
+            if store == "SQLite"
+            else f'backend = "postgresql"\ndsn = "{dsn}"\n'
+        )
         (folder / "store.toml").write_text(text)
         more = {} if store == "none" else {"CANVASPLANK_STORE": str(folder / "store.toml")}
         tries = await _calls(seed, load, folder, more, STORES[store], database)
@@ -125,8 +138,9 @@
         return _judged(tries, rows)
 
 
-async def _calls(seed: int, load: Load, folder: Path, more: dict[str, str], trouble: Trouble | None,
-                 database: Database) -> list[Try]:
+async def _calls(
+    seed: int, load: Load, folder: Path, more: dict[str, str], trouble: Trouble | None, database: Database
+) -> list[Try]:
     servers = [CallServer(f"s-{n}", load.capacity_per_s, hold_ms=1000.0, lines=2000) for n in range(3)]
     async with fleet(folder, servers, 1) as world:
         proxy = await world.proxy("n0", seed, **more)
@@ -146,8 +160,16 @@
     kept = {call_id: (class_name, final) for call_id, class_name, final in rows}
     times = sorted(1000 * t.took_s for t in tries if t.outcome == "served")
     wrong = sum(kept.get(t.id) != (t.kind.name, t.outcome) for t in tries) if rows else 0
-    return Played(len(tries), len(times), statistics.median(times), times[int(0.99 * len(times))], times[-1],
-                  len(rows), len(rows) - len(kept), wrong)
+    return Played(
+        len(tries),
+        len(times),
+        statistics.median(times),
+        times[int(0.99 * len(times))],
+        times[-1],
+        len(rows),
+        len(rows) - len(kept),
+        wrong,
+    )
 
 
 async def _all(seeds: int, at_once: int) -> dict[tuple[str, str], list[Played]]:
@@ -172,14 +194,17 @@
     print("| load | store | calls | served | median | 99 % | most | records | twice | missing or wrong |")
     print("| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |")
     for (load, store), some in asyncio.run(_all(seeds, at_once)).items():
+
         def total(name: str, some: list[Played] = some) -> int:
             return sum(getattr(p, name) for p in some)
 
         names = ("median_ms", "p99_ms", "most_ms")
         times = [statistics.mean(getattr(p, name) for p in some) for name in names]
-        print(f"| {load} | {store} | {total('calls')} | {total('served')} | "
-              + " | ".join(f"{ms:.1f} ms" for ms in times)
-              + f" | {total('records')} | {total('twice')} | {total('wrong')} |")
+        print(
+            f"| {load} | {store} | {total('calls')} | {total('served')} | "
+            + " | ".join(f"{ms:.1f} ms" for ms in times)
+            + f" | {total('records')} | {total('twice')} | {total('wrong')} |"
+        )
 
 
 if __name__ == "__main__":
--- a/canvasplank/cli.py
+++ b/canvasplank/cli.py
@@ -25,8 +25,13 @@
 
 Result = TypeVar("Result")
 
-fleet_option = click.option("--fleet", "path", required=True, envvar="CANVASPLANK_FLEET",
-                            help="The fleet's file, as deploy/fleet.toml.")
+fleet_option = click.option(
+    "--fleet",
+    "path",
+    required=True,
+    envvar="CANVASPLANK_FLEET",
+    help="The fleet's file, as deploy/fleet.toml.",
+)
 
 
 def asked(path: str, ask: Callable[[Fleet, Backend], Awaitable[Result]]) -> Result:
@@ -123,8 +128,9 @@
 
 @cli.command()
 @fleet_option
-@click.option("--work", "work_path", required=True, envvar="CANVASPLANK_WORK",
-              help="What it does, as deploy/work.toml.")
+@click.option(
+    "--work", "work_path", required=True, envvar="CANVASPLANK_WORK", help="What it does, as deploy/work.toml."
+)
 @click.option("--name", default=socket.gethostname, help="What operators know it by.")
 def worker(path: str, work_path: str, name: str) -> None:
     """Do the fleet's work: close periods of the usage ledger, export them, remove old records."""
@@ -160,11 +166,15 @@
         parts = [(m, m.holdings[budget]) for _, m in sorted(rows.members.items()) if budget in m.holdings]
         whole = leased([holding for _, holding in parts])
         held = sum(holding.held for _, holding in parts)
-        click.echo(f"{budget}\tleased {held / THOUSANDTHS:g} of {whole / THOUSANDTHS:g}/s"
-                   f"\tfree {(whole - held) / THOUSANDTHS:g}/s")
+        click.echo(
+            f"{budget}\tleased {held / THOUSANDTHS:g} of {whole / THOUSANDTHS:g}/s"
+            f"\tfree {(whole - held) / THOUSANDTHS:g}/s"
+        )
         for member, holding in parts:
-            click.echo(f"  {member.name}\t{member.incarnation}\tholds {holding.held / THOUSANDTHS:g}/s"
-                       f"\twants {_wanted(holding)}")
+            click.echo(
+                f"  {member.name}\t{member.incarnation}\tholds {holding.held / THOUSANDTHS:g}/s"
+                f"\twants {_wanted(holding)}"
+            )
 
 
 def _wanted(holding: Holding) -> str:
--- a/canvasplank/codecs/isup.py
+++ b/canvasplank/codecs/isup.py
@@ -133,9 +133,7 @@
 
 def encode(message: Message) -> bytes:
     """The bytes of a message."""
-    body = b"".join(
-        _PARAMETER.pack(code, len(value)) + value for code, value in message.parameters.items()
-    )
+    body = b"".join(_PARAMETER.pack(code, len(value)) + value for code, value in message.parameters.items())
     return _HEAD.pack(_LEAST + len(body), message.kind, bytes.fromhex(message.call_id)) + body
 
 
--- a/canvasplank/codecs/sip.py
+++ b/canvasplank/codecs/sip.py
@@ -167,8 +167,12 @@
 
 
 def request(
-    method: str, user: str, call_id: str, sequence: int,
-    headers: dict[str, str] | None = None, body: bytes = b"",
+    method: str,
+    user: str,
+    call_id: str,
+    sequence: int,
+    headers: dict[str, str] | None = None,
+    body: bytes = b"",
 ) -> bytes:
     """The bytes of a request; ``sequence`` is the number in CSeq."""
     lines = [
--- a/canvasplank/counters.py
+++ b/canvasplank/counters.py
@@ -32,10 +32,17 @@
         Every class seen has all four figures, so that a 0 reads as 0 and not as missing.
         """
         classes = sorted({class_name for _, class_name in self._by_class})
-        lines = [f'edge_{figure}{{class="{_escaped(name)}"}} {self._by_class[figure, name]}'
-                 for figure in CLASS_FIGURES for name in classes]
-        return [*lines, f"edge_in_flight {in_flight}", f"edge_call_servers_known {servers_known}",
-                f"edge_call_servers_excluded {servers_excluded}"]
+        lines = [
+            f'edge_{figure}{{class="{_escaped(name)}"}} {self._by_class[figure, name]}'
+            for figure in CLASS_FIGURES
+            for name in classes
+        ]
+        return [
+            *lines,
+            f"edge_in_flight {in_flight}",
+            f"edge_call_servers_known {servers_known}",
+            f"edge_call_servers_excluded {servers_excluded}",
+        ]
 
     def __getitem__(self, name: str) -> int:
         return self._counts[name]
--- a/canvasplank/deadlines.py
+++ b/canvasplank/deadlines.py
@@ -27,8 +27,9 @@
     Guards against standing still until a clock that was set back has caught up: nothing came due meanwhile.
     """
 
-    def __init__(self, unix: Callable[[], float] = time.time,
-                 steady: Callable[[], float] = time.monotonic) -> None:
+    def __init__(
+        self, unix: Callable[[], float] = time.time, steady: Callable[[], float] = time.monotonic
+    ) -> None:
         self._unix, self._steady = unix, steady
         self._now_s, self._steady_s = unix(), steady()
 
--- a/canvasplank/engine/postgresql.py
+++ b/canvasplank/engine/postgresql.py
@@ -21,8 +21,9 @@
 class PostgresqlEngine:
     """One connection with one subsystem's tables; every method raises one of ``engine.errors``."""
 
-    def __init__(self, dsn: str, timeout_s: float, schema: Schema,
-                 settings: Mapping[str, str] | None = None) -> None:
+    def __init__(
+        self, dsn: str, timeout_s: float, schema: Schema, settings: Mapping[str, str] | None = None
+    ) -> None:
         self._dsn, self._timeout_s, self._schema = dsn, timeout_s, schema
         self._settings = {"application_name": "canvasplank", **(settings or {})}
         self._connection: asyncpg.Connection | None = None
@@ -63,7 +64,8 @@
     async def _open(self) -> None:
         await self.close()
         self._connection = connection = await asyncpg.connect(
-            self._dsn, timeout=self._timeout_s, server_settings=self._settings)
+            self._dsn, timeout=self._timeout_s, server_settings=self._settings
+        )
         await _migrate(connection, self._schema)
 
 
--- a/canvasplank/events.py
+++ b/canvasplank/events.py
@@ -21,8 +21,13 @@
     if form == "json":
         from pythonjsonlogger.json import JsonFormatter  # imported only where it is wanted
 
-        handler.setFormatter(JsonFormatter("{created}{levelname}{name}{message}", style="{",
-                                           rename_fields={"created": "unix_s", "levelname": "level"}))
+        handler.setFormatter(
+            JsonFormatter(
+                "{created}{levelname}{name}{message}",
+                style="{",
+                rename_fields={"created": "unix_s", "levelname": "level"},
+            )
+        )
     else:
         handler.setFormatter(logging.Formatter(HUMAN))
     logging.basicConfig(handlers=[handler], level=logging.INFO)
--- a/canvasplank/exchange.py
+++ b/canvasplank/exchange.py
@@ -126,15 +126,26 @@
 
     def is_again(self, other: CallRecord) -> bool:
         """Whether the other is the same set-up, sent once more."""
-        return ((self.class_name, self.tenant, self.number, self.preferred_pool, self.description)
-                == (other.class_name, other.tenant, other.number, other.preferred_pool, other.description))
+        return (self.class_name, self.tenant, self.number, self.preferred_pool, self.description) == (
+            other.class_name,
+            other.tenant,
+            other.number,
+            other.preferred_pool,
+            other.description,
+        )
 
 
 class Exchange:
     """Callers on one side, call servers on the other, the decisions between them."""
 
-    def __init__(self, turns: Turns, controller: Callable[[float, api.Event], list[api.Action]],
-                 counters: Counters, most_open: int, memory_bytes: float) -> None:
+    def __init__(
+        self,
+        turns: Turns,
+        controller: Callable[[float, api.Event], list[api.Action]],
+        counters: Counters,
+        most_open: int,
+        memory_bytes: float,
+    ) -> None:
         self.turns = turns
         self.counters = counters
         self.callers: CallerSide
@@ -189,8 +200,17 @@
         self._open[call.id] = call
         self._held_bytes += len(call.description)
         call.deadline = self.turns.deadlines.add(call.expires_ms, lambda: self._overdue(call))
-        self._tell(api.Call(call.id, call.class_name, call.expires_ms, call.preferred_pool,
-                            tenant=call.tenant, number=call.number, was_cut=call.was_cut))
+        self._tell(
+            api.Call(
+                call.id,
+                call.class_name,
+                call.expires_ms,
+                call.preferred_pool,
+                tenant=call.tenant,
+                number=call.number,
+                was_cut=call.was_cut,
+            )
+        )
         return True
 
     def invalid(self, call: CallRecord) -> None:
@@ -256,8 +276,11 @@
     def established(self, server_id: str, call_id: str, attempt: int | None, description: bytes) -> None:
         """A server answered a set-up; an answer that nobody waits for is taken back there."""
         call = self._open.get(call_id)
-        if (call is not None and self._is_in_flight(call, server_id, attempt)
-                and not self.callers.is_reachable(call.origin)):
+        if (
+            call is not None
+            and self._is_in_flight(call, server_id, attempt)
+            and not self.callers.is_reachable(call.origin)
+        ):
             # Guards against a call established for nobody: its caller's connection ends in this very turn.
             self._abandon(call)
             call = None
@@ -281,8 +304,14 @@
         waited_ms = self.turns.now_ms - in_flight.sent_ms
         self._tell(api.Established(call_id, in_flight.number, server_id, waited_ms))
 
-    def ended(self, server_id: str, call_id: str, attempt: int, outcome: api.Outcome,
-              details: RefusalDetails = NO_DETAILS) -> None:
+    def ended(
+        self,
+        server_id: str,
+        call_id: str,
+        attempt: int,
+        outcome: api.Outcome,
+        details: RefusalDetails = NO_DETAILS,
+    ) -> None:
         """An attempt that was not answered has ended."""
         call = self._open.get(call_id)
         if call is not None and self._is_in_flight(call, server_id, attempt):
@@ -316,8 +345,9 @@
     def carries(self, server_id: str) -> bool:
         """Whether a call is established at this server, or an attempt in flight there."""
         in_flight = (call.in_flight for call in self._open.values() if call.in_flight is not None)
-        return (any(call.established_at == server_id for call in self._established.values())
-                or any(attempt.server_id == server_id for attempt in in_flight))
+        return any(call.established_at == server_id for call in self._established.values()) or any(
+            attempt.server_id == server_id for attempt in in_flight
+        )
 
     def process_over(self, server_id: str, started_before_ms: float, *, tell_server: bool = False) -> None:
         """A server's process has ended without releasing its calls: release those that it held.
@@ -325,8 +355,11 @@
         With ``tell_server`` it may not have ended, and is told as well.
         Only those of before ``started_before_ms`` are over; a fresh process may hold calls already.
         """
-        over = [c for c in self._established.values()
-                if c.established_at == server_id and c.established_ms < started_before_ms]
+        over = [
+            c
+            for c in self._established.values()
+            if c.established_at == server_id and c.established_ms < started_before_ms
+        ]
         for call in over:
             self.counters.add("sent.ends_for_servers")
             self.callers.release(call.origin, call.id, CUT_CAUSE)
@@ -435,8 +468,14 @@
         if self.recorder is not None:
             self.recorder.answered(call, final.value, self.turns.now_ms)
 
-    def _end_attempt(self, call: CallRecord, outcome: api.Outcome, *, cancel: bool = False,
-                     details: RefusalDetails = NO_DETAILS) -> None:
+    def _end_attempt(
+        self,
+        call: CallRecord,
+        outcome: api.Outcome,
+        *,
+        cancel: bool = False,
+        details: RefusalDetails = NO_DETAILS,
+    ) -> None:
         in_flight, call.in_flight = call.in_flight, None
         self.turns.deadlines.discard(in_flight.deadline)
         self.counters.add(f"ended.{outcome.name.lower()}")
@@ -444,9 +483,18 @@
             self.servers.cancel(in_flight.server_id, call.id)
         if not call.unanswered:
             self._close(call)
-        self._tell(api.AttemptEnded(call.id, in_flight.number, in_flight.server_id, outcome,
-                                    finished=not call.unanswered, processor_full=details.processor_full,
-                                    number_busy=details.number_busy, report=details.report))
+        self._tell(
+            api.AttemptEnded(
+                call.id,
+                in_flight.number,
+                in_flight.server_id,
+                outcome,
+                finished=not call.unanswered,
+                processor_full=details.processor_full,
+                number_busy=details.number_busy,
+                report=details.report,
+            )
+        )
 
     def _close(self, call: CallRecord) -> None:
         """It is answered, and nothing is in flight."""
@@ -458,15 +506,19 @@
         if call.established_at is None:
             self._remember(call.id)
 
-    def _end_established(self, call: CallRecord, outcome: api.Outcome,
-                         report: api.Report | None = None) -> None:
+    def _end_established(
+        self, call: CallRecord, outcome: api.Outcome, report: api.Report | None = None
+    ) -> None:
         del self._established[call.id]
         self._remember(call.id)
         if self.recorder is not None:
             self.recorder.over(call, outcome, self.turns.now_ms)
         self.counters.add(f"ended.{outcome.name.lower()}")
-        self._tell(api.AttemptEnded(call.id, call.attempts - 1, call.established_at, outcome, finished=True,
-                                    report=report))
+        self._tell(
+            api.AttemptEnded(
+                call.id, call.attempts - 1, call.established_at, outcome, finished=True, report=report
+            )
+        )
 
     def _remember(self, call_id: str) -> None:
         self._ended[call_id] = None
--- a/canvasplank/fleet/agent.py
+++ b/canvasplank/fleet/agent.py
@@ -38,8 +38,16 @@
 class Agent:
     """One proxy's coordination with the fleet."""
 
-    def __init__(self, fleet: Fleet, name: str, seed: int, counters: Counters,
-                 clock: Callable[[], float] = steady_ms, *, works: Iterable[str] = ()) -> None:
+    def __init__(
+        self,
+        fleet: Fleet,
+        name: str,
+        seed: int,
+        counters: Counters,
+        clock: Callable[[], float] = steady_ms,
+        *,
+        works: Iterable[str] = (),
+    ) -> None:
         """``works``: tasks of the fleet that this process does, and then it holds no budgets."""
         self._fleet, self._counters, self._clock = fleet, counters, clock
         self._backend: Backend = fleet.open_with()
@@ -166,13 +174,22 @@
         if answer.incarnation is None:
             event(LOG, "fleet.out", text=f"fleet: not in it: {answer.why}", why=answer.why)
         elif answer.incarnation != known:
-            event(LOG, "fleet.in", text=f"fleet: in it as {answer.incarnation}, one of {len(answer.seen)}",
-                  incarnation=answer.incarnation, members=len(answer.seen))
+            event(
+                LOG,
+                "fleet.in",
+                text=f"fleet: in it as {answer.incarnation}, one of {len(answer.seen)}",
+                incarnation=answer.incarnation,
+                members=len(answer.seen),
+            )
         gone = {sign.incarnation for sign in request.dead} - {sign.incarnation for sign in answer.seen}
         if gone:
             self._counters.add("fleet.removed", len(gone))
-            event(LOG, "fleet.removed", text=f"fleet: not heard of for a lease, removed: {sorted(gone)}",
-                  incarnations=sorted(gone))
+            event(
+                LOG,
+                "fleet.removed",
+                text=f"fleet: not heard of for a lease, removed: {sorted(gone)}",
+                incarnations=sorted(gone),
+            )
         self._tell_shares()
 
     def _tell_shares(self) -> None:
@@ -183,8 +200,16 @@
             if self._fleet.trace or self._told.get(budget) != share:
                 self._told[budget] = share
                 text = f"fleet: budget {budget}: {terms.own_part / MS:g}/s and a share of {share / MS:g}/s"
-                event(LOG, "budget.share", text=text, budget=budget, own=terms.own_part, share=share,
-                      until_ms=until_ms, at_ms=self._clock())
+                event(
+                    LOG,
+                    "budget.share",
+                    text=text,
+                    budget=budget,
+                    own=terms.own_part,
+                    share=share,
+                    until_ms=until_ms,
+                    at_ms=self._clock(),
+                )
 
     def count(self) -> None:
         """Have the counters show the fleet as it is seen, and what may be used now."""
--- a/canvasplank/fleet/config.py
+++ b/canvasplank/fleet/config.py
@@ -48,9 +48,14 @@
 
     def terms(self) -> dict[str, Terms]:
         """The budgets, in thousandths."""
-        return {each.name: Terms(int(each.whole_per_s * THOUSANDTHS),
-                                 int(each.whole_per_s * each.kept_back * THOUSANDTHS), self.proxies_most)
-                for each in self.budget}
+        return {
+            each.name: Terms(
+                int(each.whole_per_s * THOUSANDTHS),
+                int(each.whole_per_s * each.kept_back * THOUSANDTHS),
+                self.proxies_most,
+            )
+            for each in self.budget
+        }
 
     def scopes(self) -> dict[str, Scope]:
         """What each is spent on."""
@@ -82,8 +87,10 @@
         if bool(each.of) != (each.kind in ("member", "server")):
             raise ValueError(f"budget {each.name}: kind {each.kind} and of {each.of!r} do not fit")
         if each.whole_per_s < fleet.proxies_most:
-            raise ValueError(f"budget {each.name}: a whole of {each.whole_per_s:g} is less than one unit a "
-                             f"second for each of {fleet.proxies_most} proxies")
+            raise ValueError(
+                f"budget {each.name}: a whole of {each.whole_per_s:g} is less than one unit a "
+                f"second for each of {fleet.proxies_most} proxies"
+            )
     for what in ([each.name for each in fleet.budget], [(each.kind, each.of) for each in fleet.budget]):
         if len(set(what)) < len(what):
             raise ValueError("a budget is named twice")
--- a/canvasplank/fleet/holder.py
+++ b/canvasplank/fleet/holder.py
@@ -78,8 +78,14 @@
         """Whether it should have more, which others are to let go of."""
         return any(self._using[budget] < self._target[budget] for budget in self.terms)
 
-    def request(self, now_ms: float, demands: Mapping[str, int | None], dead: Iterable[Sign] = (),
-                *, leaving: bool = False) -> Request:
+    def request(
+        self,
+        now_ms: float,
+        demands: Mapping[str, int | None],
+        dead: Iterable[Sign] = (),
+        *,
+        leaving: bool = False,
+    ) -> Request:
         """The next one; nothing that was sent before it counts any more.
 
         ``now_ms`` must be read before anything of it is sent: the lease runs from there.
@@ -88,10 +94,20 @@
         self._sent_ms = now_ms
         if leaving:
             self._let_go()
-        using = {budget: Holding(terms.whole, terms.reserve, self._using[budget], demands.get(budget))
-                 for budget, terms in self.terms.items()}
-        return Request(self.name, self.incarnation, self._seq, self._most, self._lease.lease_ms, using,
-                       tuple(dead), leaving)
+        using = {
+            budget: Holding(terms.whole, terms.reserve, self._using[budget], demands.get(budget))
+            for budget, terms in self.terms.items()
+        }
+        return Request(
+            self.name,
+            self.incarnation,
+            self._seq,
+            self._most,
+            self._lease.lease_ms,
+            using,
+            tuple(dead),
+            leaving,
+        )
 
     def answered(self, answer: Answer) -> bool:
         """Take an answer; False: it is not that of the newest request and tells nothing."""
--- a/canvasplank/fleet/ledger.py
+++ b/canvasplank/fleet/ledger.py
@@ -67,8 +67,16 @@
         share = max(mine.held, min(target, mine.held + free))
         grants[budget] = Grant(share, target)
         holdings[budget] = msgspec.structs.replace(mine, held=share)
-    member = Member(incarnation, request.name, request.seq, request.most, request.lease_ms, holdings,
-                    request.able, request.hears)
+    member = Member(
+        incarnation,
+        request.name,
+        request.seq,
+        request.most,
+        request.lease_ms,
+        holdings,
+        request.able,
+        request.hears,
+    )
     after = _assign(replace(rows, members=others | {incarnation: member}), request, incarnation)
     hear = sum(other.hears for other in others.values())
     return after, Answer(incarnation, request.seq, grants, _signs(after), tasks=after.tasks, hear=hear)
@@ -96,8 +104,9 @@
 def _turn(rows: Rows, tasks: dict[str, Task], name: str, me: int) -> bool:
     """Whether nobody else who would do it owns less, or has not just failed at it where this one has."""
     failed_by = tasks.get(name, Task()).failed_by
-    others = [key for key, member in rows.members.items()
-              if name in member.able and key not in (me, failed_by)]
+    others = [
+        key for key, member in rows.members.items() if name in member.able and key not in (me, failed_by)
+    ]
     if failed_by == me and any(name in m.able for key, m in rows.members.items() if key != me):
         return False
     owned = {key: sum(task.owner == key for task in tasks.values()) for key in (me, *others)}
--- a/canvasplank/fleet/ownership.py
+++ b/canvasplank/fleet/ownership.py
@@ -31,8 +31,11 @@
     def heard(self, answer: Answer, now_ms: float) -> None:
         """The answer to the newest request: what is owned from here on."""
         self._me = answer.incarnation
-        self._terms = {name: task.term for name, task in answer.tasks.items()
-                       if task.owner == self._me and self._me is not None}
+        self._terms = {
+            name: task.term
+            for name, task in answer.tasks.items()
+            if task.owner == self._me and self._me is not None
+        }
         self._given_up &= self._terms.keys()  # told, and taken
         self._done.clear()
         for name, task in answer.tasks.items():
@@ -48,8 +51,11 @@
 
     def tenures(self) -> list[Tenure]:
         """What it may try to do."""
-        return [Tenure(name, term, self._me) for name, term in sorted(self._terms.items())
-                if name not in self._given_up and self._me is not None]
+        return [
+            Tenure(name, term, self._me)
+            for name, term in sorted(self._terms.items())
+            if name not in self._given_up and self._me is not None
+        ]
 
     def ready(self, now_ms: float) -> dict[str, int]:
         """What it would take over now, and how many failures of it it knows of."""
@@ -58,8 +64,12 @@
 
     def says(self, now_ms: float) -> Mapping[str, Any]:
         """Its part of the next request."""
-        return {"able": self.able, "ready": self.ready(now_ms), "given_up": tuple(sorted(self._given_up)),
-                "done": tuple(sorted(self._done))}
+        return {
+            "able": self.able,
+            "ready": self.ready(now_ms),
+            "given_up": tuple(sorted(self._given_up)),
+            "done": tuple(sorted(self._done)),
+        }
 
     def did(self, tenure: Tenure) -> None:
         """A step of it went well."""
--- a/canvasplank/fleet/postgresql.py
+++ b/canvasplank/fleet/postgresql.py
@@ -17,8 +17,10 @@
     """See ``Backend``; one connection, since one request is out at a time."""
 
     def __init__(self, dsn: str, timeout_s: float) -> None:
-        limits = {"idle_in_transaction_session_timeout": str(IDLE_MS),
-                  "statement_timeout": str(int(timeout_s * 1000))}
+        limits = {
+            "idle_in_transaction_session_timeout": str(IDLE_MS),
+            "statement_timeout": str(int(timeout_s * 1000)),
+        }
         super().__init__(dsn, timeout_s, schema.SCHEMA, limits)
         self._reader = schema.Reader()
 
@@ -28,8 +30,9 @@
         async def work(connection: asyncpg.Connection) -> Answer:
             async with connection.transaction():
                 number = await connection.fetchval(schema.LOCK)
-                before = self._reader.rows(number, await connection.fetch(schema.MEMBERS),
-                                           await connection.fetch(schema.TASKS))
+                before = self._reader.rows(
+                    number, await connection.fetch(schema.MEMBERS), await connection.fetch(schema.TASKS)
+                )
                 after, answer = ledger.apply(before, request)
                 for statement, values in schema.changes(before, after):
                     await connection.execute(statement, *values)
@@ -58,8 +61,9 @@
 
         async def work(connection: asyncpg.Connection) -> Rows:
             number = await connection.fetchval(schema.LOCK.removesuffix(" FOR UPDATE"))
-            return self._reader.rows(number, await connection.fetch(schema.MEMBERS),
-                                     await connection.fetch(schema.TASKS))
+            return self._reader.rows(
+                number, await connection.fetch(schema.MEMBERS), await connection.fetch(schema.TASKS)
+            )
 
         return await self.do(work)
 
--- a/canvasplank/fleet/schema.py
+++ b/canvasplank/fleet/schema.py
@@ -13,18 +13,22 @@
 
 LOG = logging.getLogger(__name__)
 
-SCHEMA = Schema("fleet_schema_version", 7_201_311, (
+SCHEMA = Schema(
+    "fleet_schema_version",
+    7_201_311,
     (
-        "CREATE TABLE fleet_state (id integer PRIMARY KEY, next_incarnation bigint NOT NULL)",
-        "INSERT INTO fleet_state (id, next_incarnation) VALUES (1, 1)",
-        "CREATE TABLE fleet_member (incarnation bigint PRIMARY KEY, name text NOT NULL, seq bigint NOT NULL, "
-        "form integer NOT NULL, content text NOT NULL)",
+        (
+            "CREATE TABLE fleet_state (id integer PRIMARY KEY, next_incarnation bigint NOT NULL)",
+            "INSERT INTO fleet_state (id, next_incarnation) VALUES (1, 1)",
+            "CREATE TABLE fleet_member (incarnation bigint PRIMARY KEY, name text NOT NULL, "
+            "seq bigint NOT NULL, form integer NOT NULL, content text NOT NULL)",
+        ),
+        (
+            "CREATE TABLE fleet_task (task text PRIMARY KEY, term bigint NOT NULL, owner bigint, "
+            "failures integer NOT NULL, failed_by bigint, acts bigint NOT NULL)",
+        ),
     ),
-    (
-        "CREATE TABLE fleet_task (task text PRIMARY KEY, term bigint NOT NULL, owner bigint, "
-        "failures integer NOT NULL, failed_by bigint, acts bigint NOT NULL)",
-    ),
-))
+)
 # Everybody locks this row first: one transaction at a time.
 LOCK = "SELECT next_incarnation FROM fleet_state WHERE id = 1 FOR UPDATE"
 MEMBERS = "SELECT incarnation, name, seq, form, content FROM fleet_member ORDER BY incarnation"
@@ -44,8 +48,10 @@
 )
 # The first statement of every effect: it writes, so that the task's row stays locked until the commit, and it
 # finds nothing where the term is over.
-FENCE = ("UPDATE fleet_task SET acts = acts + 1 WHERE task = CAST($1 AS text) AND term = CAST($2 AS bigint) "
-         "AND owner = CAST($3 AS bigint)")
+FENCE = (
+    "UPDATE fleet_task SET acts = acts + 1 WHERE task = CAST($1 AS text) AND term = CAST($2 AS bigint) "
+    "AND owner = CAST($3 AS bigint)"
+)
 
 
 class Content(msgspec.Struct, frozen=True):
@@ -64,8 +70,9 @@
     def __init__(self) -> None:
         self._told: set[int] = set()
 
-    def rows(self, next_incarnation: int, found: Iterable[Iterable[Any]],
-             tasks: Iterable[Iterable[Any]]) -> Rows:
+    def rows(
+        self, next_incarnation: int, found: Iterable[Iterable[Any]], tasks: Iterable[Iterable[Any]]
+    ) -> Rows:
         """The rows of one transaction."""
         members: dict[int, Member] = {}
         unreadable: list[int] = []
@@ -78,16 +85,29 @@
                 unreadable.append(incarnation)
                 self._tell(incarnation, name, fault)
                 continue
-            members[incarnation] = Member(incarnation, name, seq, content.most, content.lease_ms,
-                                          content.holdings, content.able, content.hears)
+            members[incarnation] = Member(
+                incarnation,
+                name,
+                seq,
+                content.most,
+                content.lease_ms,
+                content.holdings,
+                content.able,
+                content.hears,
+            )
         owned = {name: Task(*rest) for name, *rest in tasks}
         return Rows(members, next_incarnation, tuple(unreadable), owned)
 
     def _tell(self, incarnation: int, name: str, fault: Exception) -> None:
         if incarnation not in self._told:
             self._told.add(incarnation)
-            LOG.warning("fleet: the row of %s (%d) cannot be read and is left alone, and no share grows "
-                        "while it is there: %s", name, incarnation, fault)
+            LOG.warning(
+                "fleet: the row of %s (%d) cannot be read and is left alone, and no share grows "
+                "while it is there: %s",
+                name,
+                incarnation,
+                fault,
+            )
 
 
 def changes(before: Rows, after: Rows) -> Iterator[tuple[str, tuple]]:
@@ -99,8 +119,7 @@
     for incarnation, member in after.members.items():
         if before.members.get(incarnation) != member:
             content = Content(member.most, member.lease_ms, dict(member.holdings), member.able, member.hears)
-            yield UPSERT, (incarnation, member.name, member.seq, FORM,
-                           msgspec.json.encode(content).decode())
+            yield UPSERT, (incarnation, member.name, member.seq, FORM, msgspec.json.encode(content).decode())
     for name, task in after.tasks.items():
         if before.tasks.get(name) != task:
             yield SET_TASK, (name, task.term, task.owner, task.failures, task.failed_by)
--- a/canvasplank/fleet/spending.py
+++ b/canvasplank/fleet/spending.py
@@ -116,8 +116,7 @@
 
     def covering(self, tenant: str | None, attempt: int, server_id: str) -> list[str]:
         """The budgets that a set-up needs a unit of, each."""
-        return [budget for budget, scope in self._scopes.items()
-                if scope.covers(tenant, attempt, server_id)]
+        return [budget for budget, scope in self._scopes.items() if scope.covers(tenant, attempt, server_id)]
 
     def settle(self, now_ms: float) -> None:
         """Bring all buckets up to now; must be called before an allowance changes."""
@@ -146,10 +145,13 @@
 
     def demands(self, now_ms: float) -> dict[str, int | None]:
         """What to report."""
-        return {budget: demand.report(now_ms, self._holder.allowance(budget, now_ms))
-                for budget, demand in self._demands.items()}
+        return {
+            budget: demand.report(now_ms, self._holder.allowance(budget, now_ms))
+            for budget, demand in self._demands.items()
+        }
 
     def _settle(self, budget: str, now_ms: float) -> int:
         holder = self._holder
-        return self._buckets[budget].settle(now_ms, holder.terms[budget].own_part,
-                                            holder.using(budget), holder.until_ms)
+        return self._buckets[budget].settle(
+            now_ms, holder.terms[budget].own_part, holder.using(budget), holder.until_ms
+        )
--- a/canvasplank/fleet/sqlite.py
+++ b/canvasplank/fleet/sqlite.py
@@ -56,5 +56,6 @@
 
     def _read(self, connection: sqlite3.Connection) -> Rows:
         [number] = connection.execute(own(schema.LOCK)).fetchone()
-        return self._reader.rows(number, connection.execute(schema.MEMBERS).fetchall(),
-                                 connection.execute(schema.TASKS).fetchall())
+        return self._reader.rows(
+            number, connection.execute(schema.MEMBERS).fetchall(), connection.execute(schema.TASKS).fetchall()
+        )
--- a/canvasplank/fleet/watch.py
+++ b/canvasplank/fleet/watch.py
@@ -29,8 +29,11 @@
 
     def dead(self, now_ms: float) -> tuple[Sign, ...]:
         """Those that a request sent now may have removed."""
-        return tuple(sign for sign, since_ms in sorted(self._since.values())
-                     if now_ms - since_ms >= self._lease.over_ms(sign.lease_ms))
+        return tuple(
+            sign
+            for sign, since_ms in sorted(self._since.values())
+            if now_ms - since_ms >= self._lease.over_ms(sign.lease_ms)
+        )
 
     def __len__(self) -> int:
         return len(self._since)
--- a/canvasplank/interface.py
+++ b/canvasplank/interface.py
@@ -287,8 +287,17 @@
 # 0: now, and where the last argument says so its units are taken.
 Spend = Callable[[Call, int, str, bool], float]
 
-Event = (ServerList | Call | Established | AttemptEnded | CallAbandoned | TimerFired | ProbeAnswered
-         | CircuitsReported | Hinted)
+Event = (
+    ServerList
+    | Call
+    | Established
+    | AttemptEnded
+    | CallAbandoned
+    | TimerFired
+    | ProbeAnswered
+    | CircuitsReported
+    | Hinted
+)
 
 
 # --------------------------------------------------------------------------------------------------- actions
--- a/canvasplank/learning/merge.py
+++ b/canvasplank/learning/merge.py
@@ -43,8 +43,14 @@
     return 0.5 ** (max(0.0, age_ms) / half_life_ms)
 
 
-def hints(view: PeerView, now_ms: float, listed: list[Listed], fresh_rate_per_s: float | None = None,
-          half_life_ms: float = HALF_LIFE_MS, most_age_ms: float = MOST_AGE_MS) -> list[Hint]:
+def hints(
+    view: PeerView,
+    now_ms: float,
+    listed: list[Listed],
+    fresh_rate_per_s: float | None = None,
+    half_life_ms: float = HALF_LIFE_MS,
+    most_age_ms: float = MOST_AGE_MS,
+) -> list[Hint]:
     """The hints for the servers that are listed now, as the same processes that the peer saw.
 
     Guards against a view of servers since gone or restarted (their figures were of another process), against
@@ -63,8 +69,14 @@
         trust = weight(now_ms - learned.learned_ms, half_life_ms, most_age_ms)
         if trust <= 0.0:
             continue
-        found.append(Hint(learned.instance_id, trust, _blend(learned.rate_per_s, fresh_rate_per_s, trust),
-                          (learned.slow or learned.silent) and trust >= SHUN_WEIGHT))
+        found.append(
+            Hint(
+                learned.instance_id,
+                trust,
+                _blend(learned.rate_per_s, fresh_rate_per_s, trust),
+                (learned.slow or learned.silent) and trust >= SHUN_WEIGHT,
+            )
+        )
     return found
 
 
@@ -83,8 +95,10 @@
 
 def exported(peer: str, learned: list[ModuleWord], now_ms: float) -> PeerView:
     """A running instance's view from what its module has learned (``Controller.learned``)."""
-    servers = [Learned(server_id, started_ms, min(heard_ms, now_ms), rate, slow, silent)
-               for server_id, started_ms, rate, slow, silent, heard_ms in learned]
+    servers = [
+        Learned(server_id, started_ms, min(heard_ms, now_ms), rate, slow, silent)
+        for server_id, started_ms, rate, slow, silent, heard_ms in learned
+    ]
     return PeerView(VERSION, peer, now_ms, servers)
 
 
--- a/canvasplank/learning/part.py
+++ b/canvasplank/learning/part.py
@@ -48,5 +48,6 @@
         found = hints(seen, host.turns.now_ms, listed, None, settings.half_life_ms, settings.most_age_ms)
         host.counters.add("learning.views_taken")
         host.exchange.hinted(told(found))
-        LOG.info("took a view of %d servers from %s: %d still count", len(seen.servers), seen.peer,
-                 len(found))
+        LOG.info(
+            "took a view of %d servers from %s: %d still count", len(seen.servers), seen.peer, len(found)
+        )
--- a/canvasplank/membership/part.py
+++ b/canvasplank/membership/part.py
@@ -25,8 +25,9 @@
     def __init__(self, host: Host, settings: Membership) -> None:
         self._host, self._settings = host, settings
         self._known = folded(host.configuration.known.notices)
-        self._keeper = Keeper(settings.path, Roster(self._known, host.turns.now_ms), host.turns,
-                              lambda: host.discovery.heard_ms)
+        self._keeper = Keeper(
+            settings.path, Roster(self._known, host.turns.now_ms), host.turns, lambda: host.discovery.heard_ms
+        )
 
     async def start(self) -> None:
         """See ``Part``."""
@@ -35,13 +36,19 @@
         if self._known or (kept := read(settings.path)) is None:
             return
         gateways = read_settings(host.configuration.settings).instances
-        start = judge(kept, host.turns.now_ms, gateways, settings.trusted_ms, settings.most_age_ms,
-                      settings.start_per_s)
+        start = judge(
+            kept, host.turns.now_ms, gateways, settings.trusted_ms, settings.most_age_ms, settings.start_per_s
+        )
         if start is None:
             LOG.warning("no list of servers taken from %s: too old, or names nobody", settings.path)
             return
-        LOG.info("starting from the list kept at %s: %d servers, %.0f s old%s", settings.path,
-                 len(start.instances), start.age_ms / 1000, ", with care" if start.careful else "")
+        LOG.info(
+            "starting from the list kept at %s: %d servers, %.0f s old%s",
+            settings.path,
+            len(start.instances),
+            start.age_ms / 1000,
+            ", with care" if start.careful else "",
+        )
         host.counters.add("membership.starts_from_disk")
         host.servers.listed(True, start.instances)
         host.exchange.hinted(start.hints)
--- a/canvasplank/membership/roster.py
+++ b/canvasplank/membership/roster.py
@@ -42,9 +42,14 @@
 
     def kept(self) -> KeptList:
         """For the disk."""
-        return KeptList(VERSION, self._as_of_ms, [
-            KeptServer(i.instance_id, i.host_port, i.lifecycle, i.cell, i.started_at_ms)
-            for i in self._instances.values()])
+        return KeptList(
+            VERSION,
+            self._as_of_ms,
+            [
+                KeptServer(i.instance_id, i.host_port, i.lifecycle, i.cell, i.started_at_ms)
+                for i in self._instances.values()
+            ],
+        )
 
 
 @dataclass(frozen=True, slots=True)
@@ -61,8 +66,14 @@
         return bool(self.hints)
 
 
-def judge(kept: KeptList, now_ms: float, gateways: int, trusted_ms: float = TRUSTED_MS,
-          most_age_ms: float = MOST_AGE_MS, start_per_s: float = START_PER_S) -> Start | None:
+def judge(
+    kept: KeptList,
+    now_ms: float,
+    gateways: int,
+    trusted_ms: float = TRUSTED_MS,
+    most_age_ms: float = MOST_AGE_MS,
+    start_per_s: float = START_PER_S,
+) -> Start | None:
     """What a kept list is good for now; None: it is too old, or names nobody to try.
 
     Guards against calls to servers since gone (one that drained then is not entered; the others refuse
--- a/canvasplank/network/callers.py
+++ b/canvasplank/network/callers.py
@@ -31,8 +31,9 @@
 class Callers:
     """All connections from callers."""
 
-    def __init__(self, exchange: Exchange, figures: Figures, sockets: int, idle_ms: float,
-                 budget: BufferBudget) -> None:
+    def __init__(
+        self, exchange: Exchange, figures: Figures, sockets: int, idle_ms: float, budget: BufferBudget
+    ) -> None:
         self.exchange = exchange
         self.budget = budget
         self._figures = figures
@@ -225,6 +226,7 @@
         """Guards against connections kept for nothing: long unused, or silent where a message is due."""
         now_ms = self.exchange.turns.now_ms
         idle_ms = QUIESCED_IDLE_MS if self.quiesced else self._idle_ms
+
         def unused(stream: CallerStream) -> bool:
             return stream.carries_nothing if self.quiesced else not stream.open
 
--- a/canvasplank/network/connecting.py
+++ b/canvasplank/network/connecting.py
@@ -14,8 +14,9 @@
 class Connecting:
     """One try to open a connection; exactly one of ``stream.connected`` and ``failed`` follows."""
 
-    def __init__(self, stream: Stream, address: str, timeout_ms: float,
-                 failed: Callable[[str], None]) -> None:
+    def __init__(
+        self, stream: Stream, address: str, timeout_ms: float, failed: Callable[[str], None]
+    ) -> None:
         self._stream = stream
         self._address = address
         self._timeout_ms = timeout_ms
--- a/canvasplank/network/discovery.py
+++ b/canvasplank/network/discovery.py
@@ -75,8 +75,15 @@
 class Discovery:
     """Follows service discovery from the last event known."""
 
-    def __init__(self, turns: Turns, address: str, last_id: int, told: Callable[[DiscoveryEvent], None],
-                 budget: BufferBudget, rng: random.Random | None = None) -> None:
+    def __init__(
+        self,
+        turns: Turns,
+        address: str,
+        last_id: int,
+        told: Callable[[DiscoveryEvent], None],
+        budget: BufferBudget,
+        rng: random.Random | None = None,
+    ) -> None:
         self.turns = turns
         self.budget = budget
         self._rng = rng or random.Random()
@@ -149,8 +156,12 @@
         """A connection has ended."""
         if self._stream is stream:
             self._stream = None
-            self._backoff.then(self._connect, None if self.pace is None else self.pace.again(
-                self.turns.now_ms, stream.parser.named_wait_ms))
+            self._backoff.then(
+                self._connect,
+                None
+                if self.pace is None
+                else self.pace.again(self.turns.now_ms, stream.parser.named_wait_ms),
+            )
 
     def spoke(self, stream: DiscoveryWatch) -> None:
         """It says something, and has for a while: a later break is a fresh one.
--- a/canvasplank/network/listening.py
+++ b/canvasplank/network/listening.py
@@ -23,15 +23,17 @@
     it is closed in the same turn: found by a process that was stopped through its last moments.
     """
 
-    def __init__(self, turns: Turns, host: str, port: int, at_once: int,
-                 protocol: Callable[[], asyncio.BaseProtocol]) -> None:
+    def __init__(
+        self, turns: Turns, host: str, port: int, at_once: int, protocol: Callable[[], asyncio.BaseProtocol]
+    ) -> None:
         """The port is shared (``SO_REUSEPORT``): a new version listens beside this one."""
         self.at_once = at_once
         self._turns, self._protocol = turns, protocol
         self._loop = asyncio.get_running_loop()
         self._taken: set[asyncio.Task] = set()
-        self._socket = socket.socket(socket.AF_INET6 if ":" in host else socket.AF_INET, socket.SOCK_STREAM,
-                                     socket.IPPROTO_TCP)
+        self._socket = socket.socket(
+            socket.AF_INET6 if ":" in host else socket.AF_INET, socket.SOCK_STREAM, socket.IPPROTO_TCP
+        )
         try:
             self._socket.setblocking(False)
             self._socket.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
--- a/canvasplank/network/servers.py
+++ b/canvasplank/network/servers.py
@@ -56,8 +56,14 @@
 class Servers:
     """All connections to call servers."""
 
-    def __init__(self, exchange: Exchange, ceilings: Ceilings, resend_ms: float | None, budget: BufferBudget,
-                 gauges: Gauges) -> None:
+    def __init__(
+        self,
+        exchange: Exchange,
+        ceilings: Ceilings,
+        resend_ms: float | None,
+        budget: BufferBudget,
+        gauges: Gauges,
+    ) -> None:
         self.exchange = exchange
         self._gauges = gauges
         self.budget = budget
@@ -93,8 +99,12 @@
     def has_unsettled_releases(self, server_id: str) -> bool:
         """Whether a release for this server has yet to be sent, or may yet have to be sent again."""
         peer, recent_ms = self._peers.get(server_id), self.turns.now_ms - UNCONFIRMED_MS
-        return peer is not None and (bool(peer.pending_releases) or any(
-            sent_ms > recent_ms for stream in peer.streams for _, sent_ms in stream.unconfirmed.values()))
+        return peer is not None and (
+            bool(peer.pending_releases)
+            or any(
+                sent_ms > recent_ms for stream in peer.streams for _, sent_ms in stream.unconfirmed.values()
+            )
+        )
 
     # -------------------------------------------------------------------------------- for the board
 
@@ -380,8 +390,9 @@
             current = peer.current
             # One that hangs says nothing of its server.  Guards against trying a server that is well on the
             # connection that hung, over and over, and leaving it out for seconds.
-            quiet = (current is not None and self._expected(current)
-                     and now_ms - current.heard_ms > peer.quiet_ms)
+            quiet = (
+                current is not None and self._expected(current) and now_ms - current.heard_ms > peer.quiet_ms
+            )
             if quiet and not current.open:
                 # Guards one that reports less often against a new connection every time.
                 peer.quiet_ms = min(QUIET_MOST_MS, 2 * peer.quiet_ms)
--- a/canvasplank/network/set_ups.py
+++ b/canvasplank/network/set_ups.py
@@ -59,8 +59,11 @@
         return False
     width = _figures(message).get("width", 1)
     pool = call.preferred_pool
-    return ((pool == -1 or known.pools is None or pool in known.pools)
-            and width >= 1 and (known.most_width is None or width <= known.most_width))
+    return (
+        (pool == -1 or known.pools is None or pool in known.pools)
+        and width >= 1
+        and (known.most_width is None or width <= known.most_width)
+    )
 
 
 def _figures(message: isup.Message) -> dict[str, int]:
--- a/canvasplank/part_settings.py
+++ b/canvasplank/part_settings.py
@@ -13,8 +13,9 @@
 Settings = TypeVar("Settings", bound=msgspec.Struct)
 
 
-def load_part_settings(path: str, part: str, kind: type[Settings],
-                       check: Callable[[Settings], None]) -> Settings:
+def load_part_settings(
+    path: str, part: str, kind: type[Settings], check: Callable[[Settings], None]
+) -> Settings:
     """The settings of one part; whatever is wrong with them is one line, as a bad configuration.
 
     ``check`` raises ``ValueError`` for what the types do not tell.
--- a/canvasplank/parts.py
+++ b/canvasplank/parts.py
@@ -78,5 +78,8 @@
 
 def enabled_parts(environment: Mapping[str, str]) -> list[PartFactory]:
     """What the environment names files for, its files read; a bad one is a ``ConfigurationError``."""
-    return [importlib.import_module(entry.module).load(path)
-            for entry in TABLE if (path := environment.get(entry.variable))]
+    return [
+        importlib.import_module(entry.module).load(path)
+        for entry in TABLE
+        if (path := environment.get(entry.variable))
+    ]
--- a/canvasplank/policy/controller.py
+++ b/canvasplank/policy/controller.py
@@ -23,8 +23,9 @@
 class CallState:
     """One call that still lacks its final answer."""
 
-    def __init__(self, call: api.Call, call_class: api.CallClass, now_ms: float, first_ms: float,
-                 part: float) -> None:
+    def __init__(
+        self, call: api.Call, call_class: api.CallClass, now_ms: float, first_ms: float, part: float
+    ) -> None:
         self.call = call
         self.call_class = call_class
         self.part = part  # of its class's worth that it has: less past its customer's share
--- a/canvasplank/program.py
+++ b/canvasplank/program.py
@@ -47,8 +47,12 @@
 class Program:
     """One signalling proxy; what it is made of stands open to its parts (``parts.Host``)."""
 
-    def __init__(self, configuration: Configuration, read_again: Callable[[], Configuration],
-                 factories: list[PartFactory]) -> None:
+    def __init__(
+        self,
+        configuration: Configuration,
+        read_again: Callable[[], Configuration],
+        factories: list[PartFactory],
+    ) -> None:
         self.configuration = configuration
         self._read_again = read_again
         settings = read_settings(configuration.settings)
@@ -60,14 +64,21 @@
         self.exchange = Exchange(self.turns, controller.handle, self.counters, ceilings.max_open, memory)
         self._budget = BufferBudget(memory)
         figures = read_figures(settings, configuration.settings)
-        self._callers = Callers(self.exchange, figures, configuration.limits.sockets, ceilings.conn_idle_ms,
-                                self._budget)
+        self._callers = Callers(
+            self.exchange, figures, configuration.limits.sockets, ceilings.conn_idle_ms, self._budget
+        )
         self.exchange.callers = self._callers
         gauges = read_gauges(configuration.settings)
         self.servers = Servers(self.exchange, ceilings, settings.resend_ms, self._budget, gauges)
         self.exchange.servers = self.servers
-        self.discovery = Discovery(self.turns, configuration.discovery, configuration.known.rev, self._notice,
-                                   self._budget, random.Random(int(configuration.seed, 16)))
+        self.discovery = Discovery(
+            self.turns,
+            configuration.discovery,
+            configuration.known.rev,
+            self._notice,
+            self._budget,
+            random.Random(int(configuration.seed, 16)),
+        )
         self._shutdown = Shutdown(max(c.deadline_ms for c in settings.classes))
         self._done = asyncio.Event()
         self._listening = False
@@ -184,8 +195,12 @@
         before, now_ms = self._shutdown.phase, self.turns.now_ms
         if before is Phase.DRAINING and self._shutdown.is_out_of_time(now_ms):
             self.exchange.fail_all()
-        phase = self._shutdown.look(now_ms, open_calls=self.exchange.open_calls,
-                                    unsent=self._callers.unsent(), connections=len(self._callers.streams))
+        phase = self._shutdown.look(
+            now_ms,
+            open_calls=self.exchange.open_calls,
+            unsent=self._callers.unsent(),
+            connections=len(self._callers.streams),
+        )
         if phase is not before:
             match phase:
                 case Phase.DRAINING:
--- a/canvasplank/settings.py
+++ b/canvasplank/settings.py
@@ -123,8 +123,11 @@
 
         ``wait_ms`` is a wait at the processor told elsewhere, taken where the figures hold none.
         """
-        values = {REPORT_FIELDS[name].value: value for name in self._columns
-                  if name in REPORT_FIELDS and (value := known(figures.get(name))) is not None}
+        values = {
+            REPORT_FIELDS[name].value: value
+            for name in self._columns
+            if name in REPORT_FIELDS and (value := known(figures.get(name))) is not None
+        }
         if wait_ms is not None:
             values.setdefault(api.ReportField.WAIT_MS.value, wait_ms)
         return api.Report(**values) if values else None
@@ -268,7 +271,8 @@
             report_fields=tuple(REPORT_FIELDS[name] for name in report["names"] if name in REPORT_FIELDS),
             probes_allowed=ceilings["probes"],
             cancel_allowed=ceilings["cancel"],
-            retry_after_max_ms=(known(ceilings.get("max_retry_after_ms")) or None) if ceilings["retry_after"]
+            retry_after_max_ms=(known(ceilings.get("max_retry_after_ms")) or None)
+            if ceilings["retry_after"]
             else None,
         )
     except KeyError as missing:
--- a/canvasplank/starting/part.py
+++ b/canvasplank/starting/part.py
@@ -48,9 +48,13 @@
         self._instances = configured.instances
         self._rng = random.Random(int(host.configuration.seed, 16))
         groups = (None if c.pools is None else frozenset(c.pools) for c in configured.classes)
-        self._subset = Subset(host.configuration.name, groups,
-                              settings.servers_per_proxy, self._carries,
-                              lambda: settings.proxies_per_server / self._fleet())
+        self._subset = Subset(
+            host.configuration.name,
+            groups,
+            settings.servers_per_proxy,
+            self._carries,
+            lambda: settings.proxies_per_server / self._fleet(),
+        )
         self._told_of = 0  # proxies, when the module last heard how many share a server
         if (polls_per_s := settings.polls_per_s) > 0:
             first_per_s = settings.first_per_s or polls_per_s
--- a/canvasplank/starting/polls.py
+++ b/canvasplank/starting/polls.py
@@ -19,8 +19,9 @@
 class PollPace:
     """One proxy's waits, in milliseconds."""
 
-    def __init__(self, fleet: Callable[[], int], polls_per_s: float, first_per_s: float,
-                 rng: random.Random) -> None:
+    def __init__(
+        self, fleet: Callable[[], int], polls_per_s: float, first_per_s: float, rng: random.Random
+    ) -> None:
         self._fleet, self._polls_per_s, self._first_per_s = fleet, polls_per_s, first_per_s
         self._rng = rng
         self._doubling_ms = FIRST_MS
--- a/canvasplank/starting/subset.py
+++ b/canvasplank/starting/subset.py
@@ -51,8 +51,9 @@
     return min(servers, max(most, math.ceil(least_part * servers)))
 
 
-def choose(name: str, ready: Sequence[Instance], groups: Iterable[Pools | None], most: int,
-           least_part: float = 0.0) -> set[str]:
+def choose(
+    name: str, ready: Sequence[Instance], groups: Iterable[Pools | None], most: int, least_part: float = 0.0
+) -> set[str]:
     """Of the servers that may take a class of call, by its ``Pools`` (None: any), the first of its ranking.
 
     Guards a class that few servers may take against a subset with none of them.
@@ -60,12 +61,18 @@
     chosen: set[str] = set()
     for pools in set(groups):
         group = [i for i in ready if pools is None or i.cell in pools]
-        chosen.update(rank(name, group)[:kept_of(len(group), most, least_part)])
+        chosen.update(rank(name, group)[: kept_of(len(group), most, least_part)])
     return chosen
 
 
-def shared_by(cell: int, ready: Sequence[Instance], groups: Iterable[Pools | None], most: int,
-              proxies: int, least_part: float = 0.0) -> int:
+def shared_by(
+    cell: int,
+    ready: Sequence[Instance],
+    groups: Iterable[Pools | None],
+    most: int,
+    proxies: int,
+    least_part: float = 0.0,
+) -> int:
     """How many of so many proxies keep to a server of this cell: no more than this, but for rare chance.
 
     A proxy that has a server among the first of a larger group has it, but for a zone's rounding, among those
@@ -87,8 +94,14 @@
 class Subset:
     """One proxy's servers as they come and go."""
 
-    def __init__(self, name: str, groups: Iterable[Pools | None], most: int,
-                 carries: Callable[[str], bool], least_part: Callable[[], float] = float) -> None:
+    def __init__(
+        self,
+        name: str,
+        groups: Iterable[Pools | None],
+        most: int,
+        carries: Callable[[str], bool],
+        least_part: Callable[[], float] = float,
+    ) -> None:
         """``most``: servers for each class of call, 0 for all; ``carries``: whether a server has calls.
 
         ``least_part``: so large a part of them at least, which may change with the fleet.
@@ -130,16 +143,19 @@
     def may_let_go(self) -> bool:
         """Whether a server is held still that this proxy no longer keeps to, and no call stands there now."""
         left = self._kept - self._wanted()
-        return any(self.is_listed(each) and self._listed[each].lifecycle == READY and not self._carries(each)
-                   for each in left)
+        return any(
+            self.is_listed(each) and self._listed[each].lifecycle == READY and not self._carries(each)
+            for each in left
+        )
 
     def is_listed(self, server_id: str) -> bool:
         """Whether the list still names it, whoever keeps to it."""
         return server_id in self._listed
 
     def _wanted(self) -> set[str]:
-        return choose(self._name, self._ready(), self._groups, self._most or len(self._listed),
-                      self._least_part())
+        return choose(
+            self._name, self._ready(), self._groups, self._most or len(self._listed), self._least_part()
+        )
 
     def _ready(self) -> list[Instance]:
         return [instance for instance in self._listed.values() if instance.lifecycle == READY]
--- a/canvasplank/store/__main__.py
+++ b/canvasplank/store/__main__.py
@@ -19,11 +19,15 @@
 FIGURE = re.compile(r'edge_(served|refused|failed)\{class="((?:[^"\\]|\\.)*)"\} (\d+)')
 AS_FAILED = ("failed", "invalid")  # answers that the figures count as failed
 
-store_option = click.option("--store", "path", required=True, envvar="CANVASPLANK_STORE",
-                            help="The store's file, as deploy/store.toml.")
+store_option = click.option(
+    "--store",
+    "path",
+    required=True,
+    envvar="CANVASPLANK_STORE",
+    help="The store's file, as deploy/store.toml.",
+)
 DATES = click.DateTime(["%Y-%m-%dT%H:%M:%S", "%Y-%m-%dT%H:%M", "%Y-%m-%d"])
-since_option = click.option("--since", type=DATES,
-                            help="Only calls taken since then (UTC).")
+since_option = click.option("--since", type=DATES, help="Only calls taken since then (UTC).")
 instance_option = click.option("--instance", default="", help="Only this instance's calls.")
 
 
@@ -67,8 +71,9 @@
 @store_option
 @since_option
 @instance_option
-@click.option("--figures", type=click.File(), default="-",
-              help="What `counters` answered; - for standard input.")
+@click.option(
+    "--figures", type=click.File(), default="-", help="What `counters` answered; - for standard input."
+)
 def check(path: str, since: datetime | None, instance: str, figures: TextIO) -> None:
     """Hold records against an instance's figures: served, refused and failed, by class.
 
@@ -80,8 +85,10 @@
     for class_name, figure in sorted(told.keys() | kept.keys()):
         records, said = kept[class_name, figure], told.get((class_name, figure), 0)
         differs |= records != said
-        click.echo(f"{class_name}\t{figure}\tfigures {said}\trecords {records}"
-                   + ("" if records == said else "\tDIFFER"))
+        click.echo(
+            f"{class_name}\t{figure}\tfigures {said}\trecords {records}"
+            + ("" if records == said else "\tDIFFER")
+        )
     sys.exit(int(differs))
 
 
--- a/canvasplank/store/part.py
+++ b/canvasplank/store/part.py
@@ -21,8 +21,13 @@
         self._settings = settings
         seed = int(host.configuration.seed, 16)
         outbox = Outbox(settings.queue_most, settings.batch_most, settings.linger_ms, seed)
-        self._writer = Writer(outbox, settings.open_with(), host.configuration.name,
-                              settings.write_timeout_ms / 1000, host.counters)
+        self._writer = Writer(
+            outbox,
+            settings.open_with(),
+            host.configuration.name,
+            settings.write_timeout_ms / 1000,
+            host.counters,
+        )
         host.exchange.recorder = self._writer
 
     async def start(self) -> None:
--- a/canvasplank/store/schema.py
+++ b/canvasplank/store/schema.py
@@ -16,17 +16,26 @@
     ),
     ("CREATE INDEX call_outcome_taken ON call_outcome (taken_ms)",),
     # Whose call it is; which closing of the usage ledger has looked at it, and whether that counted it.
-    ("ALTER TABLE call_outcome ADD COLUMN member text",
-     "ALTER TABLE call_outcome ADD COLUMN closed_in bigint",
-     "ALTER TABLE call_outcome ADD COLUMN counted integer",
-     "CREATE INDEX call_outcome_closed ON call_outcome (closed_in, taken_ms)"),
-    ("ALTER TABLE call_outcome ADD COLUMN number text",
-     "CREATE INDEX call_outcome_number ON call_outcome (number, taken_ms)"),
+    (
+        "ALTER TABLE call_outcome ADD COLUMN member text",
+        "ALTER TABLE call_outcome ADD COLUMN closed_in bigint",
+        "ALTER TABLE call_outcome ADD COLUMN counted integer",
+        "CREATE INDEX call_outcome_closed ON call_outcome (closed_in, taken_ms)",
+    ),
+    (
+        "ALTER TABLE call_outcome ADD COLUMN number text",
+        "CREATE INDEX call_outcome_number ON call_outcome (number, taken_ms)",
+    ),
 )
 SCHEMA = Schema("schema_version", 7_201_310, MIGRATIONS)
 
-_TYPES = {"taken_ms": "bigint", "attempts": "integer", "answered_ms": "bigint", "ended_ms": "bigint",
-          "version": "integer"}
+_TYPES = {
+    "taken_ms": "bigint",
+    "attempts": "integer",
+    "answered_ms": "bigint",
+    "ended_ms": "bigint",
+    "version": "integer",
+}
 COLUMNS = tuple(field.name for field in msgspec.structs.fields(Outcome))
 _KEY = ("call_id", "instance", "taken_ms")
 
--- a/canvasplank/store/writer.py
+++ b/canvasplank/store/writer.py
@@ -28,8 +28,9 @@
 class Writer:
     """The ``Recorder`` of the exchange, and the task behind it."""
 
-    def __init__(self, outbox: Outbox, backend: Backend, instance: str, write_s: float,
-                 counters: Counters) -> None:
+    def __init__(
+        self, outbox: Outbox, backend: Backend, instance: str, write_s: float, counters: Counters
+    ) -> None:
         self._outbox, self._backend = outbox, backend
         self._instance, self._write_s, self._counters = instance, write_s, counters
         self._open = False
@@ -42,20 +43,47 @@
 
     def answered(self, call: CallRecord, final: str, now_ms: float) -> None:
         """See ``Recorder``."""
-        self._put(Outcome(call.id, self._instance, int(call.taken_ms), call.class_name, final, call.tried,
-                          call.attempts, int(now_ms), member=call.tenant, number=call.number))
+        self._put(
+            Outcome(
+                call.id,
+                self._instance,
+                int(call.taken_ms),
+                call.class_name,
+                final,
+                call.tried,
+                call.attempts,
+                int(now_ms),
+                member=call.tenant,
+                number=call.number,
+            )
+        )
 
     def over(self, call: CallRecord, outcome: api.Outcome, now_ms: float) -> None:
         """See ``Recorder``."""
-        self._put(Outcome(call.id, self._instance, int(call.taken_ms), call.class_name, SERVED,
-                          call.established_at, call.attempts, int(call.established_ms), int(now_ms),
-                          ENDINGS.get(outcome), OVER, call.tenant, call.number))
+        self._put(
+            Outcome(
+                call.id,
+                self._instance,
+                int(call.taken_ms),
+                call.class_name,
+                SERVED,
+                call.established_at,
+                call.attempts,
+                int(call.established_ms),
+                int(now_ms),
+                ENDINGS.get(outcome),
+                OVER,
+                call.tenant,
+                call.number,
+            )
+        )
 
     def _put(self, record: Outcome) -> None:
         was_empty = not len(self._outbox)
         if not self._outbox.put(record, self._now_ms()):
-            self._say("queue", f"the queue is full ({len(self._outbox)} records): "
-                               f"call {record.call_id} dropped")
+            self._say(
+                "queue", f"the queue is full ({len(self._outbox)} records): call {record.call_id} dropped"
+            )
         if was_empty or self._outbox.full_batch:
             self._more.set()
 
@@ -114,8 +142,10 @@
                 await self._backend.write(batch)
         except StoreRefusedError as fault:
             if (bad := self._outbox.refused(self._now_ms())) is not None:
-                self._say("refused", f"call {bad.call_id} ({bad.class_name}, {bad.final}) is refused and "
-                                     f"left out: {fault}")
+                self._say(
+                    "refused",
+                    f"call {bad.call_id} ({bad.class_name}, {bad.final}) is refused and left out: {fault}",
+                )
         except (StoreUnavailableError, TimeoutError) as fault:
             await self._fail(str(fault) or f"no answer within {self._write_s:g} s")
         except Exception as fault:  # guards the records against a fault of ours: the task must go on
--- a/canvasplank/wirehost.py
+++ b/canvasplank/wirehost.py
@@ -148,8 +148,9 @@
     def _reported(self, instance: int, row: list[float | None] | None) -> dict[str, float | None]:
         return dict(zip(self._columns[instance], row or (), strict=False))
 
-    def _report(self, instance: int, row: list[float | None] | None,
-                wait_ms: float | None = None) -> api.Report | None:
+    def _report(
+        self, instance: int, row: list[float | None] | None, wait_ms: float | None = None
+    ) -> api.Report | None:
         return self._gauges[instance].report(self._reported(instance, row), wait_ms)
 
 
--- a/canvasplank/work/usage.py
+++ b/canvasplank/work/usage.py
@@ -14,27 +14,37 @@
 
 from canvasplank.engine.migrations import Schema
 
-SCHEMA = Schema("usage_schema_version", 7_201_312, (
+SCHEMA = Schema(
+    "usage_schema_version",
+    7_201_312,
     (
-        "CREATE TABLE usage_closing (closed_in bigint PRIMARY KEY, term bigint NOT NULL, "
-        "exported_term bigint)",
-        "CREATE TABLE usage_sum (closed_in bigint NOT NULL, period bigint NOT NULL, member text NOT NULL, "
-        "class_name text NOT NULL, final text NOT NULL, correction integer NOT NULL, calls bigint NOT NULL, "
-        "PRIMARY KEY (closed_in, period, member, class_name, final))",
+        (
+            "CREATE TABLE usage_closing (closed_in bigint PRIMARY KEY, term bigint NOT NULL, "
+            "exported_term bigint)",
+            "CREATE TABLE usage_sum (closed_in bigint NOT NULL, period bigint NOT NULL, "
+            "member text NOT NULL, class_name text NOT NULL, final text NOT NULL, "
+            "correction integer NOT NULL, calls bigint NOT NULL, "
+            "PRIMARY KEY (closed_in, period, member, class_name, final))",
+        ),
     ),
-))
+)
 
 LAST_CLOSED = "SELECT max(closed_in) FROM usage_closing"
 TO_EXPORT = "SELECT closed_in FROM usage_closing WHERE exported_term IS NULL ORDER BY closed_in"
-SUMS = ("SELECT period, member, class_name, final, correction, calls FROM usage_sum "
-        "WHERE closed_in = CAST($1 AS bigint) ORDER BY period, member, class_name, final")
+SUMS = (
+    "SELECT period, member, class_name, final, correction, calls FROM usage_sum "
+    "WHERE closed_in = CAST($1 AS bigint) ORDER BY period, member, class_name, final"
+)
 
 _CLOSE = "INSERT INTO usage_closing (closed_in, term) VALUES (CAST($1 AS bigint), CAST($2 AS bigint))"
 # One that was not served may yet come again: it is looked at once that time is over.
-_WAITS = ("closed_in IS NULL AND taken_ms < CAST({before} AS bigint) - CASE WHEN final = 'served' "
-          "OR number IS NULL THEN 0 ELSE CAST({repeat} AS bigint) END")
-_LOOK_AT = ("UPDATE call_outcome SET closed_in = CAST($1 AS bigint), counted = 0 WHERE "
-            + _WAITS.format(before="$2", repeat="$3"))
+_WAITS = (
+    "closed_in IS NULL AND taken_ms < CAST({before} AS bigint) - CASE WHEN final = 'served' "
+    "OR number IS NULL THEN 0 ELSE CAST({repeat} AS bigint) END"
+)
+_LOOK_AT = "UPDATE call_outcome SET closed_in = CAST($1 AS bigint), counted = 0 WHERE " + _WAITS.format(
+    before="$2", repeat="$3"
+)
 # One record a call: what an earlier closing has counted stands; else the one that served, else the earliest.
 _SERVED_FIRST = "(CASE WHEN {0}.final = 'served' THEN 0 ELSE 1 END)"
 _THEIRS, _MINE = _SERVED_FIRST.format("other"), _SERVED_FIRST.format("call_outcome")
@@ -48,9 +58,11 @@
 )
 # A caller's repeats are one call, counted with its last try: none that was not served and came again, and
 # none that comes again after one that an earlier closing has counted.
-_SAME_CALLER = ("other.number = call_outcome.number AND other.class_name = call_outcome.class_name "
-                "AND COALESCE(other.member, '') = COALESCE(call_outcome.member, '') "
-                "AND other.call_id <> call_outcome.call_id")
+_SAME_CALLER = (
+    "other.number = call_outcome.number AND other.class_name = call_outcome.class_name "
+    "AND COALESCE(other.member, '') = COALESCE(call_outcome.member, '') "
+    "AND other.call_id <> call_outcome.call_id"
+)
 _NO_REPEATS = (
     "UPDATE call_outcome SET counted = 0 WHERE closed_in = CAST($1 AS bigint) AND counted = 1 AND EXISTS ("
     f"SELECT 1 FROM call_outcome other WHERE {_SAME_CALLER} AND ("
@@ -69,10 +81,14 @@
     "FROM call_outcome WHERE closed_in = CAST($1 AS bigint) AND counted = 1 "
     "GROUP BY taken_ms / CAST($2 AS bigint), COALESCE(member, ''), class_name, final"
 )
-_EXPORTED = ("UPDATE usage_closing SET exported_term = CAST($1 AS bigint) "
-             "WHERE closed_in = CAST($2 AS bigint) AND exported_term IS NULL")
-_OLD = ("FROM call_outcome WHERE taken_ms < CAST($1 AS bigint) AND closed_in IN "
-        "(SELECT closed_in FROM usage_closing WHERE exported_term IS NOT NULL)")
+_EXPORTED = (
+    "UPDATE usage_closing SET exported_term = CAST($1 AS bigint) "
+    "WHERE closed_in = CAST($2 AS bigint) AND exported_term IS NULL"
+)
+_OLD = (
+    "FROM call_outcome WHERE taken_ms < CAST($1 AS bigint) AND closed_in IN "
+    "(SELECT closed_in FROM usage_closing WHERE exported_term IS NOT NULL)"
+)
 TO_REMOVE = f"SELECT count(*) {_OLD}"
 _RETAIN = f"DELETE {_OLD}"
 NONE_CLOSED = -1
@@ -103,8 +119,9 @@
     before_ms: int
 
 
-def next_closing(now_ms: float, period_ms: int, grace_ms: float, last: int | None,
-                 late: bool) -> Closing | None:
+def next_closing(
+    now_ms: float, period_ms: int, grace_ms: float, last: int | None, late: bool
+) -> Closing | None:
     """What may be closed now, if anything.
 
     Where the last closing is of a period that by this clock is not over, its owner's clock was ahead of ours:
@@ -118,8 +135,9 @@
     return Closing(last + 1, before_ms) if last > period and late else None
 
 
-def closing(made: Closing, period_ms: int, repeat_ms: int, last_closed: int | None,
-            term: int) -> Iterator[Effect]:
+def closing(
+    made: Closing, period_ms: int, repeat_ms: int, last_closed: int | None, term: int
+) -> Iterator[Effect]:
     """Closes a period; one that is closed already fails by its key, and changes nothing."""
     yield _CLOSE, (made.number, term)
     yield _LOOK_AT, (made.number, made.before_ms, repeat_ms)
--- a/canvasplank/work/worker.py
+++ b/canvasplank/work/worker.py
@@ -54,7 +54,10 @@
         self._open = False
         self._thread = Thread("export")
         self._steps: dict[str, Callable[[Tenure], Awaitable[bool]]] = {
-            CLOSE: self._close, EXPORT: self._export, RETAIN: self._retain}
+            CLOSE: self._close,
+            EXPORT: self._export,
+            RETAIN: self._retain,
+        }
         self._stopping = asyncio.Event()
         self._closed_ms = float("-inf")  # when this one closed last, by its steady clock
 
@@ -86,12 +89,21 @@
         except (StoreUnavailableError, TimeoutError) as fault:
             # Guards against taking the store's trouble for this worker's: elsewhere it would be no better.
             self._open = False
-            event(LOG, "worker.waits", text=f"{tenure.task}: the store does not answer: {fault}",
-                  task=tenure.task)
+            event(
+                LOG,
+                "worker.waits",
+                text=f"{tenure.task}: the store does not answer: {fault}",
+                task=tenure.task,
+            )
         except (StoreRefusedError, FolderError, ContentError, BusyError, OSError) as fault:
             ownership.failed(tenure)
-            event(LOG, "worker.failed", text=f"{tenure.task} failed here and is given up: {fault}",
-                  task=tenure.task, term=tenure.term)
+            event(
+                LOG,
+                "worker.failed",
+                text=f"{tenure.task} failed here and is given up: {fault}",
+                task=tenure.task,
+                term=tenure.term,
+            )
         else:
             ownership.did(tenure)
             if did:
--- a/checks/leases.py
+++ b/checks/leases.py
@@ -58,17 +58,32 @@
 
     def key(self) -> tuple:
         """The same for states that go on alike: times count from now, and what is long past is past."""
-        return (tuple(self._proxy_key(p) for p in self.proxies),
-                tuple(sorted((k, m.seq, m.holdings[BUDGET].held) for k, m in self.rows.members.items())),
-                self.rows.next_incarnation, self.now)
+        return (
+            tuple(self._proxy_key(p) for p in self.proxies),
+            tuple(sorted((k, m.seq, m.holdings[BUDGET].held) for k, m in self.rows.members.items())),
+            self.rows.next_incarnation,
+            self.now,
+        )
 
     def _proxy_key(self, proxy: Proxy) -> tuple:
         holder = proxy.holder
         lasts = holder.until_ms if holder.until_ms > self.now + proxy.gained else NEVER
         sent = holder._sent_ms if proxy.request or proxy.answer else NEVER
-        return (holder.incarnation, lasts, holder.using(BUDGET), holder._target[BUDGET], sent, holder._seq,
-                proxy.gained, proxy.slips, proxy.asked, _request_key(proxy.request), _request_key(proxy.late),
-                _answer_key(proxy.answer), tuple(sorted(proxy.watch._since.items())))
+        return (
+            holder.incarnation,
+            lasts,
+            holder.using(BUDGET),
+            holder._target[BUDGET],
+            sent,
+            holder._seq,
+            proxy.gained,
+            proxy.slips,
+            proxy.asked,
+            _request_key(proxy.request),
+            _request_key(proxy.late),
+            _answer_key(proxy.answer),
+            tuple(sorted(proxy.watch._since.items())),
+        )
 
 
 def _request_key(request: Request | None) -> tuple | None:
@@ -163,11 +178,13 @@
         """Time passes; any of the clocks may gain or lose one against it."""
         can = [number for number, p in enumerate(state.proxies) if p.slips < self._bounds.slips]
         for chosen in itertools.chain.from_iterable(
-                itertools.combinations(can, count) for count in range(len(can) + 1)):
+            itertools.combinations(can, count) for count in range(len(can) + 1)
+        ):
             proxies = list(state.proxies)
             for number in chosen:
-                proxies[number] = replace(proxies[number], gained=1 - proxies[number].gained,
-                                          slips=proxies[number].slips + 1)
+                proxies[number] = replace(
+                    proxies[number], gained=1 - proxies[number].gained, slips=proxies[number].slips + 1
+                )
             yield f"tick, slipping {list(chosen)}", State(proxies, state.rows, state.now + 1)
 
     def _send(self, state: State, proxy: Proxy) -> bool:
@@ -224,8 +241,10 @@
 
 
 LARGE = {
-    "three processes, one tick": (Lease(2.0, 1.0, 0.0),
-                                  Bounds(ticks=1, asks=2, starts=3, processes=3, late=0, slips=0)),
+    "three processes, one tick": (
+        Lease(2.0, 1.0, 0.0),
+        Bounds(ticks=1, asks=2, starts=3, processes=3, late=0, slips=0),
+    ),
     "clocks slip, four ticks": (Lease(2.0, 1.0, 0.0), Bounds(ticks=4, asks=2, starts=2, late=0)),
     "late over a tick": (Lease(2.0, 1.0, 0.0), Bounds(ticks=1, asks=3, starts=2, slips=0, states=10**6)),
 }
--- a/examples/demo.py
+++ b/examples/demo.py
@@ -28,8 +28,14 @@
 def _start(ends: contextlib.ExitStack, module: str, ready: str) -> None:
     """Start a module and wait until it says that it is ready."""
     environment = os.environ | {"EDGE_CONFIG": str(ROOT / "examples" / "config.json")}
-    process = subprocess.Popen([sys.executable, "-m", module], cwd=ROOT, env=environment, text=True,
-                               stdout=subprocess.PIPE, stderr=subprocess.STDOUT)
+    process = subprocess.Popen(
+        [sys.executable, "-m", module],
+        cwd=ROOT,
+        env=environment,
+        text=True,
+        stdout=subprocess.PIPE,
+        stderr=subprocess.STDOUT,
+    )
     ends.callback(process.wait, WAIT_S)
     ends.callback(process.terminate)
     until = time.monotonic() + WAIT_S
--- a/examples/toy_server.py
+++ b/examples/toy_server.py
@@ -40,7 +40,7 @@
         match message.method, message.status:
             case "INVITE", 0:
                 self._calls[message.call_id] = asyncio.create_task(self._call(message))
-            case ("BYE" | "CANCEL"), 0:
+            case (("BYE" | "CANCEL"), 0):
                 call = self._calls.pop(message.call_id, None)
                 if call is not None:
                     call.cancel()
--- a/experiments/__main__.py
+++ b/experiments/__main__.py
@@ -16,11 +16,13 @@
 PROCESSES, SIMULATED = "processes", "simulated"
 
 
-def _played(experiment: Experiment, way: str, variant: Variant, size: int, seed: int,
-            seen: Observed) -> report.Played:
+def _played(
+    experiment: Experiment, way: str, variant: Variant, size: int, seed: int, seen: Observed
+) -> report.Played:
     found = figures(seen, experiment.for_s, experiment.board_back_s())
-    return report.Played(experiment.name, way, size, variant.name, seed, found,
-                         report.series(seen, experiment.for_s))
+    return report.Played(
+        experiment.name, way, size, variant.name, seed, found, report.series(seen, experiment.for_s)
+    )
 
 
 @click.group()
@@ -30,13 +32,19 @@
 
 @cli.command()
 @click.argument("file", type=click.Path(dir_okay=False))
-@click.option("--to", "folder", required=True, type=click.Path(file_okay=False, path_type=Path),
-              help="Where the tables and charts go; made where it is not there.")
+@click.option(
+    "--to",
+    "folder",
+    required=True,
+    type=click.Path(file_okay=False, path_type=Path),
+    help="Where the tables and charts go; made where it is not there.",
+)
 @click.option("--size", "sizes", type=int, multiple=True, help="Only these sizes.")
 @click.option("--seed", "seeds", type=int, multiple=True, help="These seeds instead of the file's.")
 @click.option("--simulated/--processes", default=None, help="Only the one way; both as the file has them.")
-def run(file: str, folder: Path, sizes: tuple[int, ...], seeds: tuple[int, ...],
-        simulated: bool | None) -> None:
+def run(
+    file: str, folder: Path, sizes: tuple[int, ...], seeds: tuple[int, ...], simulated: bool | None
+) -> None:
     """Play an experiment; each play's figures are kept as soon as it is over."""
     try:
         experiment = load_experiment(file)
--- a/experiments/measures.py
+++ b/experiments/measures.py
@@ -151,29 +151,45 @@
         Figure("connections at a server, most in 1 s", "", accepted),
         Figure("connections at a server at the end, most", "", max(seen.open_at_end.values(), default=0)),
         Figure("connections in all at the end", "", sum(seen.open_at_end.values())),
-        Figure("set-ups at a server, most in 0.1 s", "",
-               max((most_in(sorted(t), 0.1) for t in seen.set_ups.values()), default=0)),
+        Figure(
+            "set-ups at a server, most in 0.1 s",
+            "",
+            max((most_in(sorted(t), 0.1) for t in seen.set_ups.values()), default=0),
+        ),
     ]
     if seen.cold:
-        rows.append(Figure("load of a cold server, over what it bears, worst", "", max(
-            worst_load(seen.set_ups.get(name, ()), cold, seen.capacity_per_s)
-            for name, cold in seen.cold.items())))
+        rows.append(
+            Figure(
+                "load of a cold server, over what it bears, worst",
+                "",
+                max(
+                    worst_load(seen.set_ups.get(name, ()), cold, seen.capacity_per_s)
+                    for name, cold in seen.cold.items()
+                ),
+            )
+        )
     rows += _of_the_calls(seen, for_s)
     rows += [figure for name, budget in seen.budgets.items() for figure in _of_a_budget(name, budget, for_s)]
-    for what, unit, values in (("memory of a proxy, mean", "MB", seen.memory_mb),
-                               ("processor time of a proxy, mean", "s", seen.cpu_s)):
+    for what, unit, values in (
+        ("memory of a proxy, mean", "MB", seen.memory_mb),
+        ("processor time of a proxy, mean", "s", seen.cpu_s),
+    ):
         if values:
             rows.append(Figure(what, unit, sum(values) / len(values)))
     if seen.late_ms:
-        rows += [Figure("the rig's own loop was late, 99 %", "ms", percentile(seen.late_ms, 99.0)),
-                 Figure("the rig's own loop was late, most", "ms", max(seen.late_ms))]
+        rows += [
+            Figure("the rig's own loop was late, 99 %", "ms", percentile(seen.late_ms, 99.0)),
+            Figure("the rig's own loop was late, most", "ms", max(seen.late_ms)),
+        ]
     return rows
 
 
 def _of_the_board(seen: Observed, back_s: float | None) -> list[Figure]:
     polls = sorted(seen.polls)
-    rows = [Figure("polls, most in 0.1 s", "", most_in(polls, 0.1)),
-            Figure("polls, most in 1 s", "", most_in(polls, 1.0))]
+    rows = [
+        Figure("polls, most in 0.1 s", "", most_in(polls, 0.1)),
+        Figure("polls, most in 1 s", "", most_in(polls, 1.0)),
+    ]
     if back_s is None:
         return rows
     began_s = max(seen.up, default=0.0) + TROUBLE_SETTLES_S
@@ -193,12 +209,17 @@
     """The proofs, each as a part of what is allowed: past 1 it does not hold."""
     processes = max(1, sum(bool(trace.spent) for trace in budget.traces))
     return [
-        Figure(f"budget {name}: shares at any instant, most, over what may be leased", "",
-               most_shared(budget.traces) / budget.leased_per_s if budget.leased_per_s else 0.0),
-        Figure(f"budget {name}: spent past the whole in any window, over one unit a process", "",
-               worst_window(budget.traces, budget.whole_per_s, budget.burst_ms) / processes),
-        Figure(f"budget {name}: spent of the whole", "",
-               len(budget.spent()) / (budget.whole_per_s * for_s)),
+        Figure(
+            f"budget {name}: shares at any instant, most, over what may be leased",
+            "",
+            most_shared(budget.traces) / budget.leased_per_s if budget.leased_per_s else 0.0,
+        ),
+        Figure(
+            f"budget {name}: spent past the whole in any window, over one unit a process",
+            "",
+            worst_window(budget.traces, budget.whole_per_s, budget.burst_ms) / processes,
+        ),
+        Figure(f"budget {name}: spent of the whole", "", len(budget.spent()) / (budget.whole_per_s * for_s)),
     ]
 
 
@@ -207,7 +228,9 @@
         return []
     took_ms = [call.took_s * 1000 for call in seen.calls if call.outcome == "served"]
     served = len(took_ms) / len(seen.calls)
-    return [Figure("served of all calls", "", served),
-            Figure("95 % are served from", "s", steady_from(seen.calls, for_s)),
-            Figure("set-up time, 50 %", "ms", percentile(took_ms, 50.0)),
-            Figure("set-up time, 99 %", "ms", percentile(took_ms, 99.0))]
+    return [
+        Figure("served of all calls", "", served),
+        Figure("95 % are served from", "s", steady_from(seen.calls, for_s)),
+        Figure("set-up time, 50 %", "ms", percentile(took_ms, 50.0)),
+        Figure("set-up time, 99 %", "ms", percentile(took_ms, 99.0)),
+    ]
--- a/experiments/report.py
+++ b/experiments/report.py
@@ -15,12 +15,30 @@
 
 FIGURES, SERIES = "figures", "series"
 POLLS, CONNECTIONS, SET_UPS, SERVED = "polls", "first connections", "set-ups", "served share"
-FIGURE_SCHEMA = pa.schema([("experiment", pa.string()), ("way", pa.string()), ("size", pa.int32()),
-                           ("variant", pa.string()), ("seed", pa.int32()), ("what", pa.string()),
-                           ("unit", pa.string()), ("value", pa.float64())])
-SERIES_SCHEMA = pa.schema([("experiment", pa.string()), ("way", pa.string()), ("size", pa.int32()),
-                           ("variant", pa.string()), ("seed", pa.int32()), ("what", pa.string()),
-                           ("second", pa.int32()), ("value", pa.float64())])
+FIGURE_SCHEMA = pa.schema(
+    [
+        ("experiment", pa.string()),
+        ("way", pa.string()),
+        ("size", pa.int32()),
+        ("variant", pa.string()),
+        ("seed", pa.int32()),
+        ("what", pa.string()),
+        ("unit", pa.string()),
+        ("value", pa.float64()),
+    ]
+)
+SERIES_SCHEMA = pa.schema(
+    [
+        ("experiment", pa.string()),
+        ("way", pa.string()),
+        ("size", pa.int32()),
+        ("variant", pa.string()),
+        ("seed", pa.int32()),
+        ("what", pa.string()),
+        ("second", pa.int32()),
+        ("value", pa.float64()),
+    ]
+)
 
 
 class Played(NamedTuple):
@@ -58,8 +76,12 @@
     """The tables of all plays; what stood there is replaced."""
     played = list(played)
     figures = [(*p.key, *figure) for p in played for figure in p.figures]
-    points = [(*p.key, what, second, value) for p in played for what, values in p.series.items()
-              for second, value in enumerate(values)]
+    points = [
+        (*p.key, what, second, value)
+        for p in played
+        for what, values in p.series.items()
+        for second, value in enumerate(values)
+    ]
     for name, schema, rows in ((FIGURES, FIGURE_SCHEMA, figures), (SERIES, SERIES_SCHEMA, points)):
         columns = [list(column) for column in zip(*rows, strict=True)] or [[] for _ in schema.names]
         arrays = [pa.array(column, kind.type) for column, kind in zip(columns, schema, strict=True)]
@@ -84,8 +106,13 @@
     for way, size in dict.fromkeys((p.way, p.size) for p in played):
         here = [p for p in played if (p.way, p.size) == (way, size)]
         variants = list(dict.fromkeys(p.variant for p in here))
-        lines += ["", f"{size} proxies, {way}:", "", "| | " + " | ".join(variants) + " |",
-                  "| --- |" + " --- |" * len(variants)]
+        lines += [
+            "",
+            f"{size} proxies, {way}:",
+            "",
+            "| | " + " | ".join(variants) + " |",
+            "| --- |" + " --- |" * len(variants),
+        ]
         for what, unit in dict.fromkeys((f.what, f.unit) for p in here for f in p.figures):
             found = [(p.variant, f.value) for p in here for f in p.figures if f.what == what]
             cells = [_cell([value for by, value in found if by == variant]) for variant in variants]
--- a/experiments/simulation.py
+++ b/experiments/simulation.py
@@ -120,8 +120,9 @@
 class Proxy:
     """One proxy: its decisions, and what carries them out here."""
 
-    def __init__(self, world: World, number: int, settings: api.Settings, starting: Starting | None,
-                 seed: int) -> None:
+    def __init__(
+        self, world: World, number: int, settings: api.Settings, starting: Starting | None, seed: int
+    ) -> None:
         self._world, self._clock = world, world.clock
         self._rng = random.Random(seed * 100_003 + number)
         self._starting, self._count = starting, settings.instances
@@ -133,8 +134,9 @@
         else:
             first_per_s = starting.first_per_s or starting.polls_per_s
             self._pace = PollPace(lambda: self._count, starting.polls_per_s, first_per_s, self._rng)
-        self._subset = Subset(f"n{number}", (None,), starting.servers_per_proxy if starting else 0,
-                              lambda _: False)
+        self._subset = Subset(
+            f"n{number}", (None,), starting.servers_per_proxy if starting else 0, lambda _: False
+        )
         self._connected: set[str] = set()
         self._server_of: dict[str, str] = {}  # of each call's latest attempt
 
@@ -168,8 +170,14 @@
         server = server_of(instance)
         senders = self._subset.senders(server.pool, self._count)
         begin = self._starting.begin_per_s if self._starting else 0.0
-        return api.Server(server.id, server.pool, server.state, server.started_ms, senders,
-                          begin / (senders or self._count) if begin else None)
+        return api.Server(
+            server.id,
+            server.pool,
+            server.state,
+            server.started_ms,
+            senders,
+            begin / (senders or self._count) if begin else None,
+        )
 
     def _connect(self, name: str) -> None:
         if name not in self._connected:
@@ -188,8 +196,12 @@
                 case api.SetUp(call_id, server_id, _):
                     self._send(call_id, server_id)
                 case api.Cancel(call_id, attempt):
-                    self._clock.after(0.0, lambda call_id=call_id, attempt=attempt: self._ended(
-                        call_id, attempt, api.Outcome.CANCELLED))
+                    self._clock.after(
+                        0.0,
+                        lambda call_id=call_id, attempt=attempt: self._ended(
+                            call_id, attempt, api.Outcome.CANCELLED
+                        ),
+                    )
                 case api.Refuse(call_id, _):
                     self._world.end(call_id, REFUSED)
                 case api.Fail(call_id):
@@ -209,8 +221,12 @@
             elif self._out.pop(call_id, None) == attempt:  # what was given up is taken back
                 self._world.end(call_id, SERVED)
                 self._tell(api.Established(call_id, attempt, server_id, self._clock.now_ms - sent_ms))
-                self._clock.after(processor.hold_ms, lambda: self._tell(
-                    api.AttemptEnded(call_id, attempt, server_id, api.Outcome.ENDED, finished=True)))
+                self._clock.after(
+                    processor.hold_ms,
+                    lambda: self._tell(
+                        api.AttemptEnded(call_id, attempt, server_id, api.Outcome.ENDED, finished=True)
+                    ),
+                )
 
         self._clock.after(WAY_MS, lambda: processor.take(answer))
 
@@ -218,8 +234,16 @@
         """An attempt came to nothing; told once."""
         if self._out.get(call_id) == attempt:
             del self._out[call_id]
-            self._tell(api.AttemptEnded(call_id, attempt, self._server_of[call_id], outcome, finished=False,
-                                        processor_full=outcome is api.Outcome.FULL))
+            self._tell(
+                api.AttemptEnded(
+                    call_id,
+                    attempt,
+                    self._server_of[call_id],
+                    outcome,
+                    finished=False,
+                    processor_full=outcome is api.Outcome.FULL,
+                )
+            )
 
 
 class World:
@@ -230,8 +254,10 @@
         self.clock, self.discovery = Clock(), Discovery(experiment.fault)
         plan = experiment.servers
         self.seen = Observed(size, plan.capacity_per_s)
-        self.processors = {f"s-{n}": Processor(f"s-{n}", plan.capacity_per_s, plan.hold_ms, self.clock)
-                           for n in range(plan.count)}
+        self.processors = {
+            f"s-{n}": Processor(f"s-{n}", plan.capacity_per_s, plan.hold_ms, self.clock)
+            for n in range(plan.count)
+        }
         options = service_settings(size, plan.count, plan.hold_ms)
         self._cool(options["rules"])
         settings = read_settings(options)
@@ -247,8 +273,12 @@
                 drawn = self._rng.sample(sorted(self.processors), round(fault.part * len(self.processors)))
                 for name in drawn:
                     self.processors[name].cold = self.seen.cold[name] = Cold(
-                        fault.at_s, rules["cold_share"], rules["warm_within_ms"] / MS, rules["tip_multiple"],
-                        rules["overload_for_ms"] / MS)
+                        fault.at_s,
+                        rules["cold_share"],
+                        rules["warm_within_ms"] / MS,
+                        rules["tip_multiple"],
+                        rules["overload_for_ms"] / MS,
+                    )
 
     def instances(self) -> list[Instance]:
         """The list as the board has it now."""
@@ -295,8 +325,14 @@
         if not self.ready:
             self.end(call_id, "lost")
             return
-        self._rng.choice(self.ready).call(api.Call(call_id, self._rng.choice(self._classes), now_ms + WAIT_MS,
-                              preferred_pool=self._rng.randrange(len(self.processors))))
+        self._rng.choice(self.ready).call(
+            api.Call(
+                call_id,
+                self._rng.choice(self._classes),
+                now_ms + WAIT_MS,
+                preferred_pool=self._rng.randrange(len(self.processors)),
+            )
+        )
 
 
 def play(experiment: Experiment, variant: Variant, size: int, seed: int) -> Observed:
--- a/experiments/stage.py
+++ b/experiments/stage.py
@@ -42,8 +42,9 @@
 class Stage:
     """One play."""
 
-    def __init__(self, experiment: Experiment, variant: Variant, size: int, seed: int,
-                 started: Fleet) -> None:
+    def __init__(
+        self, experiment: Experiment, variant: Variant, size: int, seed: int, started: Fleet
+    ) -> None:
         self.experiment, self.variant, self.size = experiment, variant, size
         self.fleet, self.discovery, self.servers = started, started.discovery, started.servers
         self.random = random.Random(seed)
@@ -57,8 +58,10 @@
         self._starts = 0
         self._store: PostgresqlStandIn | None = None
         self._links: dict[str, Link] = {}  # from each proxy to the store
-        self._beyond = self._drawn(self._names, next(
-            (fault.part for fault in experiment.fault if fault.what == "proxies-cut-off"), 0.0))
+        self._beyond = self._drawn(
+            self._names,
+            next((fault.part for fault in experiment.fault if fault.what == "proxies-cut-off"), 0.0),
+        )
         # Guards what is noted against hundreds of starts that keep the rig from its clock: it comes first.
         started.nice = PROXIES_NICE
         started.discovery_for = lambda name: (self.far if name in self._beyond else self.discovery).address
@@ -252,8 +255,9 @@
         for each in settings.budget:
             traces = [read_trace(proxy.log, each.name) for proxy in self.fleet.proxies]
             leased_per_s = each.whole_per_s * (1 - each.kept_back)
-            self.seen.budgets[each.name] = Budget(each.whole_per_s, leased_per_s, settings.burst_ms, traces,
-                                                  began_ms)
+            self.seen.budgets[each.name] = Budget(
+                each.whole_per_s, leased_per_s, settings.burst_ms, traces, began_ms
+            )
 
 
 def _set(thing: object, **values: object) -> Callable[[], Awaitable]:
@@ -286,8 +290,9 @@
 async def play(experiment: Experiment, variant: Variant, size: int, seed: int) -> Observed:
     """One variant at one size."""
     plan = experiment.servers
-    servers = [CallServer(f"s-{n}", plan.capacity_per_s, plan.hold_ms, lines=plan.lines)
-               for n in range(plan.count)]
+    servers = [
+        CallServer(f"s-{n}", plan.capacity_per_s, plan.hold_ms, lines=plan.lines) for n in range(plan.count)
+    ]
     with tempfile.TemporaryDirectory() as folder:
         async with fleet(Path(folder), servers, instances=size) as started:
             started.in_configuration = False  # none knows anything
--- a/standins/budgets.py
+++ b/standins/budgets.py
@@ -46,8 +46,9 @@
 class BudgetFleet:
     """A fleet whose proxies share a budget; on SQLite where there is no PostgreSQL."""
 
-    def __init__(self, fleet: Fleet, plan: Plan, callers: Callers,
-                 store: PostgresqlStandIn | None = None) -> None:
+    def __init__(
+        self, fleet: Fleet, plan: Plan, callers: Callers, store: PostgresqlStandIn | None = None
+    ) -> None:
         self.fleet, self.plan, self.callers, self.store = fleet, plan, callers, store
         self.links: dict[str, Link] = {}
         self.proxies: dict[str, Proxy] = {}
@@ -59,8 +60,14 @@
         tag = f"{name}.{self._starts}"
         path = self.fleet.folder / f"{tag}.toml"
         path.write_text(await self._file(name))
-        proxy = await self.fleet.proxy(tag, self._starts, EDGE_NAME=name, CANVASPLANK_LOG="json",
-                                       CANVASPLANK_FLEET=str(path), **environment)
+        proxy = await self.fleet.proxy(
+            tag,
+            self._starts,
+            EDGE_NAME=name,
+            CANVASPLANK_LOG="json",
+            CANVASPLANK_FLEET=str(path),
+            **environment,
+        )
         self.proxies[name] = proxy
         await self.callers.add_proxy(proxy.address)
         return proxy
@@ -82,10 +89,17 @@
                 self.links[name] = Link(f"{where.hostname}:{where.port}")
                 await self.links[name].start()
             dsn = where._replace(netloc=f"{where.username}@{self.links[name].address}").geturl()
-        return FILE.format(backend="sqlite" if self.store is None else "postgresql", dsn=dsn,
-                           path=self.fleet.folder / "fleet.db", most=plan.most, lease_ms=plan.lease_ms,
-                           renew_ms=plan.renew_ms, burst_ms=plan.burst_ms, whole_per_s=plan.whole_per_s,
-                           kept_back=plan.kept_back)
+        return FILE.format(
+            backend="sqlite" if self.store is None else "postgresql",
+            dsn=dsn,
+            path=self.fleet.folder / "fleet.db",
+            most=plan.most,
+            lease_ms=plan.lease_ms,
+            renew_ms=plan.renew_ms,
+            burst_ms=plan.burst_ms,
+            whole_per_s=plan.whole_per_s,
+            kept_back=plan.kept_back,
+        )
 
     def logs(self) -> list[Path]:
         """What every process that ever ran has said."""
--- a/standins/discovery.py
+++ b/standins/discovery.py
@@ -68,8 +68,14 @@
                 await reader.read()
                 return
             head = (await reader.readuntil(b"\r\n\r\n")).decode().lower()
-            last = next((int(line.partition(":")[2]) for line in head.splitlines()
-                         if line.startswith("last-event-id:")), 0)
+            last = next(
+                (
+                    int(line.partition(":")[2])
+                    for line in head.splitlines()
+                    if line.startswith("last-event-id:")
+                ),
+                0,
+            )
             if self.busy_s is not None:
                 refusal = f"HTTP/1.1 503 Busy\r\nRetry-After: {self.busy_s}\r\nContent-Length: 0\r\n\r\n"
                 writer.write(refusal.encode())
--- a/standins/fleet.py
+++ b/standins/fleet.py
@@ -100,10 +100,19 @@
 
     async def list(self, *servers: CallServer) -> None:
         """Have the board tell that these are the call servers; each is the one of its pool."""
-        entries = [{"instanceId": server.name, "hostPort": server.address, "zone": "here",
-                    "machineType": "std", "cell": cell, "lifecycle": "ready", "weight": 1,
-                    "startedAtMs": server.started_ms}
-                   for cell, server in enumerate(servers)]
+        entries = [
+            {
+                "instanceId": server.name,
+                "hostPort": server.address,
+                "zone": "here",
+                "machineType": "std",
+                "cell": cell,
+                "lifecycle": "ready",
+                "weight": 1,
+                "startedAtMs": server.started_ms,
+            }
+            for cell, server in enumerate(servers)
+        ]
         await self.discovery.tell({"generation": 1, "reset": True, "instances": entries})
 
     @property
@@ -114,8 +123,14 @@
 
     def _configuration(self, name: str, address: str, seed: int) -> dict:
         known = self.discovery.known() if self.in_configuration else {"rev": 0, "notices": []}
-        return _example() | {"name": name, "listen": address, "seed": f"{seed:016x}",
-                          "board": self.discovery_for(name), "settings": self.settings, "known": known}
+        return _example() | {
+            "name": name,
+            "listen": address,
+            "seed": f"{seed:016x}",
+            "board": self.discovery_for(name),
+            "settings": self.settings,
+            "known": known,
+        }
 
     async def proxy(self, name: str, seed: int, **environment: str) -> Proxy:
         """Start one and wait until it listens."""
@@ -125,8 +140,14 @@
         inherited = {k: v for k, v in os.environ.items() if not k.startswith(("EDGE_", "CANVASPLANK_"))}
         with log.open("wb") as out:
             process = await asyncio.create_subprocess_exec(
-                sys.executable, "-m", "canvasplank", cwd=ROOT, stdout=out, stderr=out,
-                env=inherited | {"EDGE_CONFIG": str(path)} | environment)
+                sys.executable,
+                "-m",
+                "canvasplank",
+                cwd=ROOT,
+                stdout=out,
+                stderr=out,
+                env=inherited | {"EDGE_CONFIG": str(path)} | environment,
+            )
         if self.nice:
             os.setpriority(os.PRIO_PROCESS, process.pid, self.nice)
         proxy = Proxy(name, address, process, log)
--- a/standins/postgresql.py
+++ b/standins/postgresql.py
@@ -31,8 +31,14 @@
 FOR_UPDATE = " FOR UPDATE"
 DATA = "standin.db"  # the file of its data, in its folder
 CAST = re.compile(r"CAST\(\$(\d+) AS (\w+)\)")
-PARAMETERS = {"server_version": "16.0", "client_encoding": "UTF8", "server_encoding": "UTF8",
-              "standard_conforming_strings": "on", "integer_datetimes": "on", "TimeZone": "UTC"}
+PARAMETERS = {
+    "server_version": "16.0",
+    "client_encoding": "UTF8",
+    "server_encoding": "UTF8",
+    "standard_conforming_strings": "on",
+    "integer_datetimes": "on",
+    "TimeZone": "UTC",
+}
 
 
 class StatedError(Exception):
@@ -71,7 +77,7 @@
     def string(self) -> str:
         """Up to the next zero byte."""
         end = self.data.index(b"\0", self.at)
-        value, self.at = self.data[self.at:end].decode(), end + 1
+        value, self.at = self.data[self.at : end].decode(), end + 1
         return value
 
     def number(self, form: str) -> int:
@@ -90,7 +96,7 @@
         if length < 0:
             return None
         self.at += length
-        return self.data[self.at - length:self.at]
+        return self.data[self.at - length : self.at]
 
 
 @dataclass
@@ -108,8 +114,10 @@
 
     def values(self, raw: list[bytes | None]) -> list[str | int | None]:
         """Parameters from their binary form."""
-        return [None if data is None else data.decode() if kind == TEXT else int.from_bytes(data, signed=True)
-                for kind, data in zip(self.types, raw, strict=True)]
+        return [
+            None if data is None else data.decode() if kind == TEXT else int.from_bytes(data, signed=True)
+            for kind, data in zip(self.types, raw, strict=True)
+        ]
 
 
 @dataclass
@@ -127,8 +135,9 @@
 class Session:
     """One client."""
 
-    def __init__(self, server: PostgresqlStandIn, reader: asyncio.StreamReader,
-                 writer: asyncio.StreamWriter) -> None:
+    def __init__(
+        self, server: PostgresqlStandIn, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+    ) -> None:
         self.server, self.reader, self.writer = server, reader, writer
         self.database = server.connect()
         self.statements: dict[str, Statement] = {}
@@ -149,8 +158,11 @@
                 async with asyncio.timeout(self._limit_s("idle_in_transaction_session_timeout", self.block)):
                     kind = await self.reader.readexactly(1)
             except TimeoutError:
-                self._error(StatedError("25P03", "terminating connection due to idle-in-transaction timeout",
-                                        fatal=True))
+                self._error(
+                    StatedError(
+                        "25P03", "terminating connection due to idle-in-transaction timeout", fatal=True
+                    )
+                )
                 self.writer.write(bytes(self.out))
                 return
             [length] = struct.unpack(">I", await self.reader.readexactly(4))
@@ -313,8 +325,9 @@
         if not sql.upper().startswith("SELECT"):
             self.out += message(b"n")
             return
-        probe = self.database.execute(f"SELECT * FROM ({own(sql)}) LIMIT 0",
-                                      [None] * len(Statement.of(sql).types))
+        probe = self.database.execute(
+            f"SELECT * FROM ({own(sql)}) LIMIT 0", [None] * len(Statement.of(sql).types)
+        )
         columns = [(column[0], self.server.type_of(self.database, column[0])) for column in probe.description]
         parts = [text(name) + struct.pack(">IhIhih", 0, 0, kind, -1, -1, 0) for name, kind in columns]
         self.out += message(b"T", struct.pack(">h", len(columns)) + b"".join(parts))
@@ -322,10 +335,14 @@
     def _row(self, row: tuple, types: list[int] | None = None) -> None:
         """One row: numbers as such where their columns were described so, all else as text."""
         kinds = types or [TEXT] * len(row)
-        values = [None if value is None else NUMBERS[kind].pack(value) if kind in NUMBERS
-                  else str(value).encode() for value, kind in zip(row, kinds, strict=True)]
-        parts = [struct.pack(">i", -1) if value is None else struct.pack(">i", len(value)) + value
-                 for value in values]
+        values = [
+            None if value is None else NUMBERS[kind].pack(value) if kind in NUMBERS else str(value).encode()
+            for value, kind in zip(row, kinds, strict=True)
+        ]
+        parts = [
+            struct.pack(">i", -1) if value is None else struct.pack(">i", len(value)) + value
+            for value in values
+        ]
         self.out += message(b"D", struct.pack(">h", len(row)) + b"".join(parts))
 
     async def _execute(self, statement: Statement, values: list) -> None:
@@ -394,8 +411,11 @@
     def type_of(self, database: sqlite3.Connection, column: str) -> int:
         """A result column's type, by the tables' column of that name; of anything else it is text."""
         if column not in self._types:
-            found = database.execute("SELECT c.type FROM sqlite_master t, pragma_table_info(t.name) c "
-                                     "WHERE t.type = 'table' AND c.name = ?", [column]).fetchone()
+            found = database.execute(
+                "SELECT c.type FROM sqlite_master t, pragma_table_info(t.name) c "
+                "WHERE t.type = 'table' AND c.name = ?",
+                [column],
+            ).fetchone()
             if found is None:
                 return TEXT
             self._types[column] = TYPES[found[0].lower()]
@@ -448,7 +468,8 @@
     print(server.dsn, flush=True)
     commands = asyncio.StreamReader()
     await asyncio.get_running_loop().connect_read_pipe(
-        lambda: asyncio.StreamReaderProtocol(commands), sys.stdin)
+        lambda: asyncio.StreamReaderProtocol(commands), sys.stdin
+    )
     while line := (await commands.readline()).decode().split():
         name, figure = line
         if name == "restart":
--- a/standins/server.py
+++ b/standins/server.py
@@ -146,7 +146,7 @@
                     self._put(Job(writer, None, REJECT_SHARE))
                 else:
                     self._put(Job(writer, message))
-            case ("BYE" | "CANCEL"), 0:
+            case (("BYE" | "CANCEL"), 0):
                 self.cancelled.add(message.call_id)
                 if (call := self._standing.pop(message.call_id, None)) is not None:
                     call.cancel()
--- a/tests/player.py
+++ b/tests/player.py
@@ -55,10 +55,24 @@
         {"name": "low", "aim_ms": 1500.0, "deadline_ms": 9000.0, "worth": 1.0, "late_worth": 0.1},
         {"name": "high", "aim_ms": 2000.0, "deadline_ms": 9000.0, "worth": 3.0, "late_worth": 0.1},
     ],
-    "rules": {"answer_slack_ms": 20.0, "stop_sending_within_ms": 250.0, "cold_share": 0.29,
-              "warm_within_ms": 15000.0, "tip_multiple": 4.0, "overload_for_ms": 3000.0},
-    "ceilings": {"most_tries": 4, "cancel": True, "probes": False, "retry_after": False, "max_open": 100,
-                 "conn_idle_ms": 60000.0, "connect_timeout_ms": 300.0, "max_retry_after_ms": 2000.0},
+    "rules": {
+        "answer_slack_ms": 20.0,
+        "stop_sending_within_ms": 250.0,
+        "cold_share": 0.29,
+        "warm_within_ms": 15000.0,
+        "tip_multiple": 4.0,
+        "overload_for_ms": 3000.0,
+    },
+    "ceilings": {
+        "most_tries": 4,
+        "cancel": True,
+        "probes": False,
+        "retry_after": False,
+        "max_open": 100,
+        "conn_idle_ms": 60000.0,
+        "connect_timeout_ms": 300.0,
+        "max_retry_after_ms": 2000.0,
+    },
     "family_info": {"clear_wait_ms": 200.0, "resend_ms": 500.0, "skilled_pools": [[0, 1], [0, 1]]},
     "load_report": {"names": ["free", "size"], "via": "on_probe"},
 }
@@ -129,19 +143,19 @@
                 raise AssertionError(f"wanted {text!r}, came {self.came!r}") from None
             assert more, f"wanted {text!r}, came {self.came!r} and the end"
             self.came += more
-        self.came = self.came[match.end():]
+        self.came = self.came[match.end() :]
 
     def hears(self, text: str) -> None:
         wanted, until = pattern(text), time.monotonic() + WAIT_S
         while PROGRESS.match(self.came) or not wanted.match(self.came):
             if progress := PROGRESS.match(self.came):
-                self.came = self.came[progress.end():]
+                self.came = self.came[progress.end() :]
                 continue
             self.stream.settimeout(max(0.01, until - time.monotonic()))
             more = self.stream.recv(65536)
             assert more, f"wanted {text!r}, came {self.came!r} and the end"
             self.came += more
-        self.came = self.came[wanted.match(self.came).end():]
+        self.came = self.came[wanted.match(self.came).end() :]
 
     def later(self, text: str) -> None:
         after_ms, wanted = text.split(" ", 1)
@@ -194,8 +208,15 @@
 
     def entry(self, name: str, state: str = "ready", started_ms: int = 0, cell: int | None = None) -> dict:
         cell = len(self.known) if cell is None else cell
-        return {"instanceId": f"s-{name}", "hostPort": self.parties[f"server {name}"].address, "cell": cell,
-                "lifecycle": state, "startedAtMs": started_ms, "zone": "z", "new": True}
+        return {
+            "instanceId": f"s-{name}",
+            "hostPort": self.parties[f"server {name}"].address,
+            "cell": cell,
+            "lifecycle": state,
+            "startedAtMs": started_ms,
+            "zone": "z",
+            "new": True,
+        }
 
     def add(self, name: str, how: str) -> None:
         party = self.parties[f"server {name}"] = Party(listens=True)
@@ -206,8 +227,12 @@
         with socket.create_server(("127.0.0.1", 0)) as free:
             self.listen = f"127.0.0.1:{free.getsockname()[1]}"
         configuration = {
-            "name": "n0", "listen": self.listen, "seed": "8c1f30d27a5be964", "settings": self.settings,
-            "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 64}, "board": self.parties["board"].address,
+            "name": "n0",
+            "listen": self.listen,
+            "seed": "8c1f30d27a5be964",
+            "settings": self.settings,
+            "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 64},
+            "board": self.parties["board"].address,
             "known": {"rev": 1, "notices": [{"rev": 1, "pool": {"reset": True, "instances": self.known}}]},
         } | changes
         self.configuration, path = configuration, self.folder / "config.json"
@@ -215,7 +240,10 @@
         environment = {k: v for k, v in os.environ.items() if not k.startswith("EDGE_")}
         with self.log.open("wb") as log:
             self.process = subprocess.Popen(
-                [sys.executable, "-m", "canvasplank"], cwd=ROOT, stderr=log, stdout=log,
+                [sys.executable, "-m", "canvasplank"],
+                cwd=ROOT,
+                stderr=log,
+                stdout=log,
                 env=environment | {"EDGE_CONFIG": str(path)},
                 preexec_fn=lambda: resource.setrlimit(resource.RLIMIT_NOFILE, (descriptors, descriptors)),
             )
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -29,14 +29,22 @@
         self.is_ready = True
 
 
-@pytest.mark.parametrize(("lines", "last"), [
-    (["health"], "200 ready\n"),
-    (["quiesce", "health"], "400 not ready\n"),
-    (["quiesce", "resume", " health \r\n"], "200 ready\n"),
-    (["counters"], "200 counters\nedge_in_flight 3\nEOF\n"),
-    (["", ], "400 unknown command ''\n"),
-    (["HEALTH"], "400 unknown command 'HEALTH'\n"),
-])
+@pytest.mark.parametrize(
+    ("lines", "last"),
+    [
+        (["health"], "200 ready\n"),
+        (["quiesce", "health"], "400 not ready\n"),
+        (["quiesce", "resume", " health \r\n"], "200 ready\n"),
+        (["counters"], "200 counters\nedge_in_flight 3\nEOF\n"),
+        (
+            [
+                "",
+            ],
+            "400 unknown command ''\n",
+        ),
+        (["HEALTH"], "400 unknown command 'HEALTH'\n"),
+    ],
+)
 def test_answers(lines, last):
     admin = Admin(Operated())
     assert [admin.answer(line) for line in lines][-1] == last
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -20,8 +20,14 @@
 def started(*arguments: str, **environment: str) -> subprocess.CompletedProcess[str]:
     ours = ("EDGE_", "CANVASPLANK_")
     kept = {name: value for name, value in os.environ.items() if not name.startswith(ours)}
-    return subprocess.run([sys.executable, "-m", *arguments], cwd=ROOT, env=kept | environment, text=True,
-                          capture_output=True, timeout=WAIT_S)
+    return subprocess.run(
+        [sys.executable, "-m", *arguments],
+        cwd=ROOT,
+        env=kept | environment,
+        text=True,
+        capture_output=True,
+        timeout=WAIT_S,
+    )
 
 
 def is_refused(done: subprocess.CompletedProcess[str], *words: str) -> None:
@@ -54,8 +60,11 @@
     is_refused(started("canvasplank", EDGE_CONFIG=path), "canvasplank: configuration")
 
 
-@pytest.mark.parametrize("content", ["= 1", "unheard_of = 1\n", b"\xff", None],
-                         ids=["not TOML", "an unknown key", "not UTF-8", "missing"])
+@pytest.mark.parametrize(
+    "content",
+    ["= 1", "unheard_of = 1\n", b"\xff", None],
+    ids=["not TOML", "an unknown key", "not UTF-8", "missing"],
+)
 @pytest.mark.parametrize("variable", [entry.variable for entry in TABLE])
 def test_a_file_of_a_part(tmp_path, variable, content):
     configuration, path = tmp_path / "config.json", tmp_path / "part.toml"
--- a/tests/test_budgets.py
+++ b/tests/test_budgets.py
@@ -44,14 +44,17 @@
         for key, want in wanted.items():
             assert parts[key] >= min(even, even if want is None else want)
 
-    @pytest.mark.parametrize(("wanted", "parts"), [
-        ({}, {}),
-        ({1: None}, {1: 60}),
-        ({1: None, 2: None}, {1: 30, 2: 30}),
-        ({1: 100, 2: 0, 3: 0}, {1: 56, 2: 2, 3: 2}),  # a flooded one gets what idle ones give up
-        ({1: 100, 2: 100, 3: 5}, {1: 27, 2: 28, 3: 5}),
-        ({1: 10, 2: 10, 3: 10}, {1: 20, 2: 20, 3: 20}),  # what nobody wants is there before it is wanted
-    ])
+    @pytest.mark.parametrize(
+        ("wanted", "parts"),
+        [
+            ({}, {}),
+            ({1: None}, {1: 60}),
+            ({1: None, 2: None}, {1: 30, 2: 30}),
+            ({1: 100, 2: 0, 3: 0}, {1: 56, 2: 2, 3: 2}),  # a flooded one gets what idle ones give up
+            ({1: 100, 2: 100, 3: 5}, {1: 27, 2: 28, 3: 5}),
+            ({1: 10, 2: 10, 3: 10}, {1: 20, 2: 20, 3: 20}),  # what nobody wants is there before it is wanted
+        ],
+    )
     def test_examples(self, wanted, parts):
         assert divide(60, wanted) == parts
 
@@ -214,17 +217,20 @@
     def test_without_an_allowance_it_waits_for_ever(self):
         assert Bucket(250.0, 0.0).wait_ms(0) == float("inf")
 
-    @pytest.mark.parametrize(("kind", "of", "tenant", "attempt", "server", "covered"), [
-        ("set-ups", "", None, 0, "s", True),
-        ("set-ups", "", "acme", 3, "s", True),
-        ("member", "acme", "acme", 0, "s", True),
-        ("member", "acme", "acme", 1, "s", False),  # a repeat is no set-up of the member's
-        ("member", "acme", "beta", 0, "s", False),
-        ("repeats", "", "acme", 0, "s", False),
-        ("repeats", "", None, 1, "s", True),
-        ("server", "s", None, 1, "s", True),
-        ("server", "s", None, 0, "t", False),
-    ])
+    @pytest.mark.parametrize(
+        ("kind", "of", "tenant", "attempt", "server", "covered"),
+        [
+            ("set-ups", "", None, 0, "s", True),
+            ("set-ups", "", "acme", 3, "s", True),
+            ("member", "acme", "acme", 0, "s", True),
+            ("member", "acme", "acme", 1, "s", False),  # a repeat is no set-up of the member's
+            ("member", "acme", "beta", 0, "s", False),
+            ("repeats", "", "acme", 0, "s", False),
+            ("repeats", "", None, 1, "s", True),
+            ("server", "s", None, 1, "s", True),
+            ("server", "s", None, 0, "t", False),
+        ],
+    )
     def test_what_a_budget_covers(self, kind, of, tenant, attempt, server, covered):
         assert Scope(kind, of).covers(tenant, attempt, server) is covered
 
@@ -237,10 +243,12 @@
     def test_demand_is_reported_in_steps_and_grows_where_it_is_held_back(self):
         demand = Demand()
         assert demand.report(0.0, 10_000) is None
+
         def used(count, now_ms):
             for _ in range(count):
                 demand.spent()
             return demand.report(now_ms, 10_000)
+
         assert used(8, 1000.0) == 10_000
         assert used(7, 2000.0) == 10_000, "within the band: no news"
         demand.pressed()
@@ -286,12 +294,18 @@
         members[request.incarnation] = msgspec.structs.replace(members[request.incarnation], seq=-1)
     if "incarnation" in drop and request.incarnation is not None and request.incarnation not in members:
         # Whoever says that it was in the fleet is believed, with what it says that it uses.
-        members[request.incarnation] = Member(request.incarnation, request.name, -1, request.most,
-                                              request.lease_ms, request.using)
+        members[request.incarnation] = Member(
+            request.incarnation, request.name, -1, request.most, request.lease_ms, request.using
+        )
     if "sign" in drop:
-        request = msgspec.structs.replace(request, dead=tuple(
-            msgspec.structs.replace(sign, seq=members[sign.incarnation].seq) for sign in request.dead
-            if sign.incarnation in members))
+        request = msgspec.structs.replace(
+            request,
+            dead=tuple(
+                msgspec.structs.replace(sign, seq=members[sign.incarnation].seq)
+                for sign in request.dead
+                if sign.incarnation in members
+            ),
+        )
     after, answer = ledger.apply(Rows(members, rows.next_incarnation, rows.unreadable), request)
     if "order" in drop and answer.incarnation is not None:
         # The store lowers a share first, and its holder hears of it.
@@ -320,13 +334,23 @@
         found = Explorer(Lease(2.0, 1.0, 0.0), bounds).run()
         assert found.path is None and found.whole and found.states > 5_000
 
-    @pytest.mark.parametrize(("lease", "bounds", "apply"), [
-        (Lease(2.0, 0.0, 0.0), SLIPPING, ledger.apply),
-        (Lease(2.0, 1.0, 0.0), LATE, without("order")),
-        (Lease(2.0, 1.0, 0.0), LATE, without("seq")),
-        (Lease(2.0, 1.0, 0.0), LAPSING, without("incarnation")),
-        (Lease(2.0, 1.0, 0.0), LAPSING, without("sign")),
-    ], ids=["no margin", "the store lowers first", "late ones count", "no incarnation", "renewal overlooked"])
+    @pytest.mark.parametrize(
+        ("lease", "bounds", "apply"),
+        [
+            (Lease(2.0, 0.0, 0.0), SLIPPING, ledger.apply),
+            (Lease(2.0, 1.0, 0.0), LATE, without("order")),
+            (Lease(2.0, 1.0, 0.0), LATE, without("seq")),
+            (Lease(2.0, 1.0, 0.0), LAPSING, without("incarnation")),
+            (Lease(2.0, 1.0, 0.0), LAPSING, without("sign")),
+        ],
+        ids=[
+            "no margin",
+            "the store lowers first",
+            "late ones count",
+            "no incarnation",
+            "renewal overlooked",
+        ],
+    )
     def test_it_finds_the_fault_where_a_check_is_taken_out(self, lease, bounds, apply):
         assert Explorer(lease, bounds, apply).run().path
 
@@ -390,23 +414,24 @@
 """
 
 
-@pytest.mark.parametrize(("was", "becomes", "says"), [
-    ("whole_per_s = 40.0", "whole_per_s = -1.0", "Expected `float` > 0"),
-    ("whole_per_s = 40.0", "whole_per_s = 3.0", "less than one unit a second for each of 4"),
-    ("set-ups", "wishes", "Invalid enum value 'wishes'"),
-    ("set-ups", "member", "do not fit"),
-    ("[[budget]]", "budget = []\n[other]", "unknown field"),
-    (GOOD[GOOD.index("[["):], "budget = []", "no budget is named"),
-    ("whole_per_s = 40.0\n", "whole_per_s = 40.0\n" + GOOD[GOOD.index("[["):], "named twice"),
-    ('path = "x.db"', "", "needs a path"),
-    ('"sqlite"', '"postgresql"', "needs a dsn"),
-    ("proxies_most = 4", "proxies_most = 4\nrenew_ms = 2000.0", "less than two times renew_ms"),
-])
+@pytest.mark.parametrize(
+    ("was", "becomes", "says"),
+    [
+        ("whole_per_s = 40.0", "whole_per_s = -1.0", "Expected `float` > 0"),
+        ("whole_per_s = 40.0", "whole_per_s = 3.0", "less than one unit a second for each of 4"),
+        ("set-ups", "wishes", "Invalid enum value 'wishes'"),
+        ("set-ups", "member", "do not fit"),
+        ("[[budget]]", "budget = []\n[other]", "unknown field"),
+        (GOOD[GOOD.index("[[") :], "budget = []", "no budget is named"),
+        ("whole_per_s = 40.0\n", "whole_per_s = 40.0\n" + GOOD[GOOD.index("[[") :], "named twice"),
+        ('path = "x.db"', "", "needs a path"),
+        ('"sqlite"', '"postgresql"', "needs a dsn"),
+        ("proxies_most = 4", "proxies_most = 4\nrenew_ms = 2000.0", "less than two times renew_ms"),
+    ],
+)
 def test_a_bad_file_is_one_line(tmp_path, was, becomes, says):
     path = tmp_path / "fleet.toml"
     path.write_text(GOOD.replace(was, becomes, 1))
     with pytest.raises(ConfigurationError, match=says) as fault:
         load_fleet(str(path))
     assert "\n" not in str(fault.value)
-
-
--- a/tests/test_codecs.py
+++ b/tests/test_codecs.py
@@ -15,7 +15,8 @@
 ID = "9e847923b2a4a452"
 ISUP = isup.answer(ID, b"v=0") + isup.release(ID, 42) + isup.release_heard(ID)
 SIP = (
-    sip.request("INVITE", "7f3a", ID, 1, {"X-Tier": "voice"}, b"a\r\n\r\nb") + b"\r\n"
+    sip.request("INVITE", "7f3a", ID, 1, {"X-Tier": "voice"}, b"a\r\n\r\nb")
+    + b"\r\n"
     + b"SIP/2.0 503 Full\r\ncall-id: x\r\nCSeq: 12 INVITE\r\nX-Outcome: cpu_full\r\nContent-Length: 0\r\n\r\n"
     + b"BYE sip:x@net SIP/2.0\r\nCall-ID: y\r\nReason: Q.850;cause=41\r\nContent-Length:0\r\n\r\n"
 )
@@ -86,9 +87,16 @@
 
 @pytest.mark.parametrize(
     ("reason", "cause"),
-    [("Q.850;cause=41", 41), ('SIP;cause=200, q.850 ; text="a,b"; Cause = 16', 16),
-     ("SIP;cause=200", None), ("", None),
-     ("Q.850;cause=0", 31), ("Q.850;cause=300", 31), ("Q.850;cause=1000", 31), ("Q.850;cause=\u00b2", 31)],
+    [
+        ("Q.850;cause=41", 41),
+        ('SIP;cause=200, q.850 ; text="a,b"; Cause = 16', 16),
+        ("SIP;cause=200", None),
+        ("", None),
+        ("Q.850;cause=0", 31),
+        ("Q.850;cause=300", 31),
+        ("Q.850;cause=1000", 31),
+        ("Q.850;cause=\u00b2", 31),
+    ],
 )
 def test_the_cause_of_a_release_fits_the_callers_one_byte(reason, cause):
     """Any other could not be passed on, and the call stood for ever."""
--- a/tests/test_cold_start.py
+++ b/tests/test_cold_start.py
@@ -95,7 +95,6 @@
         assert pace.hinted(0.0) <= 4000.0
         assert pace.hinted(9_000.0) is None and pace.hinted(10_001.0) is not None
 
-
     def test_a_wait_that_the_board_names_is_kept_and_nobody_comes_back_in_step(self):
         waits = sorted(pace.again(0.0, named_ms=4000.0) for pace in paces(300))
         assert waits[0] >= 4000.0 and most_in(waits, 100.0) <= 24
@@ -107,18 +106,21 @@
         assert pace.hinted(4999.0) is None and pace.hinted(5000.0) is not None
 
 
-@pytest.mark.parametrize(("headers", "wait_ms"), [
-    ("Retry-After: 3", 3000.0),
-    ("retry-after:  7 ", 7000.0),
-    ("Retry-After: Tue, 01 Dec 2026 10:00:05 GMT\r\nDate: Tue, 01 Dec 2026 10:00:01 GMT", 4000.0),
-    ("Retry-After: Tue, 01 Dec 2026 10:00:00 GMT\r\nDate: Tue, 01 Dec 2026 10:00:01 GMT", 0.0),  # over
-    ("Retry-After: Tue, 01 Dec 2026 10:00:05 GMT", 0.0),  # against what
-    ("Retry-After: Tue, 01 Dec 2026 10:00:05\r\nDate: Tue, 01 Dec 2026 10:00:01 GMT", 0.0),  # of no zone
-    ("Retry-After: soon", 0.0),
-    ("Retry-After: -4", 0.0),
-    ("Retry-After: \u0664", 0.0),
-    ("Server: board", 0.0),
-])
+@pytest.mark.parametrize(
+    ("headers", "wait_ms"),
+    [
+        ("Retry-After: 3", 3000.0),
+        ("retry-after:  7 ", 7000.0),
+        ("Retry-After: Tue, 01 Dec 2026 10:00:05 GMT\r\nDate: Tue, 01 Dec 2026 10:00:01 GMT", 4000.0),
+        ("Retry-After: Tue, 01 Dec 2026 10:00:00 GMT\r\nDate: Tue, 01 Dec 2026 10:00:01 GMT", 0.0),  # over
+        ("Retry-After: Tue, 01 Dec 2026 10:00:05 GMT", 0.0),  # against what
+        ("Retry-After: Tue, 01 Dec 2026 10:00:05\r\nDate: Tue, 01 Dec 2026 10:00:01 GMT", 0.0),  # of no zone
+        ("Retry-After: soon", 0.0),
+        ("Retry-After: -4", 0.0),
+        ("Retry-After: \u0664", 0.0),
+        ("Server: board", 0.0),
+    ],
+)
 def test_the_wait_that_a_refusal_names(headers, wait_ms):
     parser = sse.Parser()
     with pytest.raises(BadMessageError, match="not a success"):
@@ -134,8 +136,12 @@
     async def run():
         server = CallServer("s-0", capacity_per_s=1000.0)
         async with fleet(tmp_path, [server], instances=count) as started:
-            await asyncio.gather(*(started.proxy(f"n{n}", n, CANVASPLANK_STARTING=str(
-                tmp_path / "starting.toml")) for n in range(count)))
+            await asyncio.gather(
+                *(
+                    started.proxy(f"n{n}", n, CANVASPLANK_STARTING=str(tmp_path / "starting.toml"))
+                    for n in range(count)
+                )
+            )
             callers = Callers(seed=1)
             await callers.add_proxy(started.proxies[0].address)
             made = callers.place(time.time())
@@ -166,8 +172,9 @@
         started.in_configuration = False  # the board alone names the servers
 
     async def start(self, names) -> None:
-        await asyncio.gather(*(self.started.proxy(name, seed, **self.environment)
-                               for seed, name in enumerate(names)))
+        await asyncio.gather(
+            *(self.started.proxy(name, seed, **self.environment) for seed, name in enumerate(names))
+        )
 
     def alive(self) -> int:
         return sum(proxy.process.returncode is None for proxy in self.started.proxies)
@@ -192,7 +199,8 @@
 async def rush(folder, count, polls_per_s, over_the_store=False):
     """So many processes to start, all with the fleet's pace."""
     (folder / "starting.toml").write_text(
-        f"polls_per_s = {polls_per_s}\nfirst_per_s = 24.0\nready_with_list = true\n")
+        f"polls_per_s = {polls_per_s}\nfirst_per_s = 24.0\nready_with_list = true\n"
+    )
     environment = {"CANVASPLANK_STARTING": str(folder / "starting.toml")}
     if over_the_store:
         (folder / "fleet.toml").write_text(FLEET_FILE.format(path=folder / "fleet.db"))
@@ -248,7 +256,8 @@
             assert len(fresh.polls_since(began)) <= 2, "who hears it asks no more"
             assert (far.connections - asked) / 4.0 <= 1.75 * polls_per_s
             assert {proxy.name: await passes_test(proxy.address) for proxy in fresh.started.proxies[:8]} == {
-                proxy.name: proxy.name[0] == "n" for proxy in fresh.started.proxies[:8]}
+                proxy.name: proxy.name[0] == "n" for proxy in fresh.started.proxies[:8]
+            }
             far.heal()
             assert await fresh.heard_by(count) <= 2 * count / polls_per_s + 2.0
             await far.stop()
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -43,9 +43,19 @@
 
 
 def set_up(call_id: str = ID, wait_ms: int = 9000) -> bytes:
-    return isup.encode(isup.Message(isup.Kind.SET_UP, call_id, {
-        isup.Parameter.CLASS: b"low", isup.Parameter.WAIT: b"%d" % wait_ms, isup.Parameter.NUMBER: b"7f3a",
-        isup.Parameter.FIGURES: b"dest:0;width:1;via:-1", isup.Parameter.DESCRIPTION: b"v=0 offer"}))
+    return isup.encode(
+        isup.Message(
+            isup.Kind.SET_UP,
+            call_id,
+            {
+                isup.Parameter.CLASS: b"low",
+                isup.Parameter.WAIT: b"%d" % wait_ms,
+                isup.Parameter.NUMBER: b"7f3a",
+                isup.Parameter.FIGURES: b"dest:0;width:1;via:-1",
+                isup.Parameter.DESCRIPTION: b"v=0 offer",
+            },
+        )
+    )
 
 
 def read_to_the_end(peer: socket.socket) -> bytes:
@@ -70,10 +80,13 @@
         self.released: list[str] = []
         self.exchange.servers = SimpleNamespace(
             release=lambda _, call_id, __: self.released.append(call_id),
-            set_up=lambda *_: None, cancel=lambda *_: None)
+            set_up=lambda *_: None,
+            cancel=lambda *_: None,
+        )
         figures = Figures(frozenset({"low"}), frozenset(), None, None)
-        self.callers = self.exchange.callers = Callers(self.exchange, figures, sockets, 1000.0,
-                                                       BufferBudget(1e6))
+        self.callers = self.exchange.callers = Callers(
+            self.exchange, figures, sockets, 1000.0, BufferBudget(1e6)
+        )
         self.port = free_port()
 
     async def caller(self) -> socket.socket:
@@ -99,15 +112,21 @@
         self.callers._make_room()
 
 
-@pytest.mark.parametrize(("close", "crossing", "hears"), [
-    pytest.param(Edge.idle, set_up(), b"", id="idle-set-up"),
-    pytest.param(Edge.idle, RELEASE, b"", id="idle-release"),
-    pytest.param(Edge.for_room, set_up(), b"", id="room-set-up"),
-    pytest.param(Edge.for_room, RELEASE, b"", id="room-release"),
-    pytest.param(lambda edge: edge.callers.quiesce(), RELEASE, isup.release_heard(ID), id="quiesce-release"),
-])
-def test_what_crosses_a_close_of_ours_meets_no_reset(close: Callable[[Edge], None], crossing: bytes,
-                                                     hears: bytes):
+@pytest.mark.parametrize(
+    ("close", "crossing", "hears"),
+    [
+        pytest.param(Edge.idle, set_up(), b"", id="idle-set-up"),
+        pytest.param(Edge.idle, RELEASE, b"", id="idle-release"),
+        pytest.param(Edge.for_room, set_up(), b"", id="room-set-up"),
+        pytest.param(Edge.for_room, RELEASE, b"", id="room-release"),
+        pytest.param(
+            lambda edge: edge.callers.quiesce(), RELEASE, isup.release_heard(ID), id="quiesce-release"
+        ),
+    ],
+)
+def test_what_crosses_a_close_of_ours_meets_no_reset(
+    close: Callable[[Edge], None], crossing: bytes, hears: bytes
+):
     """The kernel reset a connection closed with bytes unread, and a release that lay there was lost.
 
     A set-up is left to its caller, who sends it again on a new connection; a release is passed on.  While
@@ -196,7 +215,7 @@
         return came
 
     came = _run(run())
-    assert [call_id.hex() for call_id in ANSWERED.findall(came)] == [ID, second][first == "a test":]
+    assert [call_id.hex() for call_id in ANSWERED.findall(came)] == [ID, second][first == "a test" :]
 
 
 @pytest.mark.parametrize("stands", [False, True], ids=["given up", "released"])
@@ -363,8 +382,13 @@
     configuration |= {"listen": f"127.0.0.1:{free_port()}", "board": f"127.0.0.1:{free_port()}"}
     path = tmp_path / "config.json"
     path.write_text(json.dumps(configuration))
-    process = subprocess.Popen([sys.executable, "-c", CROSSED, when, name], cwd=ROOT, text=True,
-                               stderr=subprocess.PIPE, env=os.environ | {"EDGE_CONFIG": str(path)})
+    process = subprocess.Popen(
+        [sys.executable, "-c", CROSSED, when, name],
+        cwd=ROOT,
+        text=True,
+        stderr=subprocess.PIPE,
+        env=os.environ | {"EDGE_CONFIG": str(path)},
+    )
     try:
         lines = []
         if name == "SIGHUP" or when == "after the loop":
@@ -388,10 +412,14 @@
 
     def __init__(self, folder: Path) -> None:
         configuration = {
-            "name": "n0", "listen": f"127.0.0.1:{free_port()}", "seed": "8c1f30d27a5be964",
+            "name": "n0",
+            "listen": f"127.0.0.1:{free_port()}",
+            "seed": "8c1f30d27a5be964",
             "settings": SETTINGS,
-            "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 64}, "board": f"127.0.0.1:{free_port()}",
-            "known": {"rev": 0, "notices": []}}
+            "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 64},
+            "board": f"127.0.0.1:{free_port()}",
+            "known": {"rev": 0, "notices": []},
+        }
         (folder / "config.json").write_text(json.dumps(configuration))
         self.configuration = load_configuration(str(folder / "config.json"))
         self.port = int(self.configuration.listen.split(":")[1])
@@ -521,7 +549,8 @@
         turns, loop = Turns(Deadlines(), clock=lambda: time.time() * 1000), asyncio.get_running_loop()
         call = CallRecord(ID, "low", "7f3a", 0, False, float("inf"), b"v=0 offer", None)
         decide = lambda now_ms, event: (  # noqa: E731
-            [api.SetUp(ID, "s-a", 9000)] if isinstance(event, api.ServerList) and exchange.open_calls else [])
+            [api.SetUp(ID, "s-a", 9000)] if isinstance(event, api.ServerList) and exchange.open_calls else []
+        )
         exchange = Exchange(turns, decide, Counters(), 100, 1e6)
         ceilings = Ceilings(conn_idle_ms=60_000.0, connect_timeout_ms=15_000.0, max_open=100)
         exchange.servers = servers = Servers(exchange, ceilings, 500.0, BufferBudget(1e6), Gauges([]))
@@ -556,8 +585,9 @@
         now_ms, writers = [0.0], []
         turns = Turns(Deadlines(), clock=lambda: now_ms[0])
         exchange = Exchange(turns, lambda _, event: [], Counters(), 100, 1e6)
-        exchange.servers = servers = Servers(exchange, Ceilings(15_000.0, 60_000.0, 100), 500.0,
-                                             BufferBudget(1e6), Gauges(["free", "size"]))
+        exchange.servers = servers = Servers(
+            exchange, Ceilings(15_000.0, 60_000.0, 100), 500.0, BufferBudget(1e6), Gauges(["free", "size"])
+        )
         notify = sip.request("NOTIFY", "lines", ID, 1, {"X-Gauges": "free:12;size:40"})
 
         def joined(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -18,9 +18,14 @@
 from canvasplank.work.config import load_work
 
 ROOT = Path(__file__).parent.parent
-LOADS = {"fleet": load_fleet, "learning": load_learning, "membership": load_membership, "store": load_store,
-         "work": load_work,
-         "starting": lambda path: load_part_settings(path, "starting", Starting, lambda _: None)}
+LOADS = {
+    "fleet": load_fleet,
+    "learning": load_learning,
+    "membership": load_membership,
+    "store": load_store,
+    "work": load_work,
+    "starting": lambda path: load_part_settings(path, "starting", Starting, lambda _: None),
+}
 
 
 @pytest.mark.parametrize("name", sorted(LOADS))
@@ -36,6 +41,7 @@
     assert set(named) <= {entry.variable for entry in TABLE}
     assert len(enabled_parts({name: str(ROOT / path) for name, path in named.items()})) == 1
     starting = LOADS["starting"](str(ROOT / "deploy" / "subset.toml"))
-    assert starting == Starting(servers_per_proxy=starting.servers_per_proxy,
-                                proxies_per_server=starting.proxies_per_server), "the subset alone"
+    assert starting == Starting(
+        servers_per_proxy=starting.servers_per_proxy, proxies_per_server=starting.proxies_per_server
+    ), "the subset alone"
     assert run.rpartition(";")[2].startswith(" exec "), "one process, which starts no program"
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -80,8 +80,14 @@
         watched = Watched(says)
         told, nobody = watched.told, "127.0.0.1:1"
         address = await watched.listen()
-        discovery = Discovery(watched.turns, nobody if moved else address, 1,
-                              lambda notice: told.append(notice.rev), BufferBudget(1e6), random.Random(1))
+        discovery = Discovery(
+            watched.turns,
+            nobody if moved else address,
+            1,
+            lambda notice: told.append(notice.rev),
+            BufferBudget(1e6),
+            random.Random(1),
+        )
         discovery.start()
         discovery.move(address)
         async with asyncio.timeout(60):
@@ -103,10 +109,14 @@
     assert all(later > 1.4 * before for before, later in pairwise(gaps_ms)), "no storm of polls"
 
 
-@pytest.mark.parametrize(("says", "told", "moved"), [
-    (b": \n\n", [], False),
-    (b'id: 2\ndata: {"rev": 2}\n\nid: 3\ndata: {"rev": 3}\n\n', [2, 3], True),
-], ids=["not moved", "moved, tells events, the same twice"])
+@pytest.mark.parametrize(
+    ("says", "told", "moved"),
+    [
+        (b": \n\n", [], False),
+        (b'id: 2\ndata: {"rev": 2}\n\nid: 3\ndata: {"rev": 3}\n\n', [2, 3], True),
+    ],
+    ids=["not moved", "moved, tells events, the same twice"],
+)
 def test_a_board_that_is_well_is_not_asked_again(says, told, moved):
     """And an event with an old id is not taken twice."""
     watched = watch(says, 30_000, moved=moved)
@@ -139,8 +149,9 @@
         old = await asyncio.start_server(refuse, "127.0.0.1", 0)
         host, port = old.sockets[0].getsockname()
         watched = Watched()
-        discovery = Discovery(watched.turns, f"{host}:{port}", 1, lambda notice: None, BufferBudget(1e6),
-                              random.Random(1))
+        discovery = Discovery(
+            watched.turns, f"{host}:{port}", 1, lambda notice: None, BufferBudget(1e6), random.Random(1)
+        )
         discovery.pace = Pace()
         discovery.start()
         new = await watched.listen()
--- a/tests/test_examples.py
+++ b/tests/test_examples.py
@@ -27,8 +27,14 @@
     environment["EDGE_CONFIG"] = str(config)
 
     def run(*words: str) -> subprocess.Popen:
-        return subprocess.Popen([sys.executable, "-m", *words], cwd=ROOT, env=environment, text=True,
-                                stdout=subprocess.PIPE, stderr=subprocess.STDOUT)
+        return subprocess.Popen(
+            [sys.executable, "-m", *words],
+            cwd=ROOT,
+            env=environment,
+            text=True,
+            stdout=subprocess.PIPE,
+            stderr=subprocess.STDOUT,
+        )
 
     server = run("examples.toy_server", sip, discovery)
     assert "ready" in server.stdout.readline()
--- a/tests/test_experiments.py
+++ b/tests/test_experiments.py
@@ -60,15 +60,18 @@
     def test_the_files_that_come_with_it_are_good(self, name):
         assert load_experiment(f"experiments/{name}.toml").variant
 
-    @pytest.mark.parametrize(("more", "said"), [
-        ('[[variant]]\nname = "paced"', "two variants have one name"),
-        ('[[fault]]\nwhat = "board-closes"\nat_s = 3.0\nfor_s = 2.0', "does not end within 4 s"),
-        ('[[fault]]\nwhat = "proxies-frozen"\nfor_s = 1.0', "cannot be simulated: proxies-frozen"),
-        ('[[fault]]\nwhat = "store-stalls"', "store-stalls is for fleets on postgresql"),
-        ('[[fault]]\nwhat = "rain"', "Invalid enum value"),
-        ('[[fault]]\nwhat = "board-closes"\npart = 0.0', "Expected `float` > 0"),
-        ("[servers]", "Cannot declare"),
-    ])
+    @pytest.mark.parametrize(
+        ("more", "said"),
+        [
+            ('[[variant]]\nname = "paced"', "two variants have one name"),
+            ('[[fault]]\nwhat = "board-closes"\nat_s = 3.0\nfor_s = 2.0', "does not end within 4 s"),
+            ('[[fault]]\nwhat = "proxies-frozen"\nfor_s = 1.0', "cannot be simulated: proxies-frozen"),
+            ('[[fault]]\nwhat = "store-stalls"', "store-stalls is for fleets on postgresql"),
+            ('[[fault]]\nwhat = "rain"', "Invalid enum value"),
+            ('[[fault]]\nwhat = "board-closes"\npart = 0.0', "Expected `float` > 0"),
+            ("[servers]", "Cannot declare"),
+        ],
+    )
     def test_a_bad_one_is_one_line(self, tmp_path, more, said):
         with pytest.raises(ConfigurationError, match=said) as fault:
             load_experiment(written(tmp_path, f"{SMALL}\n{more}"))
@@ -84,16 +87,24 @@
             second = Trace("b", 0.5, [(second_from_ms, 2000.0, 8.0)], [900.0 + 100.0 * n for n in range(10)])
             traces = [first, second]
             seen = Observed(2, 10.0, budgets={"all": Budget(10.0, 9.0, 100.0, traces, 0.0)})
-            return [figure.value for figure in measures.figures(seen, 2.0, None)
-                    if figure.what.startswith("budget all: s")]
+            return [
+                figure.value
+                for figure in measures.figures(seen, 2.0, None)
+                if figure.what.startswith("budget all: s")
+            ]
 
         kept, broken = proved(1000.0), proved(900.0)
         assert kept[0] == pytest.approx(8 / 9) and broken[0] == pytest.approx(16 / 9)
         assert kept[1] <= 1.0 and kept[2] == 1.0
 
     def test_polls_in_trouble_count_from_when_all_are_up_and_their_first_polls_over(self):
-        seen = Observed(2, 10.0, up=[0.0, 1.0], polls=[1.0, 4.9, 5.0, 6.0, 7.0, 8.0, 9.9, 10.0, 10.05],
-                        told=[0.5, 10.5, 14.0])
+        seen = Observed(
+            2,
+            10.0,
+            up=[0.0, 1.0],
+            polls=[1.0, 4.9, 5.0, 6.0, 7.0, 8.0, 9.9, 10.0, 10.05],
+            told=[0.5, 10.5, 14.0],
+        )
         found = measures.figures(seen, 20.0, back_s=10.0)
         assert value(found, "polls a second while the board is in trouble") == 5 / 5.0
         assert value(found, "100% have the list after its return") == 4.0
@@ -104,21 +115,25 @@
         seen = Observed(3, 10.0, polls=[1.0], told=[11.0, 12.0])
         assert value(measures.figures(seen, 20.0, 10.0), "100% have the list after its return") is None
 
-    @pytest.mark.parametrize(("lost", "since_s"), [
-        ([], 0.0),
-        ([50], 0.0),  # one in the twenty of two seconds is borne
-        ([0, 1, 2], 0.2),
-        ([50, 51], 5.1),
-        ([85, 86], None),  # the last whole window is bad
-        (range(100), None),
-    ])
+    @pytest.mark.parametrize(
+        ("lost", "since_s"),
+        [
+            ([], 0.0),
+            ([50], 0.0),  # one in the twenty of two seconds is borne
+            ([0, 1, 2], 0.2),
+            ([50, 51], 5.1),
+            ([85, 86], None),  # the last whole window is bad
+            (range(100), None),
+        ],
+    )
     def test_service_is_steady_since_the_last_bad_window(self, lost, since_s):
         calls = [Call(n / 10, "lost" if n in lost else "served", 0.1) for n in range(100)]
         assert measures.steady_from(calls, 10.0) == since_s
 
     def test_a_wait_counts_from_when_the_call_was_due(self):
-        seen = Observed(1, 10.0, calls=[Call(0.0, "served", 0.05), Call(1.0, "served", 2.0),
-                                        Call(2.0, "lost", 9.0)])
+        seen = Observed(
+            1, 10.0, calls=[Call(0.0, "served", 0.05), Call(1.0, "served", 2.0), Call(2.0, "lost", 9.0)]
+        )
         found = measures.figures(seen, 5.0, None)
         assert value(found, "served of all calls") == pytest.approx(2 / 3)
         assert value(found, "set-up time, 99 %") == pytest.approx(2000.0, rel=0.01)
@@ -165,14 +180,18 @@
 def test_a_small_experiment_on_processes_and_simulated_leaves_tables_charts_and_a_summary(tmp_path):
     table = played_table(tmp_path, SMALL)
     assert {(row["way"], row["size"], row["variant"]) for row in table} == {
-        (way, size, variant) for way, size in (("processes", 3), ("simulated", 30))
-        for variant in ("as it is", "paced")}
+        (way, size, variant)
+        for way, size in (("processes", 3), ("simulated", 30))
+        for variant in ("as it is", "paced")
+    }
     served = [row["value"] for row in table if row["what"] == "served of all calls"]
     assert len(served) == 4 and min(served) > 0.2
     assert (tmp_path / "to" / "series.csv").read_text().count("\n") > 50
     assert "3 proxies, processes:" in (tmp_path / "to" / "summary.md").read_text()
     assert sorted(path.name for path in (tmp_path / "to").glob("*.svg")) == [
-        "small-3-processes.svg", "small-30-simulated.svg"]
+        "small-3-processes.svg",
+        "small-30-simulated.svg",
+    ]
 
 
 def test_the_file_of_a_part_is_not_written_again_while_a_process_may_read_it(tmp_path):
@@ -266,5 +285,6 @@
         return report.Played("e", "simulated", 5, "v", seed, [Figure("heard", "s", found)], {})
 
     assert "| heard (s) | 2.5 (2 to 3), in 2 of 3 |" in report.summary(
-        [played(1, 2.0), played(2, None), played(3, 3.0)])
+        [played(1, 2.0), played(2, None), played(3, 3.0)]
+    )
     assert "| heard (s) | never |" in report.summary([played(1, None)])
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -161,7 +161,7 @@
         g.steady("a", 0, 20, gap_ms=100)
         assert sum("a" in sent_to([a]) for _, a in g.done) >= 18
 
-    @pytest.mark.parametrize("told", [(-1, 5), (3, 0), (0, -4), (1, float('inf')), (1, float('nan'))])
+    @pytest.mark.parametrize("told", [(-1, 5), (3, 0), (0, -4), (1, float("inf")), (1, float("nan"))])
     def test_absurd_lines_are_no_measure(self, told):
         g = Gateway(large())
         g.servers(ready("a", 0))
--- a/tests/test_fleet_store.py
+++ b/tests/test_fleet_store.py
@@ -71,11 +71,13 @@
         async with opened(kind, tmp_path) as (one, other, _):
             first, second = holder("a"), holder("b")
             first.answered(await one.transact(first.request(0.0, {"all": 7})))
-            await asyncio.gather(*(backend.transact(h.request(0.0, {})) for backend, h in
-                                   [(one, first), (other, second)] * 1))
+            await asyncio.gather(
+                *(backend.transact(h.request(0.0, {})) for backend, h in [(one, first), (other, second)] * 1)
+            )
             for _ in range(50):
-                answers = await asyncio.gather(one.transact(first.request(0.0, {})),
-                                               other.transact(second.request(0.0, {})))
+                answers = await asyncio.gather(
+                    one.transact(first.request(0.0, {})), other.transact(second.request(0.0, {}))
+                )
                 first.answered(answers[0])
                 second.answered(answers[1])
             rows = await one.look()
--- a/tests/test_learning.py
+++ b/tests/test_learning.py
@@ -26,24 +26,33 @@
     assert view.decode(view.encode(sent)) == sent
 
 
-@pytest.mark.parametrize(("data", "why"), [
-    (view.encode(peer_view(seen()))[:-3], "cannot be read"),  # truncated
-    (b"\x00" * (view.MOST_BYTES + 1), "more than"),  # oversized
-    (b"not a view", "cannot be read"),  # malformed
-    (view.encode(peer_view(seen(), version=2)), "version 2"),  # another release
-    (view.encode(peer_view(seen(age_ms=-5_000.0))), "after it was taken"),
-    (msgspec.msgpack.encode({"version": 1, "peer": "n1", "taken_ms": NOW, "servers": [], "extra": 1}),
-     "cannot be read"),
-    (msgspec.msgpack.encode({"version": 1, "peer": "n1", "taken_ms": float("nan"), "servers": []}),
-     "cannot be read"),
-])
+@pytest.mark.parametrize(
+    ("data", "why"),
+    [
+        (view.encode(peer_view(seen()))[:-3], "cannot be read"),  # truncated
+        (b"\x00" * (view.MOST_BYTES + 1), "more than"),  # oversized
+        (b"not a view", "cannot be read"),  # malformed
+        (view.encode(peer_view(seen(), version=2)), "version 2"),  # another release
+        (view.encode(peer_view(seen(age_ms=-5_000.0))), "after it was taken"),
+        (
+            msgspec.msgpack.encode({"version": 1, "peer": "n1", "taken_ms": NOW, "servers": [], "extra": 1}),
+            "cannot be read",
+        ),
+        (
+            msgspec.msgpack.encode({"version": 1, "peer": "n1", "taken_ms": float("nan"), "servers": []}),
+            "cannot be read",
+        ),
+    ],
+)
 def test_a_view_that_is_not_whole_or_not_ours_is_refused(data, why):
     with pytest.raises(ViewError, match=why):
         view.decode(data)
 
 
-@pytest.mark.parametrize(("age_ms", "expected"), [(0, 1.0), (5_000, 0.5), (10_000, 0.25), (-50, 1.0),
-                                                  (60_000, 0.5 ** 12), (60_001, 0.0)])
+@pytest.mark.parametrize(
+    ("age_ms", "expected"),
+    [(0, 1.0), (5_000, 0.5), (10_000, 0.25), (-50, 1.0), (60_000, 0.5**12), (60_001, 0.0)],
+)
 def test_weight_halves_with_each_half_life(age_ms, expected):
     assert merge.weight(age_ms) == pytest.approx(expected)
 
@@ -57,16 +66,23 @@
 
 
 def test_a_fresh_slowdown_is_taken():
-    [hint] = merge.hints(peer_view(seen(age_ms=500.0, rate_per_s=2.0, slow=True)), NOW, [Listed("s-1", None)],
-                         fresh_rate_per_s=50.0)
+    [hint] = merge.hints(
+        peer_view(seen(age_ms=500.0, rate_per_s=2.0, slow=True)),
+        NOW,
+        [Listed("s-1", None)],
+        fresh_rate_per_s=50.0,
+    )
     assert hint.shun and hint.rate_per_s < 10.0
 
 
-@pytest.mark.parametrize("listed", [
-    [],  # gone
-    [Listed("s-2", None)],  # another instanceId at its place
-    [Listed("s-1", NOW - 2_000.0)],  # the same name, a new process
-])
+@pytest.mark.parametrize(
+    "listed",
+    [
+        [],  # gone
+        [Listed("s-2", None)],  # another instanceId at its place
+        [Listed("s-1", NOW - 2_000.0)],  # the same name, a new process
+    ],
+)
 def test_servers_gone_or_started_anew_are_dropped(listed):
     assert merge.hints(peer_view(seen(rate_per_s=3.0, silent=True)), NOW, listed) == []
 
@@ -136,8 +152,11 @@
         while peer.now < 30_000:
             peer.call(first=0)
             peer.until(peer.now + 250)
-        [seen] = [s for s in merge.exported("n1", peer.controller.learned(), peer.now).servers
-                  if s.instance_id == "a"]
+        [seen] = [
+            s
+            for s in merge.exported("n1", peer.controller.learned(), peer.now).servers
+            if s.instance_id == "a"
+        ]
         assert seen.silent and peer.now - seen.learned_ms < 5_000
 
     def test_a_word_from_before_the_recovery_30_s_ago_is_not_kept(self):
--- a/tests/test_learning_asking.py
+++ b/tests/test_learning_asking.py
@@ -55,14 +55,17 @@
     assert taken == GOOD
 
 
-@pytest.mark.parametrize(("answer", "delay_s", "logged"), [
-    (None, 0.0, "no whole answer within 300 ms"),  # never answers
-    (framed(view.encode(GOOD)), 5.0, "no whole answer"),  # slow
-    (framed(view.encode(GOOD))[:-4], 0.0, "bytes read"),  # cut short
-    (b"\xff\xff\xff\xff", 0.0, "more than"),  # oversized
-    (framed(b"\x93\x01\x02\x03"), 0.0, "cannot be read"),  # malformed
-    (framed(view.encode(PeerView(2, "n1", 1.8e12, []))), 0.0, "version 2"),  # another release
-])
+@pytest.mark.parametrize(
+    ("answer", "delay_s", "logged"),
+    [
+        (None, 0.0, "no whole answer within 300 ms"),  # never answers
+        (framed(view.encode(GOOD)), 5.0, "no whole answer"),  # slow
+        (framed(view.encode(GOOD))[:-4], 0.0, "bytes read"),  # cut short
+        (b"\xff\xff\xff\xff", 0.0, "more than"),  # oversized
+        (framed(b"\x93\x01\x02\x03"), 0.0, "cannot be read"),  # malformed
+        (framed(view.encode(PeerView(2, "n1", 1.8e12, []))), 0.0, "version 2"),  # another release
+    ],
+)
 def test_a_peer_that_fails_costs_one_line_and_no_more_than_the_bound(answer, delay_s, logged, caplog):
     with caplog.at_level(logging.WARNING):
         taken, took_s = played(answer, delay_s)
@@ -104,8 +107,10 @@
     async def run() -> tuple[PeerView | None, float]:
         hangs, answers = await stand_in(None), await stand_in(framed(view.encode(GOOD)))
         async with hangs, answers:
-            addresses = [refused_address(), *(f"127.0.0.1:{each.sockets[0].getsockname()[1]}"
-                                              for each in (hangs, answers))]
+            addresses = [
+                refused_address(),
+                *(f"127.0.0.1:{each.sockets[0].getsockname()[1]}" for each in (hangs, answers)),
+            ]
             began = time.monotonic()
             return await ask_in_turn(addresses, BOUND_S), time.monotonic() - began
 
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -40,15 +40,18 @@
     assert decode(encode(kept())) == kept()
 
 
-@pytest.mark.parametrize(("data", "why"), [
-    (b"", "cannot be read"),
-    (encode(kept())[:-20], "cannot be read"),  # cut short
-    (encode(kept()).replace(b"host_port", b"host_part"), "cannot be read"),
-    (encode(KeptList(2, NOW, [A])), "version 2"),
-    (encode(kept(0.0, A, A)), "twice"),
-    (b" " * (MOST_BYTES + 1), "more than"),
-    (encode(kept()).replace(b"ready", b"\xff\xfe"), "cannot be read"),
-])
+@pytest.mark.parametrize(
+    ("data", "why"),
+    [
+        (b"", "cannot be read"),
+        (encode(kept())[:-20], "cannot be read"),  # cut short
+        (encode(kept()).replace(b"host_port", b"host_part"), "cannot be read"),
+        (encode(KeptList(2, NOW, [A])), "version 2"),
+        (encode(kept(0.0, A, A)), "twice"),
+        (b" " * (MOST_BYTES + 1), "more than"),
+        (encode(kept()).replace(b"ready", b"\xff\xfe"), "cannot be read"),
+    ],
+)
 def test_a_list_that_is_spoilt_is_not_used(data, why, tmp_path, caplog):
     with pytest.raises(KeptError, match=why):
         decode(data)
@@ -57,13 +60,16 @@
     assert len(caplog.records) == 1 and "no list of servers taken" in caplog.text
 
 
-@pytest.mark.parametrize(("age_ms", "names", "careful"), [
-    (TRUSTED_MS, ["s-a", "s-b"], False),  # as told, the draining one too
-    (TRUSTED_MS + 1, ["s-a"], True),
-    (HOUR_MS, ["s-a"], True),
-    (MOST_AGE_MS, ["s-a"], True),
-    (-5_000.0, ["s-a"], True),  # from the future: a clock was set back
-])
+@pytest.mark.parametrize(
+    ("age_ms", "names", "careful"),
+    [
+        (TRUSTED_MS, ["s-a", "s-b"], False),  # as told, the draining one too
+        (TRUSTED_MS + 1, ["s-a"], True),
+        (HOUR_MS, ["s-a"], True),
+        (MOST_AGE_MS, ["s-a"], True),
+        (-5_000.0, ["s-a"], True),  # from the future: a clock was set back
+    ],
+)
 def test_age_decides_who_is_entered_and_with_what_care(age_ms, names, careful):
     start = judge(kept(age_ms), NOW, gateways=6)
     assert [i.instance_id for i in start.instances] == names
@@ -131,10 +137,15 @@
     assert caplog.text.count("is not kept at") == 1
 
 
-@pytest.mark.parametrize(("text", "says"), [
-    ("", "path"), ('path = ""', "length"), ('path = "x"\ntrusted_ms = 9\nmost_age_ms = 3', "more than"),
-    ('path = "x"\ncolour = 1', "colour"),
-])
+@pytest.mark.parametrize(
+    ("text", "says"),
+    [
+        ("", "path"),
+        ('path = ""', "length"),
+        ('path = "x"\ntrusted_ms = 9\nmost_age_ms = 3', "more than"),
+        ('path = "x"\ncolour = 1', "colour"),
+    ],
+)
 def test_a_bad_setting_is_one_line(tmp_path, text, says):
     (tmp_path / "membership.toml").write_text(text)
     with pytest.raises(ConfigurationError, match=says):
@@ -184,8 +195,10 @@
                 while new.set_ups == before:  # within seconds of the board's return
                     await callers.offer(15.0, 0.3)
             async with asyncio.timeout(WAIT_S):  # calls that stood meanwhile end as usual
-                while any(t.outcome == "open" or (t.outcome == "served" and t.released_s is None)
-                          for t in callers.tries.values()):
+                while any(
+                    t.outcome == "open" or (t.outcome == "served" and t.released_s is None)
+                    for t in callers.tries.values()
+                ):
                     await asyncio.sleep(0.05)
             assert answered(callers) == {"served"}, proxy.text()
             assert all(made.answers == 1 for made in callers.tries.values())
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -39,8 +39,13 @@
         if learning is not None:
             (tmp / f"learning-{listen}.toml").write_text(learning)
             environment["CANVASPLANK_LEARNING"] = str(tmp / f"learning-{listen}.toml")
-        self.process = subprocess.Popen([sys.executable, "-m", "canvasplank"], cwd=ROOT, env=environment,
-                                        stderr=subprocess.PIPE, text=True)
+        self.process = subprocess.Popen(
+            [sys.executable, "-m", "canvasplank"],
+            cwd=ROOT,
+            env=environment,
+            stderr=subprocess.PIPE,
+            text=True,
+        )
         self.lines: list[str] = []
 
     def wait_for(self, words: str) -> None:
--- a/tests/test_ownership.py
+++ b/tests/test_ownership.py
@@ -145,8 +145,12 @@
                 for name, task in rows.tasks.items():
                     assert task.term >= terms[name]
                     terms[name] = task.term
-                now = [name for c in all_of_them for name, term in c.owns.items()
-                       if rows.tasks[name].term == term and rows.tasks[name].owner == c.holder.incarnation]
+                now = [
+                    name
+                    for c in all_of_them
+                    for name, term in c.owns.items()
+                    if rows.tasks[name].term == term and rows.tasks[name].owner == c.holder.incarnation
+                ]
                 assert len(now) == len(set(now))
 
 
@@ -154,25 +158,37 @@
     """Closings in SQL, on both engines."""
 
     def record(self, number, taken_ms, final="served", instance="n0", member="acme"):
-        return Outcome(f"{number:016x}", instance, taken_ms, "low", final, "s", 1, taken_ms + 40,
-                       member=member)
+        return Outcome(
+            f"{number:016x}", instance, taken_ms, "low", final, "s", 1, taken_ms + 40, member=member
+        )
 
     @pytest.mark.parametrize("kind", ["sqlite", "postgresql"])
     def test_each_call_is_counted_once_and_late_ones_are_corrections(self, tmp_path, kind):
         async def run():
             async with database(kind, tmp_path) as (_, fleet, store, _server):
                 tenure = await own(fleet)
-                await store.write([self.record(n, 500 + n) for n in range(10)]
-                                  + [self.record(3, 900, "failed", "n1"),
-                                     self.record(77, 990, "failed", "n1"),
-                                     self.record(77, 995, "served", "n2")])
+                await store.write(
+                    [self.record(n, 500 + n) for n in range(10)]
+                    + [
+                        self.record(3, 900, "failed", "n1"),
+                        self.record(77, 990, "failed", "n1"),
+                        self.record(77, 995, "served", "n2"),
+                    ]
+                )
                 await fleet.act(tenure, usage.closing(Closing(0, 1000), 1000, 300, None, tenure.term))
                 assert await sums(fleet, 0) == [Sum(0, "acme", "low", "served", 0, 11)]
-                await store.write([self.record(50, 700, member=None), self.record(77, 999, "served", "n3"),
-                                   self.record(60, 1500, "refused")])
+                await store.write(
+                    [
+                        self.record(50, 700, member=None),
+                        self.record(77, 999, "served", "n3"),
+                        self.record(60, 1500, "refused"),
+                    ]
+                )
                 await fleet.act(tenure, usage.closing(Closing(1, 2000), 1000, 300, 0, tenure.term))
-                assert await sums(fleet, 1) == [Sum(0, "", "low", "served", 1, 1),
-                                                Sum(1, "acme", "low", "refused", 0, 1)]
+                assert await sums(fleet, 1) == [
+                    Sum(0, "", "low", "served", 1, 1),
+                    Sum(1, "acme", "low", "refused", 0, 1),
+                ]
                 with pytest.raises(StoreRefusedError):
                     await fleet.act(tenure, usage.closing(Closing(1, 2000), 1000, 300, 0, tenure.term))
                 await fleet.act(tenure, usage.retention(10_000))
@@ -191,15 +207,23 @@
         async def run():
             async with database(kind, tmp_path) as (_, fleet, store, _server):
                 tenure = await own(fleet)
-                await store.write([tried(1, 100, "refused", "a"), tried(2, 300, "failed", "a"),
-                                   tried(3, 500, "served", "a"),  # three tries, one call that stood
-                                   tried(4, 550, "served", "a"),  # and another, after one that stood
-                                   tried(5, 100, "failed", "b"),
-                                   tried(6, 650, "failed", "b"),  # too far apart: two calls
-                                   tried(7, 900, "refused", "c"), self.record(8, 910, "failed")])
+                await store.write(
+                    [
+                        tried(1, 100, "refused", "a"),
+                        tried(2, 300, "failed", "a"),
+                        tried(3, 500, "served", "a"),  # three tries, one call that stood
+                        tried(4, 550, "served", "a"),  # and another, after one that stood
+                        tried(5, 100, "failed", "b"),
+                        tried(6, 650, "failed", "b"),  # too far apart: two calls
+                        tried(7, 900, "refused", "c"),
+                        self.record(8, 910, "failed"),
+                    ]
+                )
                 await fleet.act(tenure, usage.closing(Closing(0, 1000), 1000, 300, None, tenure.term))
-                assert await sums(fleet, 0) == [Sum(0, "acme", "low", "failed", 0, 3),
-                                                Sum(0, "acme", "low", "served", 0, 2)]
+                assert await sums(fleet, 0) == [
+                    Sum(0, "acme", "low", "failed", 0, 3),
+                    Sum(0, "acme", "low", "served", 0, 2),
+                ]
                 await store.write([tried(9, 1100, "served", "c")])  # the repeat of one near the period's end
                 await fleet.act(tenure, usage.closing(Closing(1, 2000), 1000, 300, 0, tenure.term))
                 assert await sums(fleet, 1) == [Sum(1, "acme", "low", "served", 0, 1)]
@@ -220,11 +244,17 @@
         asyncio.run(run())
 
 
-@pytest.mark.parametrize(("last", "late", "made"), [
-    (None, False, Closing(8, 9000)), (7, False, Closing(8, 9000)), (3, False, Closing(8, 9000)),
-    (8, True, None),  # closed, and what comes late waits for the next
-    (300, False, None), (300, True, Closing(301, 9000)),  # by a clock that was ahead of ours
-])
+@pytest.mark.parametrize(
+    ("last", "late", "made"),
+    [
+        (None, False, Closing(8, 9000)),
+        (7, False, Closing(8, 9000)),
+        (3, False, Closing(8, 9000)),
+        (8, True, None),  # closed, and what comes late waits for the next
+        (300, False, None),
+        (300, True, Closing(301, 9000)),  # by a clock that was ahead of ours
+    ],
+)
 def test_what_may_be_closed_goes_by_the_owners_clock_and_never_backwards(last, late, made):
     assert next_closing(10_050.0, 1000, 100.0, last, late) == made
 
@@ -268,11 +298,17 @@
             files.claim(tmp_path / "nowhere")
 
 
-@pytest.mark.parametrize(("line", "says"), [
-    ("period_ms = 0", "Expected `int` >= 100"), ("period_ms = 1.5", "Expected `int`"),
-    ("formats = []", "names none"), ('formats = ["xml"]', "Invalid enum value 'xml'"),
-    ("keep_ms = 10.0", "keep_ms is less"), ("folder = ''", "length >= 1"),
-])
+@pytest.mark.parametrize(
+    ("line", "says"),
+    [
+        ("period_ms = 0", "Expected `int` >= 100"),
+        ("period_ms = 1.5", "Expected `int`"),
+        ("formats = []", "names none"),
+        ('formats = ["xml"]', "Invalid enum value 'xml'"),
+        ("keep_ms = 10.0", "keep_ms is less"),
+        ("folder = ''", "length >= 1"),
+    ],
+)
 def test_a_bad_work_file_is_one_line(tmp_path, line, says):
     text = WORK.format(folder=tmp_path, keep_ms=9e6)
     key = line.partition(" ")[0]
@@ -334,13 +370,26 @@
 
     async def start(self, name, pause="", fleet_file=None, ahead_s=0):
         environment = os.environ | {"CANVASPLANK_LOG": "json", "CANVASPLANK_PAUSE": pause}
-        code = (f"import time; unix = time.time; time.time = lambda: unix() + {ahead_s}; "
-                "from canvasplank.cli import cli; cli()")  # its clock may be minutes off
+        code = (
+            f"import time; unix = time.time; time.time = lambda: unix() + {ahead_s}; "
+            "from canvasplank.cli import cli; cli()"
+        )  # its clock may be minutes off
         with (self.folder / f"{name}.log").open("wb") as log:
             self.processes[name] = await asyncio.create_subprocess_exec(
-                sys.executable, "-c", code, "worker", "--fleet", str(fleet_file or self.fleet_file),
-                "--work", str(self.folder / "work.toml"), "--name", name,
-                cwd=ROOT, env=environment, stderr=log)
+                sys.executable,
+                "-c",
+                code,
+                "worker",
+                "--fleet",
+                str(fleet_file or self.fleet_file),
+                "--work",
+                str(self.folder / "work.toml"),
+                "--name",
+                name,
+                cwd=ROOT,
+                env=environment,
+                stderr=log,
+            )
 
     def log(self, name):
         return (self.folder / f"{name}.log").read_text()
@@ -396,12 +445,33 @@
 
 def outcomes(first, count):
     now_ms = int(time.time() * 1000) - 3 * PERIOD_MS
-    return [Outcome(f"{number:016x}", "n0", now_ms + number % 1000, "low", "served", "s", 1, now_ms + 40,
-                    member="acme") for number in range(first, first + count)]
-
-
-STEPS = ["close:decided", "close:written", "close:committed", "export:read", "export:written",
-         "export:linked", "export:marked", "retain:decided", "retain:written"]
+    return [
+        Outcome(
+            f"{number:016x}",
+            "n0",
+            now_ms + number % 1000,
+            "low",
+            "served",
+            "s",
+            1,
+            now_ms + 40,
+            member="acme",
+        )
+        for number in range(first, first + count)
+    ]
+
+
+STEPS = [
+    "close:decided",
+    "close:written",
+    "close:committed",
+    "export:read",
+    "export:written",
+    "export:linked",
+    "export:marked",
+    "retain:decided",
+    "retain:written",
+]
 
 
 @pytest.mark.parametrize("step", STEPS)
@@ -505,8 +575,9 @@
                 answers = []
                 for backend, candidate in ((fleet, one), (other, two)):
                     request = candidate.holder.request(0.0, {})
-                    answers.append(backend.transact(
-                        msgspec.structs.replace(request, **candidate.ownership.says(0.0))))
+                    answers.append(
+                        backend.transact(msgspec.structs.replace(request, **candidate.ownership.says(0.0)))
+                    )
                 for candidate, answer in zip((one, two), await asyncio.gather(*answers), strict=True):
                     candidate.holder.answered(answer)
                     candidate.ownership.heard(answer, 0.0)
@@ -531,8 +602,9 @@
             assert {member.name for member in (await fleet.look()).members.values()} == {"b"}
             await store.write(outcomes(0, 10))
             await all_exported(workers, fleet, 10)
-            shown = await asyncio.to_thread(CliRunner().invoke, cli, [
-                "fleet", "owners", "--fleet", str(workers.fleet_file)])
+            shown = await asyncio.to_thread(
+                CliRunner().invoke, cli, ["fleet", "owners", "--fleet", str(workers.fleet_file)]
+            )
             lines = [line.split("\t") for line in shown.output.splitlines()]
             assert [line[0] for line in lines] == ["close", "export", "retain"]
             assert {line[1].split()[0] for line in lines} == {"b"}, shown.output
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -540,8 +540,9 @@
 class TestNewlyMet:
     """Found on sockets: the first late answer of a day set rates to the floor for most of it."""
 
-    @pytest.mark.parametrize(("sign", "rate"), [
-        ("late", 10), ("no line", 10), ("full", server_rules.FLOOR_RATE)])
+    @pytest.mark.parametrize(
+        ("sign", "rate"), [("late", 10), ("no line", 10), ("full", server_rules.FLOOR_RATE)]
+    )
     def test_only_a_full_processor_cuts_it_below_an_even_share(self, sign, rate):
         classes = tuple(replace(c, hold_ms=2000.0) for c in SETTINGS.classes)
         g = Gateway(settings(classes=classes))
--- a/tests/test_rules_property.py
+++ b/tests/test_rules_property.py
@@ -64,7 +64,7 @@
         self.g.servers(*(api.Server(n, i, api.ServerState.READY) for i, n in enumerate(NAMES)))
 
     def check(self) -> None:
-        for when, action in self.g.done[self.seen:]:
+        for when, action in self.g.done[self.seen :]:
             match action:
                 case api.SetUp(call, server, timeout):
                     assert call in self.owed, "1: nothing is sent for a call that is over"
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -60,9 +60,15 @@
     assert failed_ms <= disconnecting_ms <= failed_ms + 20
 
 
-@pytest.mark.parametrize(("load", "stopped_ms"), [
-    ({}, 740), ({"connections": 1}, 820), ({"unsent": 1}, 3540), ({"unsent": 1, "connections": 1}, 3620),
-])
+@pytest.mark.parametrize(
+    ("load", "stopped_ms"),
+    [
+        ({}, 740),
+        ({"connections": 1}, 820),
+        ({"unsent": 1}, 3540),
+        ({"unsent": 1, "connections": 1}, 3620),
+    ],
+)
 def test_it_stops_before_somebody_may_kill_it(load, stopped_ms):
     assert entered(begun(), **load)[Phase.STOPPED] == pytest.approx(stopped_ms, abs=20)
     assert entered(begun(), **load)[Phase.STOPPED] < 3700
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -34,8 +34,18 @@
 
 
 def record(at: int, version: int = ANSWERED, **more) -> Outcome:
-    return Outcome(f"{at:016x}", "n0", 1_800_000_000_000 + at, "low", "served", "s-1", 1,
-                   1_800_000_000_040 + at, version=version, **more)
+    return Outcome(
+        f"{at:016x}",
+        "n0",
+        1_800_000_000_000 + at,
+        "low",
+        "served",
+        "s-1",
+        1,
+        1_800_000_000_040 + at,
+        version=version,
+        **more,
+    )
 
 
 class OnSqlite:
@@ -87,8 +97,19 @@
 
 
 def call(number: int) -> CallRecord:
-    return CallRecord(f"{number:016x}", "low", "7f", 0, False, 0.0, b"d", None, attempts=1,
-                      taken_ms=1_800_000_000_000.0 + number, tried="s-1")
+    return CallRecord(
+        f"{number:016x}",
+        "low",
+        "7f",
+        0,
+        False,
+        0.0,
+        b"d",
+        None,
+        attempts=1,
+        taken_ms=1_800_000_000_000.0 + number,
+        tried="s-1",
+    )
 
 
 @pytest.mark.parametrize("store", [OnSqlite, OnPostgresql])
@@ -101,15 +122,19 @@
             await used.backend.write([record(2), record(1)])  # again, after an answer that was lost
             await used.backend.close()
             await used.backend.open()  # the tables are there already
-            assert await used.backend.count(0, "") == [Count("low", "served", None, 2),
-                                                       Count("low", "served", "ended", 1)]
+            assert await used.backend.count(0, "") == [
+                Count("low", "served", None, 2),
+                Count("low", "served", "ended", 1),
+            ]
             assert await used.backend.count(0, "n1") == []
             assert await used.backend.count(1_800_000_000_003, "n0") == [Count("low", "served", None, 1)]
             return used.rows()
 
-    assert asyncio.run(run()) == [schema.row(record(1)),
-                                  schema.row(record(2, OVER, ended_ms=1_800_000_009_000, ending="ended")),
-                                  schema.row(record(3))]
+    assert asyncio.run(run()) == [
+        schema.row(record(1)),
+        schema.row(record(2, OVER, ended_ms=1_800_000_009_000, ending="ended")),
+        schema.row(record(3)),
+    ]
 
 
 @pytest.mark.parametrize("store", [OnSqlite, OnPostgresql])
@@ -219,16 +244,19 @@
     assert any("3 records were not written before the end" in line for line in said)
 
 
-@pytest.mark.parametrize(("text", "says"), [
-    ("", "backend"),
-    ('backend = "oracle"', "oracle"),
-    ('backend = "sqlite"', "needs a path"),
-    ('backend = "postgresql"', "needs a dsn"),
-    ('backend = "postgresql"\ndsn = "postgresql://u@h:port/d"', "ort"),
-    ('backend = "sqlite"\npath = "x"\nqueue_most = 0', "queue_most"),
-    ('backend = "sqlite"\npath = "x"\ncolour = 1', "colour"),
-    ("backend = ", "nvalid value"),
-])
+@pytest.mark.parametrize(
+    ("text", "says"),
+    [
+        ("", "backend"),
+        ('backend = "oracle"', "oracle"),
+        ('backend = "sqlite"', "needs a path"),
+        ('backend = "postgresql"', "needs a dsn"),
+        ('backend = "postgresql"\ndsn = "postgresql://u@h:port/d"', "ort"),
+        ('backend = "sqlite"\npath = "x"\nqueue_most = 0', "queue_most"),
+        ('backend = "sqlite"\npath = "x"\ncolour = 1', "colour"),
+        ("backend = ", "nvalid value"),
+    ],
+)
 def test_a_bad_setting_is_one_line(tmp_path, text, says):
     (tmp_path / "store.toml").write_text(text)
     with pytest.raises(ConfigurationError, match=says) as fault:
--- a/tests/test_store_outbox.py
+++ b/tests/test_store_outbox.py
@@ -86,8 +86,10 @@
     assert sorted(written, key=lambda r: r.call_id) == [record(n) for n in range(16) if n != 11]
 
 
-@given(st.lists(st.sampled_from(["put", "over", "take", "written", "failed", "refused"]), max_size=80),
-       st.integers(0, 9))
+@given(
+    st.lists(st.sampled_from(["put", "over", "take", "written", "failed", "refused"]), max_size=80),
+    st.integers(0, 9),
+)
 def test_whatever_happens_every_record_is_accounted_for(steps, seed):
     """The store is a dictionary by key; at the end it holds the last row of every call that was taken in."""
     box, chance = outbox(queue_most=12, batch_most=4, linger_ms=0), random.Random(seed)
@@ -118,7 +120,8 @@
         assert len(box) <= 12
     assert not len(box)
     assert {k: v for k, v in store.items() if k not in rejected} == {
-        k: v for k, v in taken.items() if k not in rejected}
+        k: v for k, v in taken.items() if k not in rejected
+    }
 
 
 @pytest.mark.parametrize("closing", [False, True])
