--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -103,10 +103,21 @@
     await fleet.transact(Request("proxy-2", None, 1, 8, 600.0, {"all": holding(0)}))
     await fleet.transact(Request("proxy-1", 1, 2, 8, 400.0, {"all": holding(30_000, 50_000)}, hears=True))
     await fleet.transact(Request("proxy-2", 2, 2, 8, 600.0, {"all": holding(0)}))
-    await fleet.transact(Request("worker-1", None, 1, 8, 400.0, {}, able=("close", "export", "retain"),
-                                 ready={"close": 0, "export": 0, "retain": 0}))
-    await fleet.transact(Request("worker-1", 3, 2, 8, 400.0, {}, able=("close", "export", "retain"),
-                                 given_up=("retain",)))
+    await fleet.transact(
+        Request(
+            "worker-1",
+            None,
+            1,
+            8,
+            400.0,
+            {},
+            able=("close", "export", "retain"),
+            ready={"close": 0, "export": 0, "retain": 0},
+        )
+    )
+    await fleet.transact(
+        Request("worker-1", 3, 2, 8, 400.0, {}, able=("close", "export", "retain"), given_up=("retain",))
+    )
     closing = Tenure("close", 1, 3)
     made = usage.Closing(PERIOD, (PERIOD + 1) * PERIOD_MS)
     await fleet.act(closing, usage.closing(made, PERIOD_MS, REPEAT_MS, None, closing.term))
@@ -123,19 +134,26 @@
 
 
 def write_endpoint_list(path: Path) -> None:
-    instances = [Instance("core-a", "10.0.0.1:5060", "ready", 0, START_MS - 5000.0, "north"),
-                 Instance("core-b", "10.0.0.2:5060", "draining", 1)]
+    instances = [
+        Instance("core-a", "10.0.0.1:5060", "ready", 0, START_MS - 5000.0, "north"),
+        Instance("core-b", "10.0.0.2:5060", "draining", 1),
+    ]
     keeper.write(str(path), Roster(instances, float(START_MS)).kept())
 
 
 def peer_view() -> bytes:
-    learned = [("core-a", START_MS - 5000.0, 12.5, False, False, START_MS - 100.0),
-               ("core-b", None, None, True, True, START_MS + 500.0)]
+    learned = [
+        ("core-a", START_MS - 5000.0, 12.5, False, False, START_MS - 100.0),
+        ("core-b", None, None, True, True, START_MS + 500.0),
+    ]
     return view.encode(exported("proxy-1", learned, float(START_MS)))
 
 
-SUMS = [Sum(PERIOD, "", "reading", "failed", 0, 2), Sum(PERIOD, "acme", "reading", "served", 0, 1),
-        Sum(PERIOD - 1, "acme", "reading", "refused", 1, 3)]
+SUMS = [
+    Sum(PERIOD, "", "reading", "failed", 0, 2),
+    Sum(PERIOD, "acme", "reading", "served", 0, 1),
+    Sum(PERIOD - 1, "acme", "reading", "refused", 1, 3),
+]
 
 
 # --------------------------------------------------------------------------------------------------- tests
@@ -167,8 +185,9 @@
         fleet = FleetSqlite(str(restored("fleet.db", tmp_path)))
         await fleet.open()
         try:
-            return await fleet.transact(Request("proxy-2", 2, 3, 8, 600.0, {"all": holding(32_000)},
-                                                dead=(Sign(1, 2, 400.0),)))
+            return await fleet.transact(
+                Request("proxy-2", 2, 3, 8, 600.0, {"all": holding(32_000)}, dead=(Sign(1, 2, 400.0),))
+            )
         finally:
             await fleet.close()
 
@@ -184,22 +203,32 @@
         [(form, content)] = database.execute("SELECT form, content FROM fleet_member WHERE incarnation = 1")
     assert form == 1
     assert json.loads(content) == {
-        "most": 8, "lease_ms": 400.0, "able": [], "hears": True,
+        "most": 8,
+        "lease_ms": 400.0,
+        "able": [],
+        "hears": True,
         "holdings": {"all": {"whole": 80_000, "reserve": 16_000, "held": 32_000, "demand": 50_000}},
     }
 
 
 def test_the_command_line_shows_a_fleet_of_an_earlier_version(tmp_path):
     (tmp_path / "fleet.toml").write_text(FLEET_FILE.format(path=restored("fleet.db", tmp_path)))
-    said = {command: CliRunner().invoke(cli, [*command.split(), "--fleet", str(tmp_path / "fleet.toml")])
-            for command in ("fleet status", "fleet owners", "budgets show")}
-    assert said["fleet status"].output == ("proxy-1\t1\t2 requests\tquiet\nproxy-2\t2\t2 requests\tquiet\n"
-                                           "worker-1\t3\t2 requests\tquiet\n")
-    assert said["fleet owners"].output == ("close\tworker-1 (3)\tterm 1\nexport\tworker-1 (3)\tterm 1\n"
-                                           "retain\tnobody\tterm 1\tfailed 1 times, last at 3\n")
-    assert said["budgets show"].output == ("all\tleased 64 of 64/s\tfree 0/s\n"
-                                           "  proxy-1\t1\tholds 32/s\twants 50/s\n"
-                                           "  proxy-2\t2\tholds 32/s\twants -\n")
+    said = {
+        command: CliRunner().invoke(cli, [*command.split(), "--fleet", str(tmp_path / "fleet.toml")])
+        for command in ("fleet status", "fleet owners", "budgets show")
+    }
+    assert said["fleet status"].output == (
+        "proxy-1\t1\t2 requests\tquiet\nproxy-2\t2\t2 requests\tquiet\nworker-1\t3\t2 requests\tquiet\n"
+    )
+    assert said["fleet owners"].output == (
+        "close\tworker-1 (3)\tterm 1\nexport\tworker-1 (3)\tterm 1\n"
+        "retain\tnobody\tterm 1\tfailed 1 times, last at 3\n"
+    )
+    assert said["budgets show"].output == (
+        "all\tleased 64 of 64/s\tfree 0/s\n"
+        "  proxy-1\t1\tholds 32/s\twants 50/s\n"
+        "  proxy-2\t2\tholds 32/s\twants -\n"
+    )
 
 
 def test_the_usage_ledger_is_read_and_closed_again(tmp_path):
@@ -218,8 +247,10 @@
 
     first, second = asyncio.run(close_next())
     assert first == [
-        Sum(PERIOD, "", "reading", "failed", 0, 1), Sum(PERIOD, "", "reading", "given_up", 0, 1),
-        Sum(PERIOD, "", "reading", "served", 0, 1), Sum(PERIOD, "acme", "reading", "refused", 0, 1),
+        Sum(PERIOD, "", "reading", "failed", 0, 1),
+        Sum(PERIOD, "", "reading", "given_up", 0, 1),
+        Sum(PERIOD, "", "reading", "served", 0, 1),
+        Sum(PERIOD, "acme", "reading", "refused", 0, 1),
         Sum(PERIOD, "acme", "reading", "served", 0, 1),
     ]
     assert second == [Sum(PERIOD + 1, "zenith", "reading", "served", 0, 1)]
@@ -234,11 +265,17 @@
         finally:
             await store.close()
 
-    assert sorted(asyncio.run(count()), key=str) == sorted([
-        Count("reading", "failed", None, 1), Count("reading", "given_up", None, 1),
-        Count("reading", "refused", None, 1), Count("reading", "served", "cut", 1),
-        Count("reading", "served", "ended", 1), Count("reading", "served", None, 1),
-    ], key=str)
+    assert sorted(asyncio.run(count()), key=str) == sorted(
+        [
+            Count("reading", "failed", None, 1),
+            Count("reading", "given_up", None, 1),
+            Count("reading", "refused", None, 1),
+            Count("reading", "served", "cut", 1),
+            Count("reading", "served", "ended", 1),
+            Count("reading", "served", None, 1),
+        ],
+        key=str,
+    )
 
 
 def test_the_columns_of_the_records_stay(tmp_path):
@@ -256,43 +293,71 @@
     path = restored("store.db", tmp_path)
     asyncio.run(write())
     with contextlib.closing(sqlite3.connect(path)) as database:
-        rows = database.execute("SELECT final, ended_ms, ending, version, closed_in FROM call_outcome "
-                                "WHERE call_id = '0000000000000003'").fetchall()
+        rows = database.execute(
+            "SELECT final, ended_ms, ending, version, closed_in FROM call_outcome "
+            "WHERE call_id = '0000000000000003'"
+        ).fetchall()
     assert rows == [("served", START_MS + 8000, "released", 2, None)]
 
 
 def test_a_cached_endpoint_list_is_read_and_written_the_same(tmp_path):
     cached = STORED / "servers.json"
-    assert keeper.read(str(cached)) == KeptList(1, float(START_MS), [
-        KeptServer("core-a", "10.0.0.1:5060", "ready", 0, START_MS - 5000.0),
-        KeptServer("core-b", "10.0.0.2:5060", "draining", 1),
-    ])
+    assert keeper.read(str(cached)) == KeptList(
+        1,
+        float(START_MS),
+        [
+            KeptServer("core-a", "10.0.0.1:5060", "ready", 0, START_MS - 5000.0),
+            KeptServer("core-b", "10.0.0.2:5060", "draining", 1),
+        ],
+    )
     write_endpoint_list(tmp_path / "servers.json")
     assert (tmp_path / "servers.json").read_bytes() == cached.read_bytes()
     assert list(json.loads(cached.read_bytes())["servers"][0]) == [
-        "instance_id", "host_port", "lifecycle", "cell", "started_at_ms"]
+        "instance_id",
+        "host_port",
+        "lifecycle",
+        "cell",
+        "started_at_ms",
+    ]
 
 
 def test_a_peer_s_view_is_read_and_sent_the_same():
     data = (STORED / "peer-view.msgpack").read_bytes()
-    assert view.decode(data) == PeerView(1, "proxy-1", float(START_MS), [
-        Learned("core-a", START_MS - 5000.0, START_MS - 100.0, 12.5),
-        Learned("core-b", None, float(START_MS), None, True, True),
-    ])
+    assert view.decode(data) == PeerView(
+        1,
+        "proxy-1",
+        float(START_MS),
+        [
+            Learned("core-a", START_MS - 5000.0, START_MS - 100.0, 12.5),
+            Learned("core-b", None, float(START_MS), None, True, True),
+        ],
+    )
     assert peer_view() == data
     assert asking.ASK == b"view\n"
     assert asking.framed(data) == len(data).to_bytes(4, "big") + data
     sent = msgspec.msgpack.decode(data)
     assert list(sent) == ["version", "peer", "taken_ms", "servers"]
     assert list(sent["servers"][0]) == [
-        "instance_id", "started_ms", "learned_ms", "rate_per_s", "slow", "silent"]
+        "instance_id",
+        "started_ms",
+        "learned_ms",
+        "rate_per_s",
+        "slow",
+        "silent",
+    ]
 
 
 def test_an_export_as_csv_stays():
     data = (STORED / "usage.csv").read_bytes()
     assert files.as_csv(SUMS, PERIOD_MS) == data
     assert next(csv.reader(io.StringIO(data.decode()))) == [
-        "period_start", "member", "class_name", "final", "correction", "calls"]
+        "period_start",
+        "member",
+        "class_name",
+        "final",
+        "correction",
+        "calls",
+    ]
 
 
 def test_an_export_as_parquet_stays():
--- a/tests/test_subset.py
+++ b/tests/test_subset.py
@@ -47,8 +47,11 @@
     @pytest.mark.parametrize("sizes", [(8, 8, 8), (12, 8, 4), (20, 3, 1)])
     def test_every_zone_has_its_part_and_every_server_as_many(self, sizes):
         """Drawn from all at once, one proxy in sixty had no server in its own of three zones."""
-        listed = [Instance(f"s-{zone}-{n}", "x:1", "ready", zone=f"z{zone}")
-                  for zone, size in enumerate(sizes) for n in range(size)]
+        listed = [
+            Instance(f"s-{zone}-{n}", "x:1", "ready", zone=f"z{zone}")
+            for zone, size in enumerate(sizes)
+            for n in range(size)
+        ]
         shared: Counter[str] = Counter()
         for name in names(600):
             mine = choose(name, listed, ALL, 8)
@@ -95,12 +98,19 @@
             mine = [int(s[2:]) % 12 for s in choose(name, listed, groups, 3)]
             assert sum(cell in (3, 7) for cell in mine) >= 3
 
-    @pytest.mark.parametrize(("groups", "cell", "told"), [
-        ((None,), 0, 3 * 100 // 12 + 15),  # three of twelve
-        ((None, frozenset({0, 1})), 0, 3 * 100 // 4 + 25),  # three of its four: that group's proxies hold it
-        ((frozenset({0, 1, 2}), frozenset({0, 3, 4})), 0, 100),  # either: three of six and three of six
-        ((frozenset({0}),), 0, 100),  # all two of its cell are held by all
-    ])
+    @pytest.mark.parametrize(
+        ("groups", "cell", "told"),
+        [
+            ((None,), 0, 3 * 100 // 12 + 15),  # three of twelve
+            (
+                (None, frozenset({0, 1})),
+                0,
+                3 * 100 // 4 + 25,
+            ),  # three of its four: that group's proxies hold it
+            ((frozenset({0, 1, 2}), frozenset({0, 3, 4})), 0, 100),  # either: three of six and three of six
+            ((frozenset({0}),), 0, 100),  # all two of its cell are held by all
+        ],
+    )
     def test_how_many_share_a_server_follows_the_groups_it_is_in(self, groups, cell, told):
         listed = instances(12, cells=6)
         found = shared_by(cell, listed, groups, 3, 100)
@@ -124,7 +134,10 @@
         subset = self.subset(carrying)
         assert kept(subset.narrowed(True, [by_id[second], by_id[third]])) == {second: "ready", third: "ready"}
         assert kept(subset.narrowed(False, [by_id[first]])) == {
-            first: "ready", second: "ready", third: "draining"}
+            first: "ready",
+            second: "ready",
+            third: "draining",
+        }
         assert not subset.may_let_go()
         carrying.clear()
         assert subset.may_let_go()
@@ -136,9 +149,17 @@
         subset = self.subset(set())
         mine = kept(subset.narrowed(True, listed))
         leaves = min(mine)
-        now = kept(subset.narrowed(False, [
-            Instance(leaves, "10.0.0.9:5060", "draining"),
-            Instance(next(i.instance_id for i in listed if i.instance_id not in mine), "x:1", "draining")]))
+        now = kept(
+            subset.narrowed(
+                False,
+                [
+                    Instance(leaves, "10.0.0.9:5060", "draining"),
+                    Instance(
+                        next(i.instance_id for i in listed if i.instance_id not in mine), "x:1", "draining"
+                    ),
+                ],
+            )
+        )
         assert now[leaves] == "draining" and sorted(now.values()) == ["draining", "ready", "ready"]
         assert leaves not in kept(subset.narrowed(False, [Instance(leaves, "x:1", "gone")]))
         assert not subset.is_listed(leaves)
@@ -149,9 +170,11 @@
 
     def test_the_even_share_is_one_of_those_who_share_the_server(self):
         """With three of twelve proxies at a server, a twelfth of it each would leave most of it idle."""
+
         def sent(senders: int | None) -> int:
-            gateway = Gateway(settings(instances=12, classes=(
-                api.CallClass("low", 1600, 9000, 1, 0.1, hold_ms=1000.0),)))
+            gateway = Gateway(
+                settings(instances=12, classes=(api.CallClass("low", 1600, 9000, 1, 0.1, hold_ms=1000.0),))
+            )
             gateway.servers(api.Server("a", 0, api.ServerState.READY, 0.0, senders))
             gateway.tell(api.CircuitsReported("a", 60.0, 60.0))
             gateway.alive["a"] = 40
@@ -183,18 +206,22 @@
             assert sum(at >= 7000 for at in sent) > 1.5 * first, "it grows"
 
 
-@pytest.mark.parametrize(("pending", "unconfirmed", "unsettled"), [
-    ({}, {}, False),
-    ({"call": 16}, {}, True),  # for a connection that is not up yet
-    ({}, {"call": (16, 9_500.0)}, True),  # sent half a second ago, and not confirmed
-    ({}, {"call": (16, 8_000.0)}, False),  # by a server that confirms none
-])
+@pytest.mark.parametrize(
+    ("pending", "unconfirmed", "unsettled"),
+    [
+        ({}, {}, False),
+        ({"call": 16}, {}, True),  # for a connection that is not up yet
+        ({}, {"call": (16, 9_500.0)}, True),  # sent half a second ago, and not confirmed
+        ({}, {"call": (16, 8_000.0)}, False),  # by a server that confirms none
+    ],
+)
 def test_a_server_is_kept_while_a_release_is_on_its_way_there(pending, unconfirmed, unsettled):
     """It was let go with the release of its last call unsent, and would have kept that call's line."""
     servers = Servers.__new__(Servers)
     servers.turns = SimpleNamespace(now_ms=10_000.0)
-    servers._peers = {"s-0": SimpleNamespace(pending_releases=pending,
-                                             streams=[SimpleNamespace(unconfirmed=unconfirmed)])}
+    servers._peers = {
+        "s-0": SimpleNamespace(pending_releases=pending, streams=[SimpleNamespace(unconfirmed=unconfirmed)])
+    }
     assert servers.has_unsettled_releases("s-0") is unsettled and not servers.has_unsettled_releases("s-1")
     host = Fake(100)
     host.servers.has_unsettled_releases = servers.has_unsettled_releases
@@ -217,14 +244,17 @@
         self.count_fleet, self.part_of_fleet = lambda: members, lambda: part
 
 
-@pytest.mark.parametrize(("members", "part", "servers_per_proxy", "begin_per_s"), [
-    (0, None, 0, 30.0 / 100),  # one of those that the settings name
-    (60, None, 0, 30.0 / 60),  # of those that the fleet's rows name
-    (60, 0.2, 0, 30.0 * 0.2),  # what the lease makes it
-    (0, None, 3, 30.0 / (100 // 4 + 15)),  # of those that share a server
-    (60, 0.01, 3, 30.0 * 0.01 * 4),  # its lease, over a quarter of the servers
-    (60, 0.9, 3, 30.0),  # and no more than all
-])
+@pytest.mark.parametrize(
+    ("members", "part", "servers_per_proxy", "begin_per_s"),
+    [
+        (0, None, 0, 30.0 / 100),  # one of those that the settings name
+        (60, None, 0, 30.0 / 60),  # of those that the fleet's rows name
+        (60, 0.2, 0, 30.0 * 0.2),  # what the lease makes it
+        (0, None, 3, 30.0 / (100 // 4 + 15)),  # of those that share a server
+        (60, 0.01, 3, 30.0 * 0.01 * 4),  # its lease, over a quarter of the servers
+        (60, 0.9, 3, 30.0),  # and no more than all
+    ],
+)
 def test_a_start_is_a_part_of_a_whole(members, part, servers_per_proxy, begin_per_s):
     settings_file = Starting(begin_per_s=30.0, servers_per_proxy=servers_per_proxy)
     start = StartingPart(Fake(100, members, part), settings_file)
@@ -235,6 +265,7 @@
 
 def test_a_proxy_keeps_to_more_servers_as_its_fleet_gets_smaller():
     """By the settings' number of instances, or the fleet's rows where they are on."""
+
     def kept_by(members: int) -> int:
         start = StartingPart(Fake(100, members), Starting(servers_per_proxy=3, proxies_per_server=25))
         told = start.narrowed(True, instances(24))
@@ -260,15 +291,20 @@
     """Connections, service, a server that drains, and the release of a call at one that others now have."""
     count, most = 24, 4
     (tmp_path / "starting.toml").write_text(
-        f"servers_per_proxy = {most}\nconnections_per_s = 200.0\nbegin_per_s = 50.0\n")
+        f"servers_per_proxy = {most}\nconnections_per_s = 200.0\nbegin_per_s = 50.0\n"
+    )
 
     async def run():
         servers = [CallServer(f"s-{n}", capacity_per_s=200.0, hold_ms=2500.0) for n in range(12)]
         async with fleet(tmp_path, servers, instances=count) as started:
             started.in_configuration = False
             await started.list(*servers[:-2])
-            await asyncio.gather(*(started.proxy(f"n{n}", n, CANVASPLANK_STARTING=str(
-                tmp_path / "starting.toml")) for n in range(count)))
+            await asyncio.gather(
+                *(
+                    started.proxy(f"n{n}", n, CANVASPLANK_STARTING=str(tmp_path / "starting.toml"))
+                    for n in range(count)
+                )
+            )
             callers = Callers(seed=1, pools=12)
             await asyncio.gather(*(callers.add_proxy(proxy.address) for proxy in started.proxies))
 
