--- a/benchmarks/budgets.py
+++ b/benchmarks/budgets.py
@@ -22,14 +22,14 @@
 from pathlib import Path
 
 from canvasplank.counters import Counters
-from canvasplank.fleet.agent import Agent
 from canvasplank.fleet.config import Budget, Fleet
-from checks.spending import most_shared, read_trace, used_per_s, worst_window
-from standins.budgets import BudgetFleet, Plan
-from standins.callers import Callers
-from standins.fleet import fleet
-from standins.postgresql import PostgresqlStandIn
-from standins.server import CallServer
+from canvasplank.fleet.lease_renewer import Agent
+from emulators.budgets import BudgetFleet, Plan
+from emulators.callers import Callers
+from emulators.fleet import fleet
+from emulators.postgresql import PostgresqlStandIn
+from emulators.server import CallServer
+from verification.spending import most_shared, read_trace, used_per_s, worst_window
 
 PLAN = Plan(whole_per_s=160.0, kept_back=0.1, most=128, lease_ms=3000.0, renew_ms=1000.0)
 Row = tuple[str, str, str, float]
--- a/benchmarks/learning_join.py
+++ b/benchmarks/learning_join.py
@@ -20,9 +20,9 @@
 
 import click
 
-from standins.callers import Callers, Try, service
-from standins.fleet import Fleet, fleet, free_port
-from standins.server import CallServer
+from emulators.callers import Callers, Try, service
+from emulators.fleet import Fleet, fleet, free_port
+from emulators.server import CallServer
 
 CAPACITY_PER_S = 20.0
 RUNNING = 2
--- a/benchmarks/ownership.py
+++ b/benchmarks/ownership.py
@@ -18,15 +18,15 @@
 import time
 from pathlib import Path
 
-from canvasplank.engine.errors import StoreUnavailableError
+from canvasplank.database.errors import StoreUnavailableError
 from canvasplank.fleet.postgresql import Postgresql as FleetPostgresql
 from canvasplank.store.postgresql import Postgresql
 from canvasplank.store.records import Outcome
-from canvasplank.work import usage
-from standins.callers import Callers
-from standins.fleet import fleet
-from standins.postgresql import PostgresqlStandIn
-from standins.server import CallServer
+from canvasplank.worker import usage_ledger
+from emulators.callers import Callers
+from emulators.fleet import fleet
+from emulators.postgresql import PostgresqlStandIn
+from emulators.server import CallServer
 
 ROOT = Path(__file__).parent.parent
 FLEET = """backend = "postgresql"
@@ -65,7 +65,7 @@
         await self.fleet.open()
         self.records = Postgresql(dsn, 30.0)
         await self.records.open()
-        await self.fleet.migrate(usage.SCHEMA)
+        await self.fleet.migrate(usage_ledger.SCHEMA)
 
     async def worker(self, name: str) -> None:
         """Start one."""
@@ -182,7 +182,7 @@
         apart = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
-            "standins.postgresql",
+            "emulators.postgresql",
             folder,
             cwd=ROOT,
             stdin=asyncio.subprocess.PIPE,
@@ -218,7 +218,7 @@
 
 async def _waits(play: Play) -> bool:
     with contextlib.suppress(StoreUnavailableError):
-        return bool(await play.fleet.read(usage.TO_EXPORT))
+        return bool(await play.fleet.read(usage_ledger.TO_EXPORT))
     await play.fleet.open()
     return True
 
--- a/benchmarks/store_latency.py
+++ b/benchmarks/store_latency.py
@@ -21,10 +21,10 @@
 
 import click
 
-from standins.callers import Callers, Try
-from standins.fleet import ROOT, fleet
-from standins.postgresql import DATA
-from standins.server import CallServer
+from emulators.callers import Callers, Try
+from emulators.fleet import ROOT, fleet
+from emulators.postgresql import DATA
+from emulators.server import CallServer
 
 FOR_S, TROUBLE_AT_S, TROUBLE_S = 12.0, 3.0, 5.0
 SETTLE_S = 10.0
@@ -65,7 +65,7 @@
         self._process = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
-            "standins.postgresql",
+            "emulators.postgresql",
             str(folder),
             cwd=ROOT,
             stdin=asyncio.subprocess.PIPE,
--- a/canvasplank/__main__.py
+++ b/canvasplank/__main__.py
@@ -4,7 +4,7 @@
 
 import sys
 
-from canvasplank import signals
+from canvasplank.runtime import signals
 
 
 def main() -> int:
--- a/canvasplank/admin.py
+++ b/canvasplank/admin.py
@@ -10,8 +10,8 @@
 import logging
 from typing import Protocol
 
-from canvasplank.closing import close_quietly
-from canvasplank.settings import split_address
+from canvasplank.config.settings import split_address
+from canvasplank.runtime.streams import close_quietly
 
 LOG = logging.getLogger(__name__)
 LINE_WAIT_S = 1.0  # an operator's line that has not come by then is not coming
--- a/canvasplank/cli.py
+++ b/canvasplank/cli.py
@@ -12,12 +12,12 @@
 
 import click
 
-from canvasplank.engine.errors import StoreRefusedError, StoreUnavailableError
+from canvasplank.config.settings import ConfigurationError
+from canvasplank.database.errors import StoreRefusedError, StoreUnavailableError
 from canvasplank.fleet.backend import Backend
 from canvasplank.fleet.config import Fleet, load_fleet
-from canvasplank.fleet.ledger import leased
-from canvasplank.fleet.rows import Holding, Rows
-from canvasplank.settings import ConfigurationError
+from canvasplank.fleet.lease_transaction import leased
+from canvasplank.fleet.state import Holding, Rows
 from canvasplank.store.__main__ import cli as store_cli
 
 THOUSANDTHS = 1000.0
@@ -134,15 +134,15 @@
 @click.option("--name", default=socket.gethostname, help="What operators know it by.")
 def worker(path: str, work_path: str, name: str) -> None:
     """Do the fleet's work: close periods of the usage ledger, export them, remove old records."""
-    from canvasplank import events
-    from canvasplank.work.config import load_work
-    from canvasplank.work.worker import Worker
+    from canvasplank.runtime import structured_logging
+    from canvasplank.worker.config import load_work
+    from canvasplank.worker.task_runner import Worker
 
     async def run() -> None:
         await Worker(load_fleet(path), load_work(work_path), name, secrets.randbits(32)).run()
 
     try:
-        events.begin(os.environ.get("CANVASPLANK_LOG", "human"))
+        structured_logging.begin(os.environ.get("CANVASPLANK_LOG", "human"))
         asyncio.run(run())
     except (ConfigurationError, ValueError) as fault:
         raise click.ClickException(str(fault)) from None
--- a/canvasplank/starting/part.py
+++ b/canvasplank/cold_start/extension.py
@@ -9,11 +9,11 @@
 import msgspec
 
 from canvasplank import interface as api
-from canvasplank.part_settings import load_part_settings
-from canvasplank.parts import Host, Part, PartFactory
-from canvasplank.settings import Instance, read_settings
-from canvasplank.starting.polls import SECOND_MS, PollPace
-from canvasplank.starting.subset import Subset
+from canvasplank.cold_start.poll_backoff import SECOND_MS, PollPace
+from canvasplank.cold_start.rendezvous_subset import Subset
+from canvasplank.config.extension_file import load_part_settings
+from canvasplank.config.settings import Instance, read_settings
+from canvasplank.extensions.extension import Host, Part, PartFactory
 
 Rate = Annotated[float, msgspec.Meta(ge=0, le=100_000)]
 LOOK_MS = 1000.0  # between two looks at servers that are left to others, and at the fleet's size
--- a/canvasplank/part_settings.py
+++ b/canvasplank/config/extension_file.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from canvasplank.settings import ConfigurationError
+from canvasplank.config.settings import ConfigurationError
 
 Settings = TypeVar("Settings", bound=msgspec.Struct)
 
--- a/canvasplank/engine/where.py
+++ b/canvasplank/database/location.py
@@ -7,7 +7,7 @@
 from typing import Protocol
 from urllib.parse import urlsplit
 
-from canvasplank.engine.errors import StoreRefusedError, StoreUnavailableError
+from canvasplank.database.errors import StoreRefusedError, StoreUnavailableError
 
 SCHEMES = ("postgresql", "postgres")
 
--- a/canvasplank/engine/migrations.py
+++ b/canvasplank/database/migrations.py
@@ -8,7 +8,7 @@
 
 from dataclasses import dataclass
 
-from canvasplank.engine.errors import NewerSchemaError
+from canvasplank.database.errors import NewerSchemaError
 
 
 @dataclass(frozen=True, slots=True)
--- a/canvasplank/engine/postgresql.py
+++ b/canvasplank/database/postgresql.py
@@ -8,8 +8,8 @@
 
 import asyncpg
 
-from canvasplank.engine.errors import NewerSchemaError, StoreRefusedError, StoreUnavailableError
-from canvasplank.engine.migrations import Schema
+from canvasplank.database.errors import NewerSchemaError, StoreRefusedError, StoreUnavailableError
+from canvasplank.database.migrations import Schema
 
 # What the data is to blame for; a class 22 or 23 error of the server's, or a value that cannot be encoded.
 REFUSALS = (asyncpg.DataError, asyncpg.IntegrityConstraintViolationError)
--- a/canvasplank/engine/sqlite.py
+++ b/canvasplank/database/sqlite.py
@@ -7,9 +7,9 @@
 from collections.abc import Callable, Iterator
 from typing import TypeVar
 
-from canvasplank.background import BusyError, Thread
-from canvasplank.engine.errors import NewerSchemaError, StoreRefusedError, StoreUnavailableError
-from canvasplank.engine.migrations import Schema
+from canvasplank.database.errors import NewerSchemaError, StoreRefusedError, StoreUnavailableError
+from canvasplank.database.migrations import Schema
+from canvasplank.runtime.worker_thread import BusyError, Thread
 
 BUSY_S = 1.0  # how long the library waits for another writer's lock before it says so
 REFUSALS = (sqlite3.IntegrityError, sqlite3.DataError, sqlite3.InterfaceError, OverflowError, ValueError)
--- a/canvasplank/membership/roster.py
+++ b/canvasplank/endpoint_cache/bootstrap.py
@@ -8,8 +8,8 @@
 from dataclasses import dataclass
 
 from canvasplank import interface as api
-from canvasplank.membership.kept import VERSION, KeptList, KeptServer
-from canvasplank.settings import DiscoveryEvent, Instance, fold
+from canvasplank.config.settings import DiscoveryEvent, Instance, fold
+from canvasplank.endpoint_cache.cached_list import VERSION, KeptList, KeptServer
 
 READY = "ready"
 TRUSTED_MS = 10_000.0  # the board's own news may come as late as this
--- a/canvasplank/membership/kept.py
+++ b/canvasplank/endpoint_cache/cached_list.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from canvasplank.settings import Instance
+from canvasplank.config.settings import Instance
 
 VERSION = 1
 MOST_BYTES = 8 * 1024 * 1024
--- a/canvasplank/membership/config.py
+++ b/canvasplank/endpoint_cache/config.py
@@ -6,8 +6,8 @@
 
 import msgspec
 
-from canvasplank.membership.roster import MOST_AGE_MS, START_PER_S, TRUSTED_MS
-from canvasplank.part_settings import load_part_settings
+from canvasplank.config.extension_file import load_part_settings
+from canvasplank.endpoint_cache.bootstrap import MOST_AGE_MS, START_PER_S, TRUSTED_MS
 
 YEAR_MS = 366 * 24 * 3_600_000.0
 
--- a/canvasplank/membership/part.py
+++ b/canvasplank/endpoint_cache/extension.py
@@ -4,11 +4,11 @@
 
 import logging
 
-from canvasplank.membership.config import Membership, load_membership
-from canvasplank.membership.keeper import Keeper, read
-from canvasplank.membership.roster import Roster, judge
-from canvasplank.parts import Host, Part, PartFactory
-from canvasplank.settings import DiscoveryEvent, folded, read_settings
+from canvasplank.config.settings import DiscoveryEvent, folded, read_settings
+from canvasplank.endpoint_cache.bootstrap import Roster, judge
+from canvasplank.endpoint_cache.config import Membership, load_membership
+from canvasplank.endpoint_cache.writer import Keeper, read
+from canvasplank.extensions.extension import Host, Part, PartFactory
 
 LOG = logging.getLogger(__name__)
 
--- a/canvasplank/membership/keeper.py
+++ b/canvasplank/endpoint_cache/writer.py
@@ -9,11 +9,11 @@
 from collections.abc import Callable
 from pathlib import Path
 
-from canvasplank.background import BusyError, Thread
-from canvasplank.deadlines import Turns
-from canvasplank.membership.kept import MOST_BYTES, KeptError, KeptList, decode, encode
-from canvasplank.membership.roster import Roster
-from canvasplank.settings import DiscoveryEvent
+from canvasplank.config.settings import DiscoveryEvent
+from canvasplank.endpoint_cache.bootstrap import Roster
+from canvasplank.endpoint_cache.cached_list import MOST_BYTES, KeptError, KeptList, decode, encode
+from canvasplank.runtime.scheduler import Turns
+from canvasplank.runtime.worker_thread import BusyError, Thread
 
 LOG = logging.getLogger(__name__)
 WRITE_EVERY_MS = 1_000.0  # so that a release, which tells dozens of events, writes a few times
--- /dev/null
+++ b/canvasplank/exchange/__init__.py
@@ -0,0 +1,1 @@
+"""Where callers, call servers and the decision module meet."""
--- a/canvasplank/exchange.py
+++ b/canvasplank/exchange/exchange.py
@@ -17,7 +17,7 @@
 
 from canvasplank import interface as api
 from canvasplank.counters import Counters
-from canvasplank.deadlines import Deadline, Turns
+from canvasplank.runtime.scheduler import Deadline, Turns
 
 LOG = logging.getLogger(__name__)
 NORMAL_CLEARING = 16  # Q.850: the cause of a call's ordinary end
--- a/canvasplank/parts.py
+++ b/canvasplank/extensions/extension.py
@@ -10,13 +10,13 @@
 from collections.abc import Callable, Mapping
 from typing import NamedTuple, Protocol
 
+from canvasplank.config.settings import Configuration, DiscoveryEvent
 from canvasplank.counters import Counters
-from canvasplank.deadlines import Turns
-from canvasplank.exchange import Exchange
+from canvasplank.exchange.exchange import Exchange
 from canvasplank.network.discovery import Discovery
 from canvasplank.network.servers import Servers
 from canvasplank.policy import Controller
-from canvasplank.settings import Configuration, DiscoveryEvent
+from canvasplank.runtime.scheduler import Turns
 
 
 class Host(Protocol):
@@ -68,11 +68,11 @@
 
 # In the order of their starts: the kept list before whoever asks what servers there are.
 TABLE = (
-    Entry("CANVASPLANK_MEMBERSHIP", "canvasplank.membership.part"),
-    Entry("CANVASPLANK_STORE", "canvasplank.store.part"),
-    Entry("CANVASPLANK_STARTING", "canvasplank.starting.part"),
-    Entry("CANVASPLANK_FLEET", "canvasplank.fleet.part"),
-    Entry("CANVASPLANK_LEARNING", "canvasplank.learning.part"),
+    Entry("CANVASPLANK_MEMBERSHIP", "canvasplank.endpoint_cache.extension"),
+    Entry("CANVASPLANK_STORE", "canvasplank.store.extension"),
+    Entry("CANVASPLANK_STARTING", "canvasplank.cold_start.extension"),
+    Entry("CANVASPLANK_FLEET", "canvasplank.fleet.extension"),
+    Entry("CANVASPLANK_LEARNING", "canvasplank.warm_start.extension"),
 )
 
 
--- a/canvasplank/fleet/backend.py
+++ b/canvasplank/fleet/backend.py
@@ -5,8 +5,8 @@
 from collections.abc import Iterable
 from typing import NamedTuple, Protocol
 
-from canvasplank.engine.migrations import Schema
-from canvasplank.fleet.rows import Answer, Request, Rows
+from canvasplank.database.migrations import Schema
+from canvasplank.fleet.state import Answer, Request, Rows
 
 Effects = Iterable[tuple[str, tuple]]  # statements with their parameters; what it yields may wait and look
 
--- a/canvasplank/fleet/spending.py
+++ b/canvasplank/fleet/budget_limiter.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 from typing import Literal
 
-from canvasplank.fleet.holder import Holder
+from canvasplank.fleet.lease_holder import Holder
 
 UNIT = 1_000_000.0  # a set-up, in thousandths a second times milliseconds
 Kind = Literal["set-ups", "member", "repeats", "server"]
--- a/canvasplank/fleet/config.py
+++ b/canvasplank/fleet/config.py
@@ -6,11 +6,11 @@
 
 import msgspec
 
-from canvasplank.engine.where import check_where
+from canvasplank.config.extension_file import load_part_settings
+from canvasplank.database.location import check_where
 from canvasplank.fleet.backend import Backend
-from canvasplank.fleet.holder import Lease, Terms
-from canvasplank.fleet.spending import Kind, Scope
-from canvasplank.part_settings import load_part_settings
+from canvasplank.fleet.budget_limiter import Kind, Scope
+from canvasplank.fleet.lease_holder import Lease, Terms
 
 Milliseconds = Annotated[float, msgspec.Meta(gt=0, le=600_000)]
 THOUSANDTHS = 1000
--- a/canvasplank/fleet/part.py
+++ b/canvasplank/fleet/extension.py
@@ -3,9 +3,9 @@
 from __future__ import annotations
 
 from canvasplank import interface as api
-from canvasplank.fleet.agent import Agent
+from canvasplank.extensions.extension import Host, Part, PartFactory
 from canvasplank.fleet.config import Fleet, load_fleet
-from canvasplank.parts import Host, Part, PartFactory
+from canvasplank.fleet.lease_renewer import Agent
 
 
 def load(path: str) -> PartFactory:
--- a/canvasplank/fleet/watch.py
+++ b/canvasplank/fleet/failure_detector.py
@@ -8,8 +8,8 @@
 
 from collections.abc import Iterable
 
-from canvasplank.fleet.holder import Lease
-from canvasplank.fleet.rows import Sign
+from canvasplank.fleet.lease_holder import Lease
+from canvasplank.fleet.state import Sign
 
 
 class Watch:
--- a/canvasplank/fleet/holder.py
+++ b/canvasplank/fleet/lease_holder.py
@@ -9,7 +9,7 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass
 
-from canvasplank.fleet.rows import Answer, Holding, Request, Sign
+from canvasplank.fleet.state import Answer, Holding, Request, Sign
 
 NEVER = float("-inf")
 
--- a/canvasplank/fleet/agent.py
+++ b/canvasplank/fleet/lease_renewer.py
@@ -12,17 +12,17 @@
 import msgspec
 
 from canvasplank.counters import Counters
-from canvasplank.engine.errors import StoreRefusedError, StoreUnavailableError
-from canvasplank.engine.where import let_go
-from canvasplank.events import event
+from canvasplank.database.errors import StoreRefusedError, StoreUnavailableError
+from canvasplank.database.location import let_go
 from canvasplank.fleet.backend import Backend
+from canvasplank.fleet.budget_limiter import Spender
 from canvasplank.fleet.config import Fleet
-from canvasplank.fleet.holder import Holder
-from canvasplank.fleet.ownership import Ownership
-from canvasplank.fleet.pace import Pace
-from canvasplank.fleet.rows import Answer, Request
-from canvasplank.fleet.spending import Spender
-from canvasplank.fleet.watch import Watch
+from canvasplank.fleet.failure_detector import Watch
+from canvasplank.fleet.lease_holder import Holder
+from canvasplank.fleet.renewal_schedule import Pace
+from canvasplank.fleet.state import Answer, Request
+from canvasplank.fleet.task_leadership import Ownership
+from canvasplank.runtime.structured_logging import event
 
 LOG = logging.getLogger(__name__)
 MS = 1000.0
--- a/canvasplank/fleet/ledger.py
+++ b/canvasplank/fleet/lease_transaction.py
@@ -10,8 +10,8 @@
 
 import msgspec
 
-from canvasplank.fleet.division import divide
-from canvasplank.fleet.rows import Answer, Grant, Holding, Member, Request, Rows, Sign, Task
+from canvasplank.fleet.fair_division import divide
+from canvasplank.fleet.state import Answer, Grant, Holding, Member, Request, Rows, Sign, Task
 
 
 def apply(rows: Rows, request: Request) -> tuple[Rows, Answer]:
--- a/canvasplank/fleet/postgresql.py
+++ b/canvasplank/fleet/postgresql.py
@@ -4,10 +4,10 @@
 
 import asyncpg
 
-from canvasplank.engine.postgresql import PostgresqlEngine
-from canvasplank.fleet import ledger, schema
+from canvasplank.database.postgresql import PostgresqlEngine
+from canvasplank.fleet import lease_transaction, schema
 from canvasplank.fleet.backend import Effects, Tenure, TermOverError
-from canvasplank.fleet.rows import Answer, Request, Rows
+from canvasplank.fleet.state import Answer, Request, Rows
 
 # Guards the fleet against a proxy that stops within a transaction and would keep the lock for as long.
 IDLE_MS = 500
@@ -33,7 +33,7 @@
                 before = self._reader.rows(
                     number, await connection.fetch(schema.MEMBERS), await connection.fetch(schema.TASKS)
                 )
-                after, answer = ledger.apply(before, request)
+                after, answer = lease_transaction.apply(before, request)
                 for statement, values in schema.changes(before, after):
                     await connection.execute(statement, *values)
             return answer
--- a/canvasplank/fleet/schema.py
+++ b/canvasplank/fleet/schema.py
@@ -8,8 +8,8 @@
 
 import msgspec
 
-from canvasplank.engine.migrations import Schema
-from canvasplank.fleet.rows import FORM, Holding, Member, Rows, Task
+from canvasplank.database.migrations import Schema
+from canvasplank.fleet.state import FORM, Holding, Member, Rows, Task
 
 LOG = logging.getLogger(__name__)
 
--- a/canvasplank/fleet/sqlite.py
+++ b/canvasplank/fleet/sqlite.py
@@ -4,10 +4,10 @@
 
 import sqlite3
 
-from canvasplank.engine.sqlite import SqliteEngine, own, transaction
-from canvasplank.fleet import ledger, schema
+from canvasplank.database.sqlite import SqliteEngine, own, transaction
+from canvasplank.fleet import lease_transaction, schema
 from canvasplank.fleet.backend import Effects, Tenure, TermOverError
-from canvasplank.fleet.rows import Answer, Request, Rows
+from canvasplank.fleet.state import Answer, Request, Rows
 
 
 class Sqlite(SqliteEngine):
@@ -23,7 +23,7 @@
         def work(connection: sqlite3.Connection) -> Answer:
             with transaction(connection):
                 before = self._read(connection)
-                after, answer = ledger.apply(before, request)
+                after, answer = lease_transaction.apply(before, request)
                 for statement, values in schema.changes(before, after):
                     connection.execute(own(statement), values)
             return answer
--- a/canvasplank/fleet/ownership.py
+++ b/canvasplank/fleet/task_leadership.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from canvasplank.fleet.backend import Tenure
-from canvasplank.fleet.rows import Answer, Task
+from canvasplank.fleet.state import Answer, Task
 
 BACKOFF_MS, BACKOFF_MOST_MS = 500.0, 60_000.0  # before somebody takes what failed, doubling by failure
 
--- a/canvasplank/interface.py
+++ b/canvasplank/interface.py
@@ -272,7 +272,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Hinted:
-    """A running peer's aged word on one server, for a new instance's start (``canvasplank.learning``).
+    """A running peer's aged word on one server, for a new instance's start (``canvasplank.warm_start``).
 
     A rate that is ``None`` was not learned, or is too old to count; ``shun``: the peer saw it slow or
     silent lately.
--- a/canvasplank/network/caller_stream.py
+++ b/canvasplank/network/caller_stream.py
@@ -5,7 +5,7 @@
 from typing import Protocol
 
 from canvasplank.codecs import isup
-from canvasplank.exchange import Exchange
+from canvasplank.exchange.exchange import Exchange
 from canvasplank.network.stream import BufferBudget, Stream
 
 SILENT_MS = 2000.0  # a connection that says nothing whole for so long after its start, or a message begun
--- a/canvasplank/network/callers.py
+++ b/canvasplank/network/callers.py
@@ -6,12 +6,12 @@
 
 from canvasplank.codecs import isup
 from canvasplank.codecs.errors import BadMessageError
-from canvasplank.exchange import Exchange, Final
+from canvasplank.config.settings import Figures
+from canvasplank.exchange.exchange import Exchange, Final
 from canvasplank.network.caller_stream import SILENT_MS, CallerStream
 from canvasplank.network.listening import Listener
 from canvasplank.network.set_ups import call_of, is_possible
 from canvasplank.network.stream import BufferBudget
-from canvasplank.settings import Figures
 
 CAUSES = {
     Final.REFUSED: isup.Cause.CONGESTION,
--- a/canvasplank/network/connecting.py
+++ b/canvasplank/network/connecting.py
@@ -6,9 +6,9 @@
 import socket
 from collections.abc import Callable
 
-from canvasplank.deadlines import Deadline, Turns
+from canvasplank.config.settings import split_address
 from canvasplank.network.stream import Stream
-from canvasplank.settings import split_address
+from canvasplank.runtime.scheduler import Deadline, Turns
 
 
 class Connecting:
--- a/canvasplank/network/discovery.py
+++ b/canvasplank/network/discovery.py
@@ -12,10 +12,10 @@
 
 from canvasplank.codecs import sse
 from canvasplank.codecs.errors import BadMessageError
-from canvasplank.deadlines import Turns
+from canvasplank.config.settings import DISCOVERY_EVENT, DiscoveryEvent
 from canvasplank.network.connecting import Backoff, Connecting
 from canvasplank.network.stream import BufferBudget, Stream
-from canvasplank.settings import DISCOVERY_EVENT, DiscoveryEvent
+from canvasplank.runtime.scheduler import Turns
 
 LOG = logging.getLogger(__name__)
 PATH = "/board/poll"
--- a/canvasplank/network/listening.py
+++ b/canvasplank/network/listening.py
@@ -8,7 +8,7 @@
 import socket
 from collections.abc import Callable
 
-from canvasplank.deadlines import Turns
+from canvasplank.runtime.scheduler import Turns
 
 LOG = logging.getLogger(__name__)
 BACKLOG = 512
--- a/canvasplank/network/server_messages.py
+++ b/canvasplank/network/server_messages.py
@@ -6,8 +6,8 @@
 
 from canvasplank import interface as api
 from canvasplank.codecs import sip
-from canvasplank.exchange import RefusalDetails
-from canvasplank.settings import Gauges
+from canvasplank.config.settings import Gauges
+from canvasplank.exchange.exchange import RefusalDetails
 
 OUTCOMES = {
     480: api.Outcome.NOT_SENT,
--- a/canvasplank/network/servers.py
+++ b/canvasplank/network/servers.py
@@ -13,12 +13,12 @@
 from canvasplank import interface as api
 from canvasplank.codecs import sip
 from canvasplank.codecs.errors import BadMessageError
-from canvasplank.exchange import UNWANTED_ANSWER_CAUSE, CallRecord, Exchange
+from canvasplank.config.settings import Ceilings, Gauges, Instance, server_of
+from canvasplank.exchange.exchange import UNWANTED_ANSWER_CAUSE, CallRecord, Exchange
 from canvasplank.network.connecting import Backoff, Connecting
 from canvasplank.network.server_messages import figures, refusal
 from canvasplank.network.server_stream import QUIET_MS, Peer, ServerStream, WaitingSetUp
 from canvasplank.network.stream import BufferBudget
-from canvasplank.settings import Ceilings, Gauges, Instance, server_of
 
 LOG = logging.getLogger(__name__)
 BACKOFF_MS, BACKOFF_MOST_MS = 50.0, 800.0
--- a/canvasplank/network/set_ups.py
+++ b/canvasplank/network/set_ups.py
@@ -6,10 +6,10 @@
 
 from canvasplank.codecs import isup
 from canvasplank.codecs.errors import BadMessageError
-from canvasplank.deadlines import Turns
-from canvasplank.exchange import CallRecord
+from canvasplank.config.settings import Figures
+from canvasplank.exchange.exchange import CallRecord
 from canvasplank.network.caller_stream import CallerStream
-from canvasplank.settings import Figures
+from canvasplank.runtime.scheduler import Turns
 
 NO_CALL = "0" * 16
 NUMBER = re.compile(r"[A-Za-z0-9*#+._-]{1,64}")  # what a server can read in the first line
--- a/canvasplank/network/stream.py
+++ b/canvasplank/network/stream.py
@@ -11,7 +11,7 @@
 from typing import Protocol, TypeVar
 
 from canvasplank.codecs.errors import MESSAGE_MOST, BadMessageError
-from canvasplank.deadlines import Turns
+from canvasplank.runtime.scheduler import Turns
 
 LOG = logging.getLogger(__name__)
 UNSENT_MOST = 1024 * 1024  # bytes that a peer may leave unread before its connection is ended
--- a/canvasplank/program.py
+++ b/canvasplank/program.py
@@ -12,20 +12,9 @@
 import sys
 from collections.abc import Callable
 
-from canvasplank import events, signals
 from canvasplank import interface as api
 from canvasplank.admin import Admin
-from canvasplank.counters import Counters
-from canvasplank.deadlines import Deadlines, Turns
-from canvasplank.exchange import Exchange
-from canvasplank.network.callers import Callers
-from canvasplank.network.discovery import Discovery
-from canvasplank.network.loop import PipeLoop
-from canvasplank.network.servers import Servers
-from canvasplank.network.stream import BufferBudget
-from canvasplank.parts import PartFactory, enabled_parts
-from canvasplank.policy import Controller
-from canvasplank.settings import (
+from canvasplank.config.settings import (
     Configuration,
     ConfigurationError,
     DiscoveryEvent,
@@ -37,7 +26,18 @@
     read_settings,
     split_address,
 )
-from canvasplank.shutdown import Phase, Shutdown
+from canvasplank.counters import Counters
+from canvasplank.exchange.exchange import Exchange
+from canvasplank.extensions.extension import PartFactory, enabled_parts
+from canvasplank.network.callers import Callers
+from canvasplank.network.discovery import Discovery
+from canvasplank.network.servers import Servers
+from canvasplank.network.stream import BufferBudget
+from canvasplank.policy import Controller
+from canvasplank.runtime import signals, structured_logging
+from canvasplank.runtime.event_loop import PipeLoop
+from canvasplank.runtime.scheduler import Deadlines, Turns
+from canvasplank.runtime.shutdown import Phase, Shutdown
 
 LOG = logging.getLogger(__name__)
 MIB = 2**20
@@ -218,7 +218,7 @@
     """Run by the environment's configuration; a fault in it is one line on standard error."""
     signals.hold()
     try:
-        events.begin(os.environ.get("CANVASPLANK_LOG", "human"))
+        structured_logging.begin(os.environ.get("CANVASPLANK_LOG", "human"))
         factories = enabled_parts(os.environ)
         with asyncio.Runner(loop_factory=PipeLoop) as runner:
             runner.run(_serve(_configuration(), factories))
--- a/canvasplank/wirehost.py
+++ b/canvasplank/simulator_adapter.py
@@ -12,8 +12,8 @@
 from typing import Any, TextIO
 
 from canvasplank import interface as api
+from canvasplank.config.settings import Gauges, known, read_gauges, read_settings
 from canvasplank.policy import Controller
-from canvasplank.settings import Gauges, known, read_gauges, read_settings
 
 _OUTCOMES = {
     "GOOD": api.Outcome.ENDED,
@@ -217,7 +217,7 @@
     try:
         serve(sys.stdin, sys.stdout)
     except (WireError, LookupError, TypeError, ValueError) as fault:
-        print(f"canvasplank.wirehost: {fault}", file=sys.stderr)
+        print(f"canvasplank.simulator_adapter: {fault}", file=sys.stderr)
         return 2
     return 0
 
--- a/canvasplank/store/__main__.py
+++ b/canvasplank/store/__main__.py
@@ -11,8 +11,8 @@
 
 import click
 
-from canvasplank.engine.errors import StoreRefusedError, StoreUnavailableError
-from canvasplank.settings import ConfigurationError
+from canvasplank.config.settings import ConfigurationError
+from canvasplank.database.errors import StoreRefusedError, StoreUnavailableError
 from canvasplank.store.backend import Count
 from canvasplank.store.config import load_store
 
--- a/canvasplank/store/config.py
+++ b/canvasplank/store/config.py
@@ -6,8 +6,8 @@
 
 import msgspec
 
-from canvasplank.engine.where import check_where
-from canvasplank.part_settings import load_part_settings
+from canvasplank.config.extension_file import load_part_settings
+from canvasplank.database.location import check_where
 from canvasplank.store.backend import Backend
 
 Milliseconds = Annotated[float, msgspec.Meta(gt=0, le=60_000)]
--- a/canvasplank/store/part.py
+++ b/canvasplank/store/extension.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from canvasplank.parts import Host, Part, PartFactory
+from canvasplank.extensions.extension import Host, Part, PartFactory
 from canvasplank.store.config import Store, load_store
 from canvasplank.store.outbox import Outbox
 from canvasplank.store.writer import Writer
--- a/canvasplank/store/postgresql.py
+++ b/canvasplank/store/postgresql.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Sequence
 
-from canvasplank.engine.postgresql import PostgresqlEngine
+from canvasplank.database.postgresql import PostgresqlEngine
 from canvasplank.store import schema
 from canvasplank.store.backend import Count
 from canvasplank.store.records import Outcome
--- a/canvasplank/store/schema.py
+++ b/canvasplank/store/schema.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from canvasplank.engine.migrations import Schema
+from canvasplank.database.migrations import Schema
 from canvasplank.store.records import Outcome
 
 MIGRATIONS: tuple[tuple[str, ...], ...] = (
--- a/canvasplank/store/sqlite.py
+++ b/canvasplank/store/sqlite.py
@@ -5,7 +5,7 @@
 import sqlite3
 from collections.abc import Sequence
 
-from canvasplank.engine.sqlite import SqliteEngine, own, transaction
+from canvasplank.database.sqlite import SqliteEngine, own, transaction
 from canvasplank.store import schema
 from canvasplank.store.backend import Count
 from canvasplank.store.records import Outcome
--- a/canvasplank/store/writer.py
+++ b/canvasplank/store/writer.py
@@ -12,9 +12,9 @@
 
 from canvasplank import interface as api
 from canvasplank.counters import Counters
-from canvasplank.engine.errors import StoreRefusedError, StoreUnavailableError
-from canvasplank.engine.where import let_go
-from canvasplank.exchange import CallRecord
+from canvasplank.database.errors import StoreRefusedError, StoreUnavailableError
+from canvasplank.database.location import let_go
+from canvasplank.exchange.exchange import CallRecord
 from canvasplank.store.backend import Backend
 from canvasplank.store.outbox import Outbox
 from canvasplank.store.records import ENDINGS, OVER, SERVED, Outcome
--- a/canvasplank/learning/asking.py
+++ b/canvasplank/warm_start/client.py
@@ -14,9 +14,9 @@
 import time
 from collections.abc import Sequence
 
-from canvasplank.closing import close_quietly
-from canvasplank.learning.view import MOST_BYTES, PeerView, ViewError, decode
-from canvasplank.settings import split_address
+from canvasplank.config.settings import split_address
+from canvasplank.runtime.streams import close_quietly
+from canvasplank.warm_start.peer_snapshot import MOST_BYTES, PeerView, ViewError, decode
 
 LOG = logging.getLogger(__name__)
 ASK = b"view\n"
--- a/canvasplank/learning/config.py
+++ b/canvasplank/warm_start/config.py
@@ -10,9 +10,9 @@
 
 import msgspec
 
-from canvasplank.learning.merge import HALF_LIFE_MS, MOST_AGE_MS
-from canvasplank.part_settings import load_part_settings
-from canvasplank.settings import split_address
+from canvasplank.config.extension_file import load_part_settings
+from canvasplank.config.settings import split_address
+from canvasplank.warm_start.start_hints import HALF_LIFE_MS, MOST_AGE_MS
 
 Positive = Annotated[float, msgspec.Meta(gt=0, le=3_600_000)]
 
--- a/canvasplank/learning/part.py
+++ b/canvasplank/warm_start/extension.py
@@ -5,11 +5,11 @@
 import logging
 import random
 
-from canvasplank.learning.asking import ask_in_turn
-from canvasplank.learning.config import Learning, load_learning
-from canvasplank.learning.exporting import Exporter
-from canvasplank.learning.merge import Listed, exported, hints, told
-from canvasplank.parts import Host, Part, PartFactory
+from canvasplank.extensions.extension import Host, Part, PartFactory
+from canvasplank.warm_start.client import ask_in_turn
+from canvasplank.warm_start.config import Learning, load_learning
+from canvasplank.warm_start.server import Exporter
+from canvasplank.warm_start.start_hints import Listed, exported, hints, told
 
 LOG = logging.getLogger(__name__)
 
--- a/canvasplank/learning/exporting.py
+++ b/canvasplank/warm_start/server.py
@@ -10,10 +10,10 @@
 import logging
 from collections.abc import Callable
 
-from canvasplank.closing import close_quietly
-from canvasplank.learning.asking import ASK, framed
-from canvasplank.learning.view import PeerView, encode
-from canvasplank.settings import split_address
+from canvasplank.config.settings import split_address
+from canvasplank.runtime.streams import close_quietly
+from canvasplank.warm_start.client import ASK, framed
+from canvasplank.warm_start.peer_snapshot import PeerView, encode
 
 LOG = logging.getLogger(__name__)
 LINE_WAIT_S = 1.0
--- a/canvasplank/learning/merge.py
+++ b/canvasplank/warm_start/start_hints.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 
 from canvasplank import interface as api
-from canvasplank.learning.view import VERSION, Learned, PeerView
+from canvasplank.warm_start.peer_snapshot import VERSION, Learned, PeerView
 
 HALF_LIFE_MS = 5_000.0
 MOST_AGE_MS = 60_000.0
--- a/canvasplank/work/config.py
+++ b/canvasplank/worker/config.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from canvasplank.part_settings import load_part_settings
+from canvasplank.config.extension_file import load_part_settings
 
 Milliseconds = Annotated[float, msgspec.Meta(gt=0, le=366 * 24 * 3_600_000)]
 
--- a/canvasplank/work/files.py
+++ b/canvasplank/worker/export_files.py
@@ -13,7 +13,7 @@
 from datetime import UTC, datetime
 from pathlib import Path
 
-from canvasplank.work.usage import Sum
+from canvasplank.worker.usage_ledger import Sum
 
 MARK = ".canvasplank-usage"  # a folder with this in it is ours
 COLUMNS = ("period_start", "member", "class_name", "final", "correction", "calls")
--- a/canvasplank/work/worker.py
+++ b/canvasplank/worker/task_runner.py
@@ -15,19 +15,19 @@
 from collections.abc import Awaitable, Callable, Iterator
 from pathlib import Path
 
-from canvasplank.background import BusyError, Thread
 from canvasplank.counters import Counters
-from canvasplank.engine.errors import StoreRefusedError, StoreUnavailableError
-from canvasplank.engine.migrations import Schema
-from canvasplank.events import event
-from canvasplank.fleet.agent import Agent
+from canvasplank.database.errors import StoreRefusedError, StoreUnavailableError
+from canvasplank.database.migrations import Schema
 from canvasplank.fleet.backend import Backend, Tenure, TermOverError
 from canvasplank.fleet.config import Fleet
+from canvasplank.fleet.lease_renewer import Agent
+from canvasplank.runtime.structured_logging import event
+from canvasplank.runtime.worker_thread import BusyError, Thread
 from canvasplank.store import schema as records
-from canvasplank.work import files, usage
-from canvasplank.work.config import Work
-from canvasplank.work.files import ContentError, FolderError
-from canvasplank.work.usage import Effect, Sum
+from canvasplank.worker import export_files, usage_ledger
+from canvasplank.worker.config import Work
+from canvasplank.worker.export_files import ContentError, FolderError
+from canvasplank.worker.usage_ledger import Effect, Sum
 
 LOG = logging.getLogger(__name__)
 MS = 1000.0
@@ -50,7 +50,7 @@
         self._folder = Path(work.folder)
         self._agent = Agent(fleet, name, seed, Counters(), works=TASKS)
         self._backend: Backend = fleet.open_with()
-        self._schemas: tuple[Schema, ...] = (records.SCHEMA, usage.SCHEMA)
+        self._schemas: tuple[Schema, ...] = (records.SCHEMA, usage_ledger.SCHEMA)
         self._open = False
         self._thread = Thread("export")
         self._steps: dict[str, Callable[[Tenure], Awaitable[bool]]] = {
@@ -119,47 +119,47 @@
 
     async def _close(self, tenure: Tenure) -> bool:
         work = self._work
-        [(found,)] = await self._backend.read(usage.LAST_CLOSED)
+        [(found,)] = await self._backend.read(usage_ledger.LAST_CLOSED)
         last = None if found is None else int(found)
         late = time.monotonic() * MS >= self._closed_ms + work.period_ms
-        made = usage.next_closing(time.time() * MS, work.period_ms, work.grace_ms, last, late)
+        made = usage_ledger.next_closing(time.time() * MS, work.period_ms, work.grace_ms, last, late)
         if made is None:
             return False
-        [(waiting,)] = await self._backend.read(usage.WAITING, (made.before_ms, int(work.repeat_ms)))
+        [(waiting,)] = await self._backend.read(usage_ledger.WAITING, (made.before_ms, int(work.repeat_ms)))
         if not int(waiting):
             return False
         pause("close:decided")
         self._closed_ms = time.monotonic() * MS
-        effects = usage.closing(made, work.period_ms, int(work.repeat_ms), last, tenure.term)
+        effects = usage_ledger.closing(made, work.period_ms, int(work.repeat_ms), last, tenure.term)
         await self._backend.act(tenure, _paused(effects, "close:written"))
         pause("close:committed")
         return True
 
     async def _export(self, tenure: Tenure) -> bool:
-        waiting = await self._backend.read(usage.TO_EXPORT)
+        waiting = await self._backend.read(usage_ledger.TO_EXPORT)
         for (number,) in waiting:
-            sums = [Sum(*row) for row in await self._backend.read(usage.SUMS, (int(number),))]
+            sums = [Sum(*row) for row in await self._backend.read(usage_ledger.SUMS, (int(number),))]
             pause("export:read")
             await self._thread.do(lambda sums=sums, number=number: self._publish(int(number), sums))
             pause("export:linked")
-            await self._backend.act(tenure, usage.exported(int(number), tenure.term))
+            await self._backend.act(tenure, usage_ledger.exported(int(number), tenure.term))
             pause("export:marked")
         return bool(waiting)
 
     def _publish(self, number: int, sums: list[Sum]) -> None:
-        files.claim(self._folder)
-        files.sweep(self._folder)
+        export_files.claim(self._folder)
+        export_files.sweep(self._folder)
         for form in self._work.formats:
-            content = files.FORMATS[form](sums, self._work.period_ms)
-            files.publish(self._folder, f"usage-{number}.{form}", content, pause)
+            content = export_files.FORMATS[form](sums, self._work.period_ms)
+            export_files.publish(self._folder, f"usage-{number}.{form}", content, pause)
 
     async def _retain(self, tenure: Tenure) -> bool:
         before_ms = int(time.time() * MS - self._work.keep_ms)
-        [(old,)] = await self._backend.read(usage.TO_REMOVE, (before_ms,))
+        [(old,)] = await self._backend.read(usage_ledger.TO_REMOVE, (before_ms,))
         if not int(old):
             return False
         pause("retain:decided")
-        await self._backend.act(tenure, _paused(usage.retention(before_ms), "retain:written"))
+        await self._backend.act(tenure, _paused(usage_ledger.retention(before_ms), "retain:written"))
         return True
 
 
--- a/canvasplank/work/usage.py
+++ b/canvasplank/worker/usage_ledger.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from canvasplank.engine.migrations import Schema
+from canvasplank.database.migrations import Schema
 
 SCHEMA = Schema(
     "usage_schema_version",
--- a/standins/budgets.py
+++ b/emulators/budgets.py
@@ -8,10 +8,10 @@
 from pathlib import Path
 from urllib.parse import urlsplit
 
-from standins.callers import Callers
-from standins.fleet import Fleet, Proxy
-from standins.link import Link
-from standins.postgresql import PostgresqlStandIn
+from emulators.callers import Callers
+from emulators.fleet import Fleet, Proxy
+from emulators.link import Link
+from emulators.postgresql import PostgresqlStandIn
 
 FILE = """
 backend = "{backend}"
--- a/standins/callers.py
+++ b/emulators/callers.py
@@ -13,8 +13,8 @@
 from dataclasses import dataclass
 
 from canvasplank.codecs import isup
-from canvasplank.settings import split_address
-from standins.tasks import Tasks
+from canvasplank.config.settings import split_address
+from emulators.tasks import Tasks
 
 REFUSALS = (34, 42, 102)
 
--- a/standins/fleet.py
+++ b/emulators/fleet.py
@@ -13,8 +13,8 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from standins.discovery import Discovery
-from standins.server import CallServer
+from emulators.discovery import Discovery
+from emulators.server import CallServer
 
 ROOT = Path(__file__).parent.parent
 WAIT_S = 40.0
--- a/standins/link.py
+++ b/emulators/link.py
@@ -10,8 +10,8 @@
 import asyncio
 import contextlib
 
-from canvasplank.settings import split_address
-from standins.tasks import Tasks
+from canvasplank.config.settings import split_address
+from emulators.tasks import Tasks
 
 READ_MOST = 65_536
 
--- a/standins/postgresql.py
+++ b/emulators/postgresql.py
@@ -8,7 +8,7 @@
 UPDATE, and waited for as a row's is; until then each statement sees what is committed (READ COMMITTED).
 ``statement_timeout`` and ``idle_in_transaction_session_timeout`` are kept.
 
-``python -m standins.postgresql FOLDER`` runs one by itself, for measurements that its own work must not
+``python -m emulators.postgresql FOLDER`` runs one by itself, for measurements that its own work must not
 disturb.  It prints its DSN and takes commands on standard input: ``stalled 1``,
 ``drop_after_commit 1``, ``restart 5``.
 """
--- a/standins/server.py
+++ b/emulators/server.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass, field
 
 from canvasplank.codecs import sip
-from standins.tasks import Tasks
+from emulators.tasks import Tasks
 
 REJECT_SHARE, RELEASE_SHARE = 0.2, 0.15  # of a set-up's work
 TELLS_EVERY_S = 0.5
--- a/examples/toy_caller.py
+++ b/examples/toy_caller.py
@@ -10,7 +10,7 @@
 import sys
 
 from canvasplank.codecs import isup
-from canvasplank.settings import split_address
+from canvasplank.config.settings import split_address
 
 SET_UP = {
     isup.Parameter.CLASS: b"balance-check",
--- a/experiments/__main__.py
+++ b/experiments/__main__.py
@@ -8,8 +8,8 @@
 
 import click
 
-from canvasplank.settings import ConfigurationError
-from experiments import report, simulation, stage
+from canvasplank.config.settings import ConfigurationError
+from experiments import experiment_run, report, simulation
 from experiments.measures import Observed, figures
 from experiments.plan import Experiment, Variant, load_experiment
 
@@ -61,7 +61,7 @@
             for variant in experiment.variant:
                 began = time.monotonic()
                 if way == PROCESSES:
-                    seen = asyncio.run(stage.play(experiment, variant, size, seed))
+                    seen = asyncio.run(experiment_run.play(experiment, variant, size, seed))
                 else:
                     seen = simulation.play(experiment, variant, size, seed)
                 played.append(_played(experiment, way, variant, size, seed, seen))
--- a/experiments/stage.py
+++ b/experiments/experiment_run.py
@@ -16,19 +16,19 @@
 
 import tomli_w
 
-from canvasplank.fleet.agent import steady_ms
 from canvasplank.fleet.config import Fleet as Budgets
 from canvasplank.fleet.config import load_fleet
-from checks.spending import read_trace
+from canvasplank.fleet.lease_renewer import steady_ms
+from emulators.callers import Callers
+from emulators.fleet import Fleet, Proxy, fleet
+from emulators.front import until_passed
+from emulators.link import Link
+from emulators.postgresql import Faults, PostgresqlStandIn
+from emulators.server import CallServer
+from emulators.tasks import Tasks
 from experiments.measures import MS, Budget, Call, Cold, Observed
 from experiments.plan import Experiment, Fault, Variant
-from standins.callers import Callers
-from standins.fleet import Fleet, Proxy, fleet
-from standins.front import until_passed
-from standins.link import Link
-from standins.postgresql import Faults, PostgresqlStandIn
-from standins.server import CallServer
-from standins.tasks import Tasks
+from verification.spending import read_trace
 
 RULES = ("cold_share", "warm_within_ms", "tip_multiple", "overload_for_ms")  # a cold server's
 LATE_LOOK_S = 0.01
--- a/experiments/measures.py
+++ b/experiments/measures.py
@@ -8,7 +8,7 @@
 
 from hdrh.histogram import HdrHistogram
 
-from checks.spending import Trace, most_in, most_shared, worst_window
+from verification.spending import Trace, most_in, most_shared, worst_window
 
 MS = 1000.0
 LONGEST_MS, DIGITS = 60_000, 3
--- a/experiments/plan.py
+++ b/experiments/plan.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from canvasplank.part_settings import load_part_settings
+from canvasplank.config.extension_file import load_part_settings
 
 Seconds = Annotated[float, msgspec.Meta(ge=0, le=3600)]
 Part = Annotated[float, msgspec.Meta(gt=0, le=1)]
--- a/experiments/simulation.py
+++ b/experiments/simulation.py
@@ -16,14 +16,14 @@
 import msgspec
 
 from canvasplank import interface as api
+from canvasplank.cold_start.extension import Starting
+from canvasplank.cold_start.poll_backoff import FIRST_MS, MOST_MS, PollPace
+from canvasplank.cold_start.rendezvous_subset import Subset
+from canvasplank.config.settings import Instance, read_settings, server_of
 from canvasplank.policy import Controller
-from canvasplank.settings import Instance, read_settings, server_of
-from canvasplank.starting.part import Starting
-from canvasplank.starting.polls import FIRST_MS, MOST_MS, PollPace
-from canvasplank.starting.subset import Subset
+from emulators.fleet import service_settings
 from experiments.measures import Call, Cold, Observed
 from experiments.plan import DISCOVERY, Experiment, Fault, Variant
-from standins.fleet import service_settings
 
 MS = 1000.0
 WAY_MS = 1.0  # one way, between any two
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from canvasplank.parts import TABLE
+from canvasplank.extensions.extension import TABLE
 
 ROOT = Path(__file__).parent.parent
 EXAMPLE = (ROOT / "examples" / "config.json").read_text()
--- a/tests/test_budgets.py
+++ b/tests/test_budgets.py
@@ -10,17 +10,17 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from canvasplank.fleet import ledger
+from canvasplank.config.settings import ConfigurationError
+from canvasplank.fleet import lease_transaction
+from canvasplank.fleet.budget_limiter import Bucket, Demand, Scope, Spender
 from canvasplank.fleet.config import load_fleet
-from canvasplank.fleet.division import divide
-from canvasplank.fleet.holder import Holder, Lease, Terms
-from canvasplank.fleet.pace import Pace
-from canvasplank.fleet.rows import Grant, Member, Rows
-from canvasplank.fleet.spending import Bucket, Demand, Scope, Spender
-from canvasplank.fleet.watch import Watch
-from canvasplank.settings import ConfigurationError
-from checks.leases import WHOLE, Bounds, Explorer
-from checks.spending import Trace, most_shared, worst_window
+from canvasplank.fleet.failure_detector import Watch
+from canvasplank.fleet.fair_division import divide
+from canvasplank.fleet.lease_holder import Holder, Lease, Terms
+from canvasplank.fleet.renewal_schedule import Pace
+from canvasplank.fleet.state import Grant, Member, Rows
+from verification.leases import WHOLE, Bounds, Explorer
+from verification.spending import Trace, most_shared, worst_window
 
 LEASE = Lease(3000.0, 100.0, 0.001)
 TERMS = {"b": Terms(whole=80_000, reserve=16_000, most=8)}
@@ -65,14 +65,14 @@
     holders = []
     for name in names:
         holder = Holder(name, TERMS, LEASE)
-        rows, answer = ledger.apply(rows, holder.request(0.0, {}))
+        rows, answer = lease_transaction.apply(rows, holder.request(0.0, {}))
         holder.answered(answer)
         holders.append(holder)
     return rows, holders
 
 
 def ask(rows, holder, now_ms=0.0, dead=(), **demand):
-    rows, answer = ledger.apply(rows, holder.request(now_ms, demand, dead))
+    rows, answer = lease_transaction.apply(rows, holder.request(now_ms, demand, dead))
     holder.answered(answer)
     return rows, answer
 
@@ -100,7 +100,7 @@
         rows, [holder] = joined("a")
         late = holder.request(0.0, {})
         rows, _ = ask(rows, holder)
-        after, answer = ledger.apply(rows, late)
+        after, answer = lease_transaction.apply(rows, late)
         assert after == rows and answer.incarnation is None
 
     def test_one_that_renewed_meanwhile_is_not_removed(self):
@@ -128,7 +128,7 @@
     def test_the_smallest_whole_and_the_largest_reserve_count_while_files_differ(self):
         rows, [first] = joined("a")
         other = Holder("b", {"b": Terms(40_000, 8_000, 8)}, LEASE)
-        rows, answer = ledger.apply(rows, other.request(0.0, {}))
+        rows, answer = lease_transaction.apply(rows, other.request(0.0, {}))
         assert answer.grants["b"].target == (40_000 - 16_000) // 2
         rows, _ = ask(rows, first)
         assert first.share("b", 0) == 12_000
@@ -137,7 +137,7 @@
         rows, [holder] = joined("a")
         request = holder.request(0.0, {})
         more = {"b": msgspec.structs.replace(request.using["b"], held=70_000)}
-        after, answer = ledger.apply(rows, msgspec.structs.replace(request, using=more))
+        after, answer = lease_transaction.apply(rows, msgspec.structs.replace(request, using=more))
         assert not after.members and answer.why == "it uses more than it was granted"
 
     def test_no_share_grows_beside_a_row_that_cannot_be_read(self):
@@ -146,7 +146,7 @@
 
     def test_leaving_frees_the_share_at_once(self):
         rows, [first, second] = joined("a", "b")
-        rows, _ = ledger.apply(rows, first.request(0.0, {}, leaving=True))
+        rows, _ = lease_transaction.apply(rows, first.request(0.0, {}, leaving=True))
         assert first.share("b", 0) == 0
         rows, _ = ask(rows, second)
         assert second.share("b", 0) == 64_000
@@ -165,13 +165,13 @@
     def test_it_runs_from_when_the_request_was_sent(self):
         rows, [holder] = joined("a")
         request = holder.request(1000.0, {})
-        rows, answer = ledger.apply(rows, request)  # however late that is, and the answer
+        rows, answer = lease_transaction.apply(rows, request)  # however late that is, and the answer
         holder.answered(answer)
         assert holder.until_ms == 1000.0 + LEASE.usable_ms()
 
     def test_an_answer_to_an_older_request_tells_nothing(self):
         rows, [holder] = joined("a")
-        rows, answer = ledger.apply(rows, holder.request(500.0, {}))
+        rows, answer = lease_transaction.apply(rows, holder.request(500.0, {}))
         holder.request(2000.0, {})
         assert not holder.answered(answer) and holder.until_ms == LEASE.usable_ms()
 
@@ -306,7 +306,7 @@
                 if sign.incarnation in members
             ),
         )
-    after, answer = ledger.apply(Rows(members, rows.next_incarnation, rows.unreadable), request)
+    after, answer = lease_transaction.apply(Rows(members, rows.next_incarnation, rows.unreadable), request)
     if "order" in drop and answer.incarnation is not None:
         # The store lowers a share first, and its holder hears of it.
         member = after.members[answer.incarnation]
@@ -337,7 +337,7 @@
     @pytest.mark.parametrize(
         ("lease", "bounds", "apply"),
         [
-            (Lease(2.0, 0.0, 0.0), SLIPPING, ledger.apply),
+            (Lease(2.0, 0.0, 0.0), SLIPPING, lease_transaction.apply),
             (Lease(2.0, 1.0, 0.0), LATE, without("order")),
             (Lease(2.0, 1.0, 0.0), LATE, without("seq")),
             (Lease(2.0, 1.0, 0.0), LAPSING, without("incarnation")),
--- a/tests/test_budgets_processes.py
+++ b/tests/test_budgets_processes.py
@@ -8,14 +8,14 @@
 
 import pytest
 
-from canvasplank.fleet.agent import steady_ms
-from checks.spending import Trace, most_shared, read_trace, used_per_s, worst_window
-from standins.budgets import BudgetFleet, Plan
-from standins.callers import Callers
-from standins.fleet import fleet
-from standins.postgresql import PostgresqlStandIn
-from standins.server import CallServer
-from standins.tasks import Tasks
+from canvasplank.fleet.lease_renewer import steady_ms
+from emulators.budgets import BudgetFleet, Plan
+from emulators.callers import Callers
+from emulators.fleet import fleet
+from emulators.postgresql import PostgresqlStandIn
+from emulators.server import CallServer
+from emulators.tasks import Tasks
+from verification.spending import Trace, most_shared, read_trace, used_per_s, worst_window
 
 NAMES = [f"n{number}" for number in range(8)]
 PLAN = Plan()
--- a/tests/test_cold_start.py
+++ b/tests/test_cold_start.py
@@ -12,15 +12,15 @@
 
 from canvasplank.codecs import sse
 from canvasplank.codecs.errors import BadMessageError
-from canvasplank.settings import ConfigurationError
-from canvasplank.starting.part import load
-from canvasplank.starting.polls import MOST_MS, NAMED_MOST_MS, PollPace
-from checks.spending import most_in
-from standins.callers import Callers
-from standins.fleet import fleet
-from standins.front import passes_test
-from standins.link import Link
-from standins.server import CallServer
+from canvasplank.cold_start.extension import load
+from canvasplank.cold_start.poll_backoff import MOST_MS, NAMED_MOST_MS, PollPace
+from canvasplank.config.settings import ConfigurationError
+from emulators.callers import Callers
+from emulators.fleet import fleet
+from emulators.front import passes_test
+from emulators.link import Link
+from emulators.server import CallServer
+from verification.spending import most_in
 
 FLEET_FILE = """backend = "sqlite"
 path = "{path}"
--- a/tests/test_connecting.py
+++ b/tests/test_connecting.py
@@ -7,9 +7,9 @@
 import struct
 
 from canvasplank.codecs import sip
-from canvasplank.deadlines import Deadlines, Turns
 from canvasplank.network.connecting import Connecting
 from canvasplank.network.stream import BufferBudget, Stream
+from canvasplank.runtime.scheduler import Deadlines, Turns
 
 
 class Heard(Stream):
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -19,21 +19,21 @@
 
 import msgspec
 import pytest
-from player import PROGRESS, SETTINGS, Player
+from exchange_replay import PROGRESS, SETTINGS, Player
 from test_operations import free_port
 
 from canvasplank import interface as api
 from canvasplank.codecs import isup, sip
+from canvasplank.config.settings import Ceilings, Figures, Gauges, Instance, load_configuration
 from canvasplank.counters import Counters
-from canvasplank.deadlines import Deadlines, Turns
-from canvasplank.exchange import CallRecord, Exchange
+from canvasplank.exchange.exchange import CallRecord, Exchange
 from canvasplank.network.callers import Callers
-from canvasplank.network.loop import PipeLoop
 from canvasplank.network.servers import Servers
 from canvasplank.network.stream import BufferBudget
 from canvasplank.program import Program
-from canvasplank.settings import Ceilings, Figures, Gauges, Instance, load_configuration
-from canvasplank.shutdown import SERVE_ON_MS
+from canvasplank.runtime.event_loop import PipeLoop
+from canvasplank.runtime.scheduler import Deadlines, Turns
+from canvasplank.runtime.shutdown import SERVE_ON_MS
 
 ROOT = Path(__file__).parent.parent
 WAIT_S = 20.0  # bounds every wait here; none depends on speed
--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -8,14 +8,14 @@
 
 import pytest
 
+from canvasplank.cold_start.extension import Starting
+from canvasplank.config.extension_file import load_part_settings
+from canvasplank.endpoint_cache.config import load_membership
+from canvasplank.extensions.extension import TABLE, enabled_parts
 from canvasplank.fleet.config import load_fleet
-from canvasplank.learning.config import load_learning
-from canvasplank.membership.config import load_membership
-from canvasplank.part_settings import load_part_settings
-from canvasplank.parts import TABLE, enabled_parts
-from canvasplank.starting.part import Starting
 from canvasplank.store.config import load_store
-from canvasplank.work.config import load_work
+from canvasplank.warm_start.config import load_learning
+from canvasplank.worker.config import load_work
 
 ROOT = Path(__file__).parent.parent
 LOADS = {
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -8,9 +8,9 @@
 
 import pytest
 
-from canvasplank.deadlines import Deadlines, Turns
 from canvasplank.network.discovery import Discovery
 from canvasplank.network.stream import BufferBudget
+from canvasplank.runtime.scheduler import Deadlines, Turns
 
 COMMENT_MS = 1000.0  # between two words of a board that is well
 
--- a/tests/test_standins.py
+++ b/tests/test_emulators.py
@@ -4,7 +4,7 @@
 
 import asyncio
 
-from standins.callers import Callers
+from emulators.callers import Callers
 
 
 def test_callers_who_find_no_proxy_for_a_while_are_lost_and_go_on_coming():
--- a/tests/test_membership.py
+++ b/tests/test_endpoint_cache.py
@@ -10,15 +10,23 @@
 from conftest import Gateway, ready, settings
 
 from canvasplank import interface as api
-from canvasplank.deadlines import Deadlines, Turns
-from canvasplank.membership import keeper
-from canvasplank.membership.config import load_membership
-from canvasplank.membership.kept import MOST_BYTES, VERSION, KeptError, KeptList, KeptServer, decode, encode
-from canvasplank.membership.roster import MOST_AGE_MS, TRUSTED_MS, Roster, judge
-from canvasplank.settings import ConfigurationError, DiscoveryEvent, Instance, Pool
-from standins.callers import Callers
-from standins.fleet import fleet
-from standins.server import CallServer
+from canvasplank.config.settings import ConfigurationError, DiscoveryEvent, Instance, Pool
+from canvasplank.endpoint_cache import writer
+from canvasplank.endpoint_cache.bootstrap import MOST_AGE_MS, TRUSTED_MS, Roster, judge
+from canvasplank.endpoint_cache.cached_list import (
+    MOST_BYTES,
+    VERSION,
+    KeptError,
+    KeptList,
+    KeptServer,
+    decode,
+    encode,
+)
+from canvasplank.endpoint_cache.config import load_membership
+from canvasplank.runtime.scheduler import Deadlines, Turns
+from emulators.callers import Callers
+from emulators.fleet import fleet
+from emulators.server import CallServer
 
 NOW = 1_800_000_000_000.0
 HOUR_MS = 3_600_000.0
@@ -56,7 +64,7 @@
     with pytest.raises(KeptError, match=why):
         decode(data)
     (tmp_path / "servers.json").write_bytes(data)
-    assert keeper.read(str(tmp_path / "servers.json")) is None
+    assert writer.read(str(tmp_path / "servers.json")) is None
     assert len(caplog.records) == 1 and "no list of servers taken" in caplog.text
 
 
@@ -119,12 +127,12 @@
 
 def test_a_write_that_fails_leaves_the_old_file_and_is_told_once(tmp_path, caplog):
     path = tmp_path / "servers.json"
-    keeper.write(str(path), kept())
+    writer.write(str(path), kept())
     before = path.read_bytes()
 
     async def run():
         roster = Roster([Instance("s-c", "10.0.0.3:1", "ready")], NOW)
-        made = keeper.Keeper(str(path), roster, Turns(Deadlines(), lambda: NOW), lambda: None)
+        made = writer.Keeper(str(path), roster, Turns(Deadlines(), lambda: NOW), lambda: None)
         (tmp_path / "servers.json.new").mkdir()  # in the way of the new file
         await made.close()
         await made.close()
--- a/tests/test_loop.py
+++ b/tests/test_event_loop.py
@@ -8,7 +8,7 @@
 import socket
 import threading
 
-from canvasplank.network.loop import PipeLoop
+from canvasplank.runtime.event_loop import PipeLoop
 
 
 def refused(*_args, **_kwargs):
--- a/tests/test_exchange.py
+++ b/tests/test_exchange.py
@@ -3,8 +3,8 @@
 from __future__ import annotations
 
 from canvasplank.counters import Counters
-from canvasplank.deadlines import Deadlines, Turns
-from canvasplank.exchange import CallRecord, Exchange, Final
+from canvasplank.exchange.exchange import CallRecord, Exchange, Final
+from canvasplank.runtime.scheduler import Deadlines, Turns
 
 KIB = 1024
 
--- a/tests/test_exchanges.py
+++ b/tests/test_exchange_replay.py
@@ -6,7 +6,7 @@
 from pathlib import Path
 
 import pytest
-from player import SETTINGS, Player
+from exchange_replay import SETTINGS, Player
 
 RECORDS = sorted((Path(__file__).parent / "exchanges").glob("*.txt"))
 
--- a/tests/test_experiments.py
+++ b/tests/test_experiments.py
@@ -9,12 +9,12 @@
 import pytest
 from click.testing import CliRunner
 
-from canvasplank.settings import ConfigurationError
-from checks.spending import Trace
-from experiments import measures, report, simulation, stage
+from canvasplank.config.settings import ConfigurationError
+from experiments import experiment_run, measures, report, simulation
 from experiments.__main__ import cli
 from experiments.measures import Budget, Call, Cold, Figure, Observed
 from experiments.plan import load_experiment
+from verification.spending import Trace
 
 PLAYS_MOST, LATE_MOST_MS = 5, 1500.0  # usually it is late by 0.2 to 0.7 s as two dozen processes start
 SMALL = """
@@ -196,7 +196,7 @@
 
 def test_the_file_of_a_part_is_not_written_again_while_a_process_may_read_it(tmp_path):
     """Written anew for each of 300 starts it was read half written: an empty file switches the part off."""
-    play = stage.Stage.__new__(stage.Stage)
+    play = experiment_run.Stage.__new__(experiment_run.Stage)
     play.fleet = SimpleNamespace(folder=tmp_path)
     path = Path(play._file("starting", {"polls_per_s": 30.0}))
     whole, written = path.read_text(), path.stat()
--- a/tests/test_fleet_store.py
+++ b/tests/test_fleet_store.py
@@ -10,16 +10,16 @@
 import pytest
 from click.testing import CliRunner
 
-from canvasplank import events
 from canvasplank.cli import cli
 from canvasplank.counters import Counters
-from canvasplank.engine.errors import StoreUnavailableError
-from canvasplank.fleet.agent import Agent
+from canvasplank.database.errors import StoreUnavailableError
 from canvasplank.fleet.config import Budget, Fleet
-from canvasplank.fleet.holder import Holder
+from canvasplank.fleet.lease_holder import Holder
+from canvasplank.fleet.lease_renewer import Agent
 from canvasplank.fleet.postgresql import IDLE_MS, Postgresql
 from canvasplank.fleet.sqlite import Sqlite
-from standins.postgresql import PostgresqlStandIn
+from canvasplank.runtime import structured_logging
+from emulators.postgresql import PostgresqlStandIn
 
 WAIT_S = 20.0
 BUDGETS = [Budget("all", "set-ups", 80.0, kept_back=0.2)]
@@ -177,9 +177,11 @@
 
     root = logging.getLogger()
     monkeypatch.setattr(root, "handlers", [])
-    events.begin("json")
-    events.event(logging.getLogger("x"), "budget.share", text="what people read", budget="all", share=3)
+    structured_logging.begin("json")
+    structured_logging.event(
+        logging.getLogger("x"), "budget.share", text="what people read", budget="all", share=3
+    )
     said = json.loads(capsys.readouterr().err)
     assert said["event"] == "budget.share" and said["share"] == 3 and said["message"] == "what people read"
     with pytest.raises(ValueError, match="CANVASPLANK_LOG"):
-        events.begin("morse")
+        structured_logging.begin("morse")
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -152,9 +152,9 @@
     """A set-up written to a connection that nobody reads any more was lost on an upgrade day."""
     import asyncio
 
-    from canvasplank.network.loop import PipeLoop
+    from canvasplank.config.settings import load_configuration
     from canvasplank.program import Program
-    from canvasplank.settings import load_configuration
+    from canvasplank.runtime.event_loop import PipeLoop
 
     configuration = json.loads((ROOT / "examples" / "config.json").read_text())
     configuration |= {"listen": f"127.0.0.1:{free_port()}", "board": f"127.0.0.1:{free_port()}"}
--- a/tests/test_ownership.py
+++ b/tests/test_ownership.py
@@ -18,23 +18,23 @@
 from pyarrow import parquet
 
 from canvasplank.cli import cli
-from canvasplank.engine.errors import StoreRefusedError
-from canvasplank.fleet import ledger
+from canvasplank.config.settings import ConfigurationError
+from canvasplank.database.errors import StoreRefusedError
+from canvasplank.fleet import lease_transaction
 from canvasplank.fleet.backend import Tenure, TermOverError
-from canvasplank.fleet.holder import Holder, Lease
-from canvasplank.fleet.ownership import BACKOFF_MS, Ownership
+from canvasplank.fleet.lease_holder import Holder, Lease
 from canvasplank.fleet.postgresql import Postgresql as FleetPostgresql
-from canvasplank.fleet.rows import Rows, Task
 from canvasplank.fleet.sqlite import Sqlite as FleetSqlite
-from canvasplank.settings import ConfigurationError
+from canvasplank.fleet.state import Rows, Task
+from canvasplank.fleet.task_leadership import BACKOFF_MS, Ownership
 from canvasplank.store.postgresql import Postgresql
 from canvasplank.store.records import Outcome
 from canvasplank.store.sqlite import Sqlite
-from canvasplank.work import files, usage
-from canvasplank.work.config import load_work
-from canvasplank.work.usage import Closing, Sum, next_closing
-from standins.link import Link
-from standins.postgresql import PostgresqlStandIn
+from canvasplank.worker import export_files, usage_ledger
+from canvasplank.worker.config import load_work
+from canvasplank.worker.usage_ledger import Closing, Sum, next_closing
+from emulators.link import Link
+from emulators.postgresql import PostgresqlStandIn
 
 ROOT = Path(__file__).parent.parent
 WAIT_S = 25.0
@@ -71,7 +71,7 @@
     def ask(self, rows, now_ms=0.0, dead=()):
         request = self.holder.request(now_ms, {}, dead)
         request = msgspec.structs.replace(request, **self.ownership.says(now_ms))
-        rows, answer = ledger.apply(rows, request)
+        rows, answer = lease_transaction.apply(rows, request)
         if self.holder.answered(answer):
             self.ownership.heard(answer, now_ms)
         return rows
@@ -92,7 +92,7 @@
     def test_a_new_owner_has_a_new_term_once_the_old_one_is_dead(self):
         one, other = Candidate("a", "x"), Candidate("b", "x")
         rows = other.ask(one.ask(Rows()))
-        rows, answer = ledger.apply(rows, other.holder.request(0.0, {}))
+        rows, answer = lease_transaction.apply(rows, other.holder.request(0.0, {}))
         rows = other.ask(rows, dead=answer.seen[:1])
         assert other.owns == {"x": 2} and one.owns == {"x": 1}, "the old one believes it still"
         rows = one.ask(rows)
@@ -127,7 +127,7 @@
         one, other = Candidate("a", "x"), Candidate("b", "x")
         rows = other.ask(one.ask(Rows()))
         request = msgspec.structs.replace(one.holder.request(0.0, {}), able=(), ready={})
-        rows, _ = ledger.apply(rows, request)
+        rows, _ = lease_transaction.apply(rows, request)
         assert other.ask(rows).tasks["x"].owner == other.holder.incarnation
 
     def test_terms_never_fall_and_one_owner_at_a_time_through_any_order_of_events(self):
@@ -140,7 +140,7 @@
                 if rng.random() < 0.2 and each.owns:
                     task = rng.choice(sorted(each.owns))
                     each.ownership.failed(Tenure(task, each.owns[task], each.holder.incarnation))
-                victims = [sign for sign in ledger._signs(rows) if rng.random() < 0.1]
+                victims = [sign for sign in lease_transaction._signs(rows) if rng.random() < 0.1]
                 rows = each.ask(rows, now_ms=step * 1e5, dead=victims)
                 for name, task in rows.tasks.items():
                     assert task.term >= terms[name]
@@ -175,7 +175,7 @@
                         self.record(77, 995, "served", "n2"),
                     ]
                 )
-                await fleet.act(tenure, usage.closing(Closing(0, 1000), 1000, 300, None, tenure.term))
+                await fleet.act(tenure, usage_ledger.closing(Closing(0, 1000), 1000, 300, None, tenure.term))
                 assert await sums(fleet, 0) == [Sum(0, "acme", "low", "served", 0, 11)]
                 await store.write(
                     [
@@ -184,17 +184,17 @@
                         self.record(60, 1500, "refused"),
                     ]
                 )
-                await fleet.act(tenure, usage.closing(Closing(1, 2000), 1000, 300, 0, tenure.term))
+                await fleet.act(tenure, usage_ledger.closing(Closing(1, 2000), 1000, 300, 0, tenure.term))
                 assert await sums(fleet, 1) == [
                     Sum(0, "", "low", "served", 1, 1),
                     Sum(1, "acme", "low", "refused", 0, 1),
                 ]
                 with pytest.raises(StoreRefusedError):
-                    await fleet.act(tenure, usage.closing(Closing(1, 2000), 1000, 300, 0, tenure.term))
-                await fleet.act(tenure, usage.retention(10_000))
+                    await fleet.act(tenure, usage_ledger.closing(Closing(1, 2000), 1000, 300, 0, tenure.term))
+                await fleet.act(tenure, usage_ledger.retention(10_000))
                 assert len(await fleet.read("SELECT call_id FROM call_outcome")) == 16, "nothing is exported"
-                await fleet.act(tenure, usage.exported(0, tenure.term))
-                await fleet.act(tenure, usage.retention(10_000))
+                await fleet.act(tenure, usage_ledger.exported(0, tenure.term))
+                await fleet.act(tenure, usage_ledger.retention(10_000))
                 assert len(await fleet.read("SELECT call_id FROM call_outcome")) == 3
 
         asyncio.run(run())
@@ -219,13 +219,13 @@
                         self.record(8, 910, "failed"),
                     ]
                 )
-                await fleet.act(tenure, usage.closing(Closing(0, 1000), 1000, 300, None, tenure.term))
+                await fleet.act(tenure, usage_ledger.closing(Closing(0, 1000), 1000, 300, None, tenure.term))
                 assert await sums(fleet, 0) == [
                     Sum(0, "acme", "low", "failed", 0, 3),
                     Sum(0, "acme", "low", "served", 0, 2),
                 ]
                 await store.write([tried(9, 1100, "served", "c")])  # the repeat of one near the period's end
-                await fleet.act(tenure, usage.closing(Closing(1, 2000), 1000, 300, 0, tenure.term))
+                await fleet.act(tenure, usage_ledger.closing(Closing(1, 2000), 1000, 300, 0, tenure.term))
                 assert await sums(fleet, 1) == [Sum(1, "acme", "low", "served", 0, 1)]
 
         asyncio.run(run())
@@ -238,8 +238,8 @@
                 await store.write([self.record(1, 500)])
                 late = tenure._replace(term=tenure.term - 1)
                 with pytest.raises(TermOverError, match="term 0 of close is over"):
-                    await fleet.act(late, usage.closing(Closing(0, 1000), 1000, 300, None, late.term))
-                assert await fleet.read(usage.LAST_CLOSED) == [(None,)]
+                    await fleet.act(late, usage_ledger.closing(Closing(0, 1000), 1000, 300, None, late.term))
+                assert await fleet.read(usage_ledger.LAST_CLOSED) == [(None,)]
 
         asyncio.run(run())
 
@@ -265,18 +265,18 @@
     SUMS = (Sum(0, "acme", "low", "served", 0, 11), Sum(0, "", "low", "failed", 1, 2))
 
     def publish(self, folder, content, pause=lambda point: None):
-        return files.publish(folder, "usage-0.csv", content, pause)
+        return export_files.publish(folder, "usage-0.csv", content, pause)
 
     def test_both_formats_hold_the_same(self, tmp_path):
-        (tmp_path / "u.parquet").write_bytes(files.as_parquet(self.SUMS, 3_600_000))
+        (tmp_path / "u.parquet").write_bytes(export_files.as_parquet(self.SUMS, 3_600_000))
         table = parquet.read_table(tmp_path / "u.parquet").to_pylist()
-        lines = list(csv.DictReader(files.as_csv(self.SUMS, 3_600_000).decode().splitlines()))
+        lines = list(csv.DictReader(export_files.as_csv(self.SUMS, 3_600_000).decode().splitlines()))
         assert [str(row["calls"]) for row in table] == [line["calls"] for line in lines] == ["11", "2"]
         assert lines[0]["period_start"] == "1970-01-01T00:00:00+00:00" == table[0]["period_start"].isoformat()
 
     def test_what_is_there_is_never_replaced(self, tmp_path):
         assert self.publish(tmp_path, b"one") and not self.publish(tmp_path, b"one")
-        with pytest.raises(files.ContentError):
+        with pytest.raises(export_files.ContentError):
             self.publish(tmp_path, b"other")
         assert [path.name for path in tmp_path.iterdir()] == ["usage-0.csv"]
 
@@ -287,15 +287,15 @@
         with pytest.raises(KeyboardInterrupt):
             self.publish(tmp_path, b"one", die)
         (tmp_path / ".usage-0.csv.99").write_bytes(b"on")
-        files.sweep(tmp_path)
+        export_files.sweep(tmp_path)
         assert not list(tmp_path.iterdir())
 
     def test_a_folder_that_is_not_ours_is_left_alone(self, tmp_path):
         (tmp_path / "somebody's").touch()
-        with pytest.raises(files.FolderError, match="holds what is not ours"):
-            files.claim(tmp_path)
-        with pytest.raises(files.FolderError, match="No such file"):
-            files.claim(tmp_path / "nowhere")
+        with pytest.raises(export_files.FolderError, match="holds what is not ours"):
+            export_files.claim(tmp_path)
+        with pytest.raises(export_files.FolderError, match="No such file"):
+            export_files.claim(tmp_path / "nowhere")
 
 
 @pytest.mark.parametrize(
@@ -337,7 +337,7 @@
     (folder / "fleet.toml").write_text(FLEET.format(backend=kind, path=path, dsn=dsn))
     await fleet.open()
     await store.open()
-    await fleet.migrate(usage.SCHEMA)
+    await fleet.migrate(usage_ledger.SCHEMA)
     try:
         yield folder / "fleet.toml", fleet, store, server
     finally:
@@ -356,7 +356,7 @@
 
 
 async def sums(fleet, period):
-    return [Sum(*row) for row in await fleet.read(usage.SUMS, (period,))]
+    return [Sum(*row) for row in await fleet.read(usage_ledger.SUMS, (period,))]
 
 
 class Workers:
@@ -434,7 +434,7 @@
     """Wait until files hold so many calls; then see that nothing more comes."""
     try:
         async with asyncio.timeout(WAIT_S):
-            while sum(workers.exported().values()) < count or await fleet.read(usage.TO_EXPORT):
+            while sum(workers.exported().values()) < count or await fleet.read(usage_ledger.TO_EXPORT):
                 await asyncio.sleep(0.1)
     except TimeoutError:
         logs = {name: workers.log(name)[-1500:] for name in workers.processes}
--- a/tests/test_limits.py
+++ b/tests/test_project_rules.py
@@ -69,7 +69,7 @@
     assert "global " not in source
 
 
-@pytest.mark.parametrize("name", ["interface.py", "wirehost.py", "__init__.py"])
+@pytest.mark.parametrize("name", ["interface.py", "simulator_adapter.py", "__init__.py"])
 def test_no_tuned_value_outside_the_policy(name):
     """Only the wire's own positions, flags and masks, and nothing with a fraction."""
     numbers = {
@@ -77,7 +77,7 @@
         for node in ast.walk(tree(name))
         if isinstance(node, ast.Constant) and type(node.value) in (int, float)
     }
-    wire = {2, 3, 4, 5, 6, 7, 10, 15, 16, 80} if name == "wirehost.py" else set()
+    wire = {2, 3, 4, 5, 6, 7, 10, 15, 16, 80} if name == "simulator_adapter.py" else set()
     assert numbers <= {0, 1} | wire
 
 
@@ -89,54 +89,54 @@
 
 
 def test_the_adapter_reads_no_state_of_a_controller():
-    source = (PACKAGE / "wirehost.py").read_text()
+    source = (PACKAGE / "simulator_adapter.py").read_text()
     assert set(re.findall(r"controller\.(\w+)", source)) == {"handle"}
 
 
 PACKAGE_NAME = "canvasplank"
 # From the bottom up: a module imports only what stands before it.
 LAYERS = [
-    "signals",
+    "runtime.signals",
     "interface",
-    "events",
+    "runtime.structured_logging",
     "codecs.errors",
     "codecs.isup",
     "codecs.sip",
     "codecs.sse",
     "counters",
-    "deadlines",
-    "shutdown",
-    "closing",
-    "background",
-    "engine.errors",
-    "engine.where",
-    "engine.migrations",
-    "engine.sqlite",
-    "engine.postgresql",
-    "fleet.rows",
-    "fleet.division",
-    "fleet.ledger",
-    "fleet.holder",
-    "fleet.watch",
-    "fleet.spending",
-    "fleet.pace",
-    "learning.view",
-    "learning.merge",
+    "runtime.scheduler",
+    "runtime.shutdown",
+    "runtime.streams",
+    "runtime.worker_thread",
+    "database.errors",
+    "database.location",
+    "database.migrations",
+    "database.sqlite",
+    "database.postgresql",
+    "fleet.state",
+    "fleet.fair_division",
+    "fleet.lease_transaction",
+    "fleet.lease_holder",
+    "fleet.failure_detector",
+    "fleet.budget_limiter",
+    "fleet.renewal_schedule",
+    "warm_start.peer_snapshot",
+    "warm_start.start_hints",
     "policy.restrictor",
     "policy.servers",
     "policy.controller",
     "policy",
-    "settings",
-    "part_settings",
-    "learning.config",
-    "learning.asking",
-    "learning.exporting",
-    "membership.kept",
-    "membership.roster",
-    "membership.keeper",
-    "membership.config",
-    "wirehost",
-    "exchange",
+    "config.settings",
+    "config.extension_file",
+    "warm_start.config",
+    "warm_start.client",
+    "warm_start.server",
+    "endpoint_cache.cached_list",
+    "endpoint_cache.bootstrap",
+    "endpoint_cache.writer",
+    "endpoint_cache.config",
+    "simulator_adapter",
+    "exchange.exchange",
     "store.records",
     "store.outbox",
     "store.schema",
@@ -146,7 +146,7 @@
     "store.config",
     "store.writer",
     "store.__main__",
-    "network.loop",
+    "runtime.event_loop",
     "network.stream",
     "network.connecting",
     "network.listening",
@@ -158,25 +158,25 @@
     "network.servers",
     "network.discovery",
     "admin",
-    "parts",
-    "membership.part",
-    "store.part",
-    "learning.part",
+    "extensions.extension",
+    "endpoint_cache.extension",
+    "store.extension",
+    "warm_start.extension",
     "fleet.schema",
     "fleet.backend",
     "fleet.sqlite",
     "fleet.postgresql",
     "fleet.config",
-    "fleet.ownership",
-    "fleet.agent",
-    "fleet.part",
-    "starting.polls",
-    "starting.subset",
-    "starting.part",
-    "work.config",
-    "work.usage",
-    "work.files",
-    "work.worker",
+    "fleet.task_leadership",
+    "fleet.lease_renewer",
+    "fleet.extension",
+    "cold_start.poll_backoff",
+    "cold_start.rendezvous_subset",
+    "cold_start.extension",
+    "worker.config",
+    "worker.usage_ledger",
+    "worker.export_files",
+    "worker.task_runner",
     "program",
     "cli",
     "__main__",
@@ -205,4 +205,4 @@
 def test_callers_and_servers_meet_only_in_the_exchange():
     assert not imports_of("network.callers") & {"network.servers", "network.discovery"}
     assert not imports_of("network.servers") & {"network.callers", "network.discovery"}
-    assert not any(name.startswith("network") for name in imports_of("exchange"))
+    assert not any(name.startswith("network") for name in imports_of("exchange.exchange"))
--- a/tests/test_subset.py
+++ b/tests/test_rendezvous_subset.py
@@ -14,13 +14,13 @@
 from conftest import Gateway, settings
 
 from canvasplank import interface as api
+from canvasplank.cold_start.extension import Starting, StartingPart
+from canvasplank.cold_start.rendezvous_subset import Subset, choose, rank, shared_by
+from canvasplank.config.settings import Instance, server_of
 from canvasplank.network.servers import Servers
-from canvasplank.settings import Instance, server_of
-from canvasplank.starting.part import Starting, StartingPart
-from canvasplank.starting.subset import Subset, choose, rank, shared_by
-from standins.callers import Callers
-from standins.fleet import ROOT, fleet
-from standins.server import CallServer
+from emulators.callers import Callers
+from emulators.fleet import ROOT, fleet
+from emulators.server import CallServer
 
 WAIT_S = 30.0
 ALL = (None,)
--- a/tests/test_deadlines.py
+++ b/tests/test_scheduler.py
@@ -5,7 +5,7 @@
 import asyncio
 import socket
 
-from canvasplank.deadlines import Deadlines, Turns, UnixClock
+from canvasplank.runtime.scheduler import Deadlines, Turns, UnixClock
 
 
 def test_they_come_due_in_order_and_can_be_taken_out():
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from canvasplank.shutdown import Phase, Shutdown
+from canvasplank.runtime.shutdown import Phase, Shutdown
 
 BEGUN_MS = 1_800_000_000_000.0
 IDLE = {"open_calls": 0, "unsent": 0, "connections": 0}
--- a/tests/test_wirehost.py
+++ b/tests/test_simulator_adapter.py
@@ -10,7 +10,7 @@
 import pytest
 
 from canvasplank import interface as api
-from canvasplank import wirehost
+from canvasplank import simulator_adapter
 
 ROOT = Path(__file__).parent.parent
 CALL = "5d3a91c4-a2ce-4abb-a7a1-c152b75ea37f"
@@ -44,7 +44,7 @@
 
 def run(*lines, raw=None):
     text = raw if raw is not None else "".join(json.dumps(line) + "\n" for line in lines)
-    command = [sys.executable, "-m", "canvasplank.wirehost"]
+    command = [sys.executable, "-m", "canvasplank.simulator_adapter"]
     done = subprocess.run(command, input=text, capture_output=True, text=True, cwd=ROOT, check=False)
     return done, [json.loads(line) for line in done.stdout.splitlines()]
 
@@ -122,7 +122,7 @@
 
 def read(*messages):
     """The events that an adapter's host reads from the messages of one instance."""
-    host = wirehost.Host()
+    host = simulator_adapter.Host()
     list(host.batch(100.0, [["configure", 0, 7, OPTIONS]]))
     return [host._readers[message[0]](message) for message in messages]
 
@@ -145,7 +145,7 @@
 @pytest.mark.parametrize(("holds", "hold_ms"), [([9800.0], 9800.0), ([], None), (None, None)])
 def test_the_mean_length_of_a_call_is_read_where_it_is_told(holds, hold_ms):
     family = OPTIONS["family_info"] | {"class_hold_ms": holds}
-    assert wirehost.read_settings(OPTIONS | {"family_info": family}).classes[0].hold_ms == hold_ms
+    assert simulator_adapter.read_settings(OPTIONS | {"family_info": family}).classes[0].hold_ms == hold_ms
 
 
 @pytest.mark.parametrize(
@@ -166,7 +166,7 @@
     done, lines = run(raw=raw)
     assert done.returncode == 2
     assert lines == []
-    assert len(done.stderr.splitlines()) == 1 and done.stderr.startswith("canvasplank.wirehost: ")
+    assert len(done.stderr.splitlines()) == 1 and done.stderr.startswith("canvasplank.simulator_adapter: ")
 
 
 @pytest.mark.parametrize(
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -11,10 +11,10 @@
 from click.testing import CliRunner
 
 from canvasplank import interface as api
+from canvasplank.config.settings import ConfigurationError
 from canvasplank.counters import Counters
-from canvasplank.engine.errors import StoreUnavailableError
-from canvasplank.exchange import CallRecord
-from canvasplank.settings import ConfigurationError
+from canvasplank.database.errors import StoreUnavailableError
+from canvasplank.exchange.exchange import CallRecord
 from canvasplank.store import schema
 from canvasplank.store.__main__ import cli
 from canvasplank.store.backend import Count
@@ -24,10 +24,10 @@
 from canvasplank.store.records import ANSWERED, OVER, Outcome
 from canvasplank.store.sqlite import Sqlite
 from canvasplank.store.writer import LOG_EVERY_S, Writer
-from standins.callers import Callers
-from standins.fleet import fleet, free_port
-from standins.postgresql import PostgresqlStandIn
-from standins.server import CallServer
+from emulators.callers import Callers
+from emulators.fleet import fleet, free_port
+from emulators.postgresql import PostgresqlStandIn
+from emulators.server import CallServer
 
 WAIT_S = 20.0  # bounds every wait; none depends on speed
 ALL = f"SELECT {', '.join(schema.COLUMNS)} FROM call_outcome ORDER BY call_id, taken_ms"
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -22,21 +22,21 @@
 from pyarrow import parquet
 
 from canvasplank.cli import cli
+from canvasplank.config.settings import Instance
+from canvasplank.endpoint_cache import writer
+from canvasplank.endpoint_cache.bootstrap import Roster
+from canvasplank.endpoint_cache.cached_list import KeptList, KeptServer
 from canvasplank.fleet.backend import Tenure
-from canvasplank.fleet.rows import Answer, Holding, Member, Request, Rows, Sign, Task
 from canvasplank.fleet.sqlite import Sqlite as FleetSqlite
-from canvasplank.learning import asking, view
-from canvasplank.learning.merge import exported
-from canvasplank.learning.view import Learned, PeerView
-from canvasplank.membership import keeper
-from canvasplank.membership.kept import KeptList, KeptServer
-from canvasplank.membership.roster import Roster
-from canvasplank.settings import Instance
+from canvasplank.fleet.state import Answer, Holding, Member, Request, Rows, Sign, Task
 from canvasplank.store.backend import Count
 from canvasplank.store.records import ANSWERED, OVER, Outcome
 from canvasplank.store.sqlite import Sqlite as StoreSqlite
-from canvasplank.work import files, usage
-from canvasplank.work.usage import Sum
+from canvasplank.warm_start import client, peer_snapshot
+from canvasplank.warm_start.peer_snapshot import Learned, PeerView
+from canvasplank.warm_start.start_hints import exported
+from canvasplank.worker import export_files, usage_ledger
+from canvasplank.worker.usage_ledger import Sum
 
 STORED = Path(__file__).parent / "fixtures" / "stored"
 START_MS = 1_800_000_000_000  # Unix time of the first record
@@ -97,7 +97,7 @@
     store, fleet = StoreSqlite(str(path)), FleetSqlite(str(path))
     await fleet.open()
     await store.open()
-    await fleet.migrate(usage.SCHEMA)
+    await fleet.migrate(usage_ledger.SCHEMA)
     await store.write(OUTCOMES)
     await fleet.transact(Request("proxy-1", None, 1, 8, 400.0, {"all": holding(0, 50_000)}, hears=True))
     await fleet.transact(Request("proxy-2", None, 1, 8, 600.0, {"all": holding(0)}))
@@ -119,9 +119,9 @@
         Request("worker-1", 3, 2, 8, 400.0, {}, able=("close", "export", "retain"), given_up=("retain",))
     )
     closing = Tenure("close", 1, 3)
-    made = usage.Closing(PERIOD, (PERIOD + 1) * PERIOD_MS)
-    await fleet.act(closing, usage.closing(made, PERIOD_MS, REPEAT_MS, None, closing.term))
-    await fleet.act(Tenure("export", 1, 3), usage.exported(PERIOD, 1))
+    made = usage_ledger.Closing(PERIOD, (PERIOD + 1) * PERIOD_MS)
+    await fleet.act(closing, usage_ledger.closing(made, PERIOD_MS, REPEAT_MS, None, closing.term))
+    await fleet.act(Tenure("export", 1, 3), usage_ledger.exported(PERIOD, 1))
     await fleet.close()
     await store.close()
 
@@ -138,7 +138,7 @@
         Instance("core-a", "10.0.0.1:5060", "ready", 0, START_MS - 5000.0, "north"),
         Instance("core-b", "10.0.0.2:5060", "draining", 1),
     ]
-    keeper.write(str(path), Roster(instances, float(START_MS)).kept())
+    writer.write(str(path), Roster(instances, float(START_MS)).kept())
 
 
 def peer_view() -> bytes:
@@ -146,7 +146,7 @@
         ("core-a", START_MS - 5000.0, 12.5, False, False, START_MS - 100.0),
         ("core-b", None, None, True, True, START_MS + 500.0),
     ]
-    return view.encode(exported("proxy-1", learned, float(START_MS)))
+    return peer_snapshot.encode(exported("proxy-1", learned, float(START_MS)))
 
 
 SUMS = [
@@ -236,12 +236,14 @@
         fleet = FleetSqlite(str(restored("fleet.db", tmp_path)))
         await fleet.open()
         try:
-            await fleet.migrate(usage.SCHEMA)
-            first = [Sum(*row) for row in await fleet.read(usage.SUMS, (PERIOD,))]
-            assert await fleet.read(usage.LAST_CLOSED) == [(PERIOD,)]
-            made = usage.Closing(PERIOD + 1, (PERIOD + 2) * PERIOD_MS)
-            await fleet.act(Tenure("close", 1, 3), usage.closing(made, PERIOD_MS, REPEAT_MS, PERIOD, 1))
-            return first, [Sum(*row) for row in await fleet.read(usage.SUMS, (PERIOD + 1,))]
+            await fleet.migrate(usage_ledger.SCHEMA)
+            first = [Sum(*row) for row in await fleet.read(usage_ledger.SUMS, (PERIOD,))]
+            assert await fleet.read(usage_ledger.LAST_CLOSED) == [(PERIOD,)]
+            made = usage_ledger.Closing(PERIOD + 1, (PERIOD + 2) * PERIOD_MS)
+            await fleet.act(
+                Tenure("close", 1, 3), usage_ledger.closing(made, PERIOD_MS, REPEAT_MS, PERIOD, 1)
+            )
+            return first, [Sum(*row) for row in await fleet.read(usage_ledger.SUMS, (PERIOD + 1,))]
         finally:
             await fleet.close()
 
@@ -302,7 +304,7 @@
 
 def test_a_cached_endpoint_list_is_read_and_written_the_same(tmp_path):
     cached = STORED / "servers.json"
-    assert keeper.read(str(cached)) == KeptList(
+    assert writer.read(str(cached)) == KeptList(
         1,
         float(START_MS),
         [
@@ -323,7 +325,7 @@
 
 def test_a_peer_s_view_is_read_and_sent_the_same():
     data = (STORED / "peer-view.msgpack").read_bytes()
-    assert view.decode(data) == PeerView(
+    assert peer_snapshot.decode(data) == PeerView(
         1,
         "proxy-1",
         float(START_MS),
@@ -333,8 +335,8 @@
         ],
     )
     assert peer_view() == data
-    assert asking.ASK == b"view\n"
-    assert asking.framed(data) == len(data).to_bytes(4, "big") + data
+    assert client.ASK == b"view\n"
+    assert client.framed(data) == len(data).to_bytes(4, "big") + data
     sent = msgspec.msgpack.decode(data)
     assert list(sent) == ["version", "peer", "taken_ms", "servers"]
     assert list(sent["servers"][0]) == [
@@ -349,7 +351,7 @@
 
 def test_an_export_as_csv_stays():
     data = (STORED / "usage.csv").read_bytes()
-    assert files.as_csv(SUMS, PERIOD_MS) == data
+    assert export_files.as_csv(SUMS, PERIOD_MS) == data
     assert next(csv.reader(io.StringIO(data.decode()))) == [
         "period_start",
         "member",
@@ -362,7 +364,7 @@
 
 def test_an_export_as_parquet_stays():
     stored = parquet.read_table(STORED / "usage.parquet")
-    assert parquet.read_table(pyarrow.BufferReader(files.as_parquet(SUMS, PERIOD_MS))).equals(stored)
+    assert parquet.read_table(pyarrow.BufferReader(export_files.as_parquet(SUMS, PERIOD_MS))).equals(stored)
     assert stored.column_names == ["period_start", "member", "class_name", "final", "correction", "calls"]
 
 
@@ -370,4 +372,6 @@
 def test_an_export_that_an_earlier_version_left_is_the_same_file(form, tmp_path):
     name = f"usage-{PERIOD}.{form}"
     (tmp_path / name).write_bytes((STORED / f"usage.{form}").read_bytes())
-    assert not files.publish(tmp_path, name, files.FORMATS[form](SUMS, PERIOD_MS), lambda point: None)
+    assert not export_files.publish(
+        tmp_path, name, export_files.FORMATS[form](SUMS, PERIOD_MS), lambda point: None
+    )
--- a/tests/test_learning.py
+++ b/tests/test_warm_start.py
@@ -6,9 +6,9 @@
 import pytest
 
 from canvasplank import interface as api
-from canvasplank.learning import merge, view
-from canvasplank.learning.merge import Listed
-from canvasplank.learning.view import Learned, PeerView, ViewError
+from canvasplank.warm_start import peer_snapshot, start_hints
+from canvasplank.warm_start.peer_snapshot import Learned, PeerView, ViewError
+from canvasplank.warm_start.start_hints import Listed
 
 NOW = 1_800_000_000_000.0
 
@@ -17,23 +17,23 @@
     return Learned(server, started_ms, NOW - age_ms, **more)
 
 
-def peer_view(*servers: Learned, taken_ms: float = NOW, version: int = view.VERSION) -> PeerView:
+def peer_view(*servers: Learned, taken_ms: float = NOW, version: int = peer_snapshot.VERSION) -> PeerView:
     return PeerView(version, "n1", taken_ms, list(servers))
 
 
 def test_a_view_goes_and_comes_unchanged():
     sent = peer_view(seen(rate_per_s=40.0, slow=True), seen("s-2", 800.0, 1.7e12))
-    assert view.decode(view.encode(sent)) == sent
+    assert peer_snapshot.decode(peer_snapshot.encode(sent)) == sent
 
 
 @pytest.mark.parametrize(
     ("data", "why"),
     [
-        (view.encode(peer_view(seen()))[:-3], "cannot be read"),  # truncated
-        (b"\x00" * (view.MOST_BYTES + 1), "more than"),  # oversized
+        (peer_snapshot.encode(peer_view(seen()))[:-3], "cannot be read"),  # truncated
+        (b"\x00" * (peer_snapshot.MOST_BYTES + 1), "more than"),  # oversized
         (b"not a view", "cannot be read"),  # malformed
-        (view.encode(peer_view(seen(), version=2)), "version 2"),  # another release
-        (view.encode(peer_view(seen(age_ms=-5_000.0))), "after it was taken"),
+        (peer_snapshot.encode(peer_view(seen(), version=2)), "version 2"),  # another release
+        (peer_snapshot.encode(peer_view(seen(age_ms=-5_000.0))), "after it was taken"),
         (
             msgspec.msgpack.encode({"version": 1, "peer": "n1", "taken_ms": NOW, "servers": [], "extra": 1}),
             "cannot be read",
@@ -46,7 +46,7 @@
 )
 def test_a_view_that_is_not_whole_or_not_ours_is_refused(data, why):
     with pytest.raises(ViewError, match=why):
-        view.decode(data)
+        peer_snapshot.decode(data)
 
 
 @pytest.mark.parametrize(
@@ -54,19 +54,19 @@
     [(0, 1.0), (5_000, 0.5), (10_000, 0.25), (-50, 1.0), (60_000, 0.5**12), (60_001, 0.0)],
 )
 def test_weight_halves_with_each_half_life(age_ms, expected):
-    assert merge.weight(age_ms) == pytest.approx(expected)
+    assert start_hints.weight(age_ms) == pytest.approx(expected)
 
 
 def test_a_slowdown_seen_before_its_end_30_s_ago_is_not_kept():
     """The hard case: the peer saw the server slow, the slowdown ended since, the new instance joins now."""
     old = peer_view(seen(age_ms=30_000.0, rate_per_s=2.0, slow=True), taken_ms=NOW - 29_000.0)
-    [hint] = merge.hints(old, NOW, [Listed("s-1", None)], fresh_rate_per_s=50.0)
+    [hint] = start_hints.hints(old, NOW, [Listed("s-1", None)], fresh_rate_per_s=50.0)
     assert not hint.shun
     assert hint.rate_per_s == pytest.approx(50.0 - 48.0 / 64)
 
 
 def test_a_fresh_slowdown_is_taken():
-    [hint] = merge.hints(
+    [hint] = start_hints.hints(
         peer_view(seen(age_ms=500.0, rate_per_s=2.0, slow=True)),
         NOW,
         [Listed("s-1", None)],
@@ -84,16 +84,16 @@
     ],
 )
 def test_servers_gone_or_started_anew_are_dropped(listed):
-    assert merge.hints(peer_view(seen(rate_per_s=3.0, silent=True)), NOW, listed) == []
+    assert start_hints.hints(peer_view(seen(rate_per_s=3.0, silent=True)), NOW, listed) == []
 
 
 def test_a_peer_whose_clock_runs_ahead_is_not_used():
     ahead = peer_view(seen(age_ms=-10_000.0, rate_per_s=1.0, silent=True), taken_ms=NOW + 10_000.0)
-    assert merge.hints(ahead, NOW, [Listed("s-1", None)]) == []
+    assert start_hints.hints(ahead, NOW, [Listed("s-1", None)]) == []
 
 
 def test_without_a_fresh_figure_an_old_rate_is_not_kept():
-    [hint] = merge.hints(peer_view(seen(age_ms=20_000.0, rate_per_s=7.0)), NOW, [Listed("s-1", None)])
+    [hint] = start_hints.hints(peer_view(seen(age_ms=20_000.0, rate_per_s=7.0)), NOW, [Listed("s-1", None)])
     assert hint.rate_per_s is None and hint.weight == pytest.approx(1 / 16)
 
 
@@ -113,7 +113,9 @@
         for _ in range(6):
             peer.call(first=0)
             peer.until(peer.now + 300)
-        return view.decode(view.encode(merge.exported("n1", peer.controller.learned(), peer.now)))
+        return peer_snapshot.decode(
+            peer_snapshot.encode(start_hints.exported("n1", peer.controller.learned(), peer.now))
+        )
 
     @staticmethod
     def joining(seen: PeerView, now_ms: float) -> int:
@@ -125,7 +127,7 @@
         new.now = now_ms
         new.servers(ready("a", 0), ready("b", 1))
         listed = [Listed("a", None), Listed("b", None)]
-        for event in merge.told(merge.hints(seen, now_ms, listed, fresh_rate_per_s=None)):
+        for event in start_hints.told(start_hints.hints(seen, now_ms, listed, fresh_rate_per_s=None)):
             new.tell(event)
         new.alive["b"] = 40
         for _ in range(20):
@@ -154,14 +156,14 @@
             peer.until(peer.now + 250)
         [seen] = [
             s
-            for s in merge.exported("n1", peer.controller.learned(), peer.now).servers
+            for s in start_hints.exported("n1", peer.controller.learned(), peer.now).servers
             if s.instance_id == "a"
         ]
         assert seen.silent and peer.now - seen.learned_ms < 5_000
 
     def test_a_word_from_before_the_recovery_30_s_ago_is_not_kept(self):
         seen = self.running(0.0)
-        alone = self.joining(PeerView(view.VERSION, "none", 0.0, []), seen.taken_ms + 30_000)
+        alone = self.joining(PeerView(peer_snapshot.VERSION, "none", 0.0, []), seen.taken_ms + 30_000)
         assert self.joining(seen, seen.taken_ms + 30_000) == alone > 2
 
     @pytest.mark.parametrize(("late", "slow"), [(1, False), (10, True)])
@@ -173,7 +175,7 @@
         peer.servers(ready("a", 0))
         peer.steady("a", first=0, count=10)
         peer.steady("a", first=0, count=late, gap_ms=1500, waited_ms=900)
-        [word] = merge.exported("n1", peer.controller.learned(), peer.now).servers
+        [word] = start_hints.exported("n1", peer.controller.learned(), peer.now).servers
         assert word.slow is slow
 
     def test_a_hinted_rate_may_be_cut_at_once(self):
--- a/tests/test_learning_asking.py
+++ b/tests/test_warm_start_client.py
@@ -9,11 +9,13 @@
 
 import pytest
 
-from canvasplank.learning import view
-from canvasplank.learning.asking import ask, ask_in_turn, framed
-from canvasplank.learning.view import Learned, PeerView
+from canvasplank.warm_start import peer_snapshot
+from canvasplank.warm_start.client import ask, ask_in_turn, framed
+from canvasplank.warm_start.peer_snapshot import Learned, PeerView
 
-GOOD = PeerView(view.VERSION, "n1", 1.8e12, [Learned("s-1", None, 1.8e12, rate_per_s=12.0, slow=True)])
+GOOD = PeerView(
+    peer_snapshot.VERSION, "n1", 1.8e12, [Learned("s-1", None, 1.8e12, rate_per_s=12.0, slow=True)]
+)
 BOUND_S = 0.3
 
 
@@ -51,7 +53,7 @@
 
 
 def test_a_peer_that_answers_gives_its_view():
-    taken, _ = played(framed(view.encode(GOOD)))
+    taken, _ = played(framed(peer_snapshot.encode(GOOD)))
     assert taken == GOOD
 
 
@@ -59,11 +61,11 @@
     ("answer", "delay_s", "logged"),
     [
         (None, 0.0, "no whole answer within 300 ms"),  # never answers
-        (framed(view.encode(GOOD)), 5.0, "no whole answer"),  # slow
-        (framed(view.encode(GOOD))[:-4], 0.0, "bytes read"),  # cut short
+        (framed(peer_snapshot.encode(GOOD)), 5.0, "no whole answer"),  # slow
+        (framed(peer_snapshot.encode(GOOD))[:-4], 0.0, "bytes read"),  # cut short
         (b"\xff\xff\xff\xff", 0.0, "more than"),  # oversized
         (framed(b"\x93\x01\x02\x03"), 0.0, "cannot be read"),  # malformed
-        (framed(view.encode(PeerView(2, "n1", 1.8e12, []))), 0.0, "version 2"),  # another release
+        (framed(peer_snapshot.encode(PeerView(2, "n1", 1.8e12, []))), 0.0, "version 2"),  # another release
     ],
 )
 def test_a_peer_that_fails_costs_one_line_and_no_more_than_the_bound(answer, delay_s, logged, caplog):
@@ -71,7 +73,7 @@
         taken, took_s = played(answer, delay_s)
     assert taken is None
     assert took_s < BOUND_S + 1.0, "the start is not held up"
-    [line] = [r.getMessage() for r in caplog.records if r.name == "canvasplank.learning.asking"]
+    [line] = [r.getMessage() for r in caplog.records if r.name == "canvasplank.warm_start.client"]
     assert logged in line and "asked no one" in line
 
 
@@ -82,7 +84,7 @@
 
 
 def test_a_running_instance_gives_its_view_when_asked_and_nothing_else():
-    from canvasplank.learning.exporting import Exporter
+    from canvasplank.warm_start.server import Exporter
 
     async def run() -> tuple[PeerView | None, dict[str, int]]:
         exporter = Exporter(lambda: GOOD)
@@ -105,7 +107,7 @@
     """The first refuses, the second hangs for its part of the time, the third answers."""
 
     async def run() -> tuple[PeerView | None, float]:
-        hangs, answers = await stand_in(None), await stand_in(framed(view.encode(GOOD)))
+        hangs, answers = await stand_in(None), await stand_in(framed(peer_snapshot.encode(GOOD)))
         async with hangs, answers:
             addresses = [
                 refused_address(),
--- a/checks/leases.py
+++ b/verification/leases.py
@@ -19,10 +19,10 @@
 from collections.abc import Callable, Iterator
 from dataclasses import dataclass, field, replace
 
-from canvasplank.fleet import ledger
-from canvasplank.fleet.holder import NEVER, Holder, Lease, Terms
-from canvasplank.fleet.rows import Answer, Request, Rows
-from canvasplank.fleet.watch import Watch
+from canvasplank.fleet import lease_transaction
+from canvasplank.fleet.failure_detector import Watch
+from canvasplank.fleet.lease_holder import NEVER, Holder, Lease, Terms
+from canvasplank.fleet.state import Answer, Request, Rows
 
 BUDGET = "b"
 WHOLE = 6
@@ -119,7 +119,7 @@
 class Explorer:
     """Breadth first, so that a path to a fault is a shortest one."""
 
-    def __init__(self, lease: Lease, bounds: Bounds, apply: Apply = ledger.apply) -> None:
+    def __init__(self, lease: Lease, bounds: Bounds, apply: Apply = lease_transaction.apply) -> None:
         self._lease, self._bounds, self._apply = lease, bounds, apply
         self._prompt = (self._ask, self._hear)
         self._slow = (*self._prompt, self._ask_twice, self._send, self._arrive, self._late)
