--- a/canvasplank/__main__.py
+++ b/canvasplank/__main__.py
@@ -14,7 +14,7 @@
 
         cli(prog_name="canvasplank")
     # Before the long imports: guards a start against SIGHUP, whose default action ends a process.
-    signals.hold()
+    signals.block()
     from canvasplank.program import serve
 
     return serve()
--- a/canvasplank/admin.py
+++ b/canvasplank/admin.py
@@ -11,7 +11,7 @@
 from typing import Protocol
 
 from canvasplank.config.settings import split_address
-from canvasplank.runtime.streams import close_quietly
+from canvasplank.runtime.streams import close_writer
 
 LOG = logging.getLogger(__name__)
 LINE_WAIT_S = 1.0  # an operator's line that has not come by then is not coming
@@ -84,8 +84,8 @@
                 writer.write(self.answer(line.decode("ascii", "replace")).encode())
                 async with asyncio.timeout(WRITE_WAIT_S):
                     await writer.drain()
-        except (TimeoutError, ValueError, OSError) as fault:  # ValueError: a line past the limit
-            LOG.info("admin connection ended: %s", type(fault).__name__)
+        except (TimeoutError, ValueError, OSError) as error:  # ValueError: a line past the limit
+            LOG.info("admin connection ended: %s", type(error).__name__)
         finally:
             self._at_once -= 1
-            await close_quietly(writer)
+            await close_writer(writer)
--- a/canvasplank/cli.py
+++ b/canvasplank/cli.py
@@ -49,8 +49,8 @@
 
     try:
         return asyncio.run(run())
-    except (ConfigurationError, StoreUnavailableError, StoreRefusedError, TimeoutError) as fault:
-        raise click.ClickException(str(fault) or "the store gave no answer in time") from None
+    except (ConfigurationError, StoreUnavailableError, StoreRefusedError, TimeoutError) as error:
+        raise click.ClickException(str(error) or "the store gave no answer in time") from None
 
 
 @click.group()
@@ -142,10 +142,10 @@
         await Worker(load_fleet(path), load_work(work_path), name, secrets.randbits(32)).run()
 
     try:
-        structured_logging.begin(os.environ.get("CANVASPLANK_LOG", "human"))
+        structured_logging.configure(os.environ.get("CANVASPLANK_LOG", "human"))
         asyncio.run(run())
-    except (ConfigurationError, ValueError) as fault:
-        raise click.ClickException(str(fault)) from None
+    except (ConfigurationError, ValueError) as error:
+        raise click.ClickException(str(error)) from None
 
 
 @cli.group()
--- a/canvasplank/cold_start/extension.py
+++ b/canvasplank/cold_start/extension.py
@@ -112,4 +112,4 @@
     def _look(self) -> None:
         if self._subset.may_let_go() or abs(self._fleet() - self._told_of) > CHANGED * self._told_of:
             self._host.servers.listed(False, [])
-        self._host.turns.after(LOOK_MS, self._look)
+        self._host.scheduler.call_later(LOOK_MS, self._look)
--- a/canvasplank/config/extension_file.py
+++ b/canvasplank/config/extension_file.py
@@ -24,6 +24,6 @@
         with open(path, "rb") as file:
             settings = msgspec.convert(tomllib.load(file), kind)
         check(settings)
-    except (OSError, tomllib.TOMLDecodeError, msgspec.MsgspecError, ValueError) as fault:
-        raise ConfigurationError(f"{part} {path}: {' '.join(str(fault).split())}") from None
+    except (OSError, tomllib.TOMLDecodeError, msgspec.MsgspecError, ValueError) as error:
+        raise ConfigurationError(f"{part} {path}: {' '.join(str(error).split())}") from None
     return settings
--- a/canvasplank/config/settings.py
+++ b/canvasplank/config/settings.py
@@ -171,8 +171,8 @@
         for address in (configuration.listen, configuration.discovery, configuration.admin or "any:0"):
             split_address(address)
         int(configuration.seed, 16)
-    except (OSError, msgspec.MsgspecError, ValueError, RecursionError) as fault:  # the last: too deep
-        raise ConfigurationError(f"configuration {path}: {fault}") from None
+    except (OSError, msgspec.MsgspecError, ValueError, RecursionError) as error:  # the last: too deep
+        raise ConfigurationError(f"configuration {path}: {error}") from None
     return configuration
 
 
@@ -180,16 +180,16 @@
     """The part of the settings that the network side goes by."""
     try:
         return msgspec.convert(options["ceilings"], Ceilings)
-    except (KeyError, msgspec.ValidationError) as fault:
-        raise ConfigurationError(f"settings: ceilings: {fault}") from None
+    except (KeyError, msgspec.ValidationError) as error:
+        raise ConfigurationError(f"settings: ceilings: {error}") from None
 
 
 def read_gauges(options: dict[str, Any]) -> Gauges:
     """The columns of servers' reports."""
     try:
         return Gauges(msgspec.convert(options["load_report"]["names"], list[str]))
-    except (KeyError, TypeError, msgspec.ValidationError) as fault:
-        raise ConfigurationError(f"settings: load_report: {fault}") from None
+    except (KeyError, TypeError, msgspec.ValidationError) as error:
+        raise ConfigurationError(f"settings: load_report: {error}") from None
 
 
 def read_figures(settings: api.Settings, options: dict[str, Any]) -> Figures:
@@ -197,8 +197,8 @@
     pools = [c.pools for c in settings.classes]
     try:
         widths = msgspec.convert(options["family_info"].get("widths") or [], list[int])
-    except msgspec.ValidationError as fault:
-        raise ConfigurationError(f"settings: widths: {fault}") from None
+    except msgspec.ValidationError as error:
+        raise ConfigurationError(f"settings: widths: {error}") from None
     return Figures(
         classes=frozenset(c.name for c in settings.classes),
         tenants=frozenset(c.name for c in settings.tenants),
--- a/canvasplank/database/postgresql.py
+++ b/canvasplank/database/postgresql.py
@@ -50,10 +50,10 @@
     async def _guarded(self, what: Awaitable[Result]) -> Result:
         try:
             return await what
-        except REFUSALS as fault:
-            raise StoreRefusedError(f"PostgreSQL: {fault}") from None
-        except TROUBLE as fault:
-            raise StoreUnavailableError(f"PostgreSQL: {fault or type(fault).__name__}") from None
+        except REFUSALS as error:
+            raise StoreRefusedError(f"PostgreSQL: {error}") from None
+        except TROUBLE as error:
+            raise StoreUnavailableError(f"PostgreSQL: {error or type(error).__name__}") from None
 
     @property
     def _current(self) -> asyncpg.Connection:
--- a/canvasplank/database/sqlite.py
+++ b/canvasplank/database/sqlite.py
@@ -9,7 +9,7 @@
 
 from canvasplank.database.errors import NewerSchemaError, StoreRefusedError, StoreUnavailableError
 from canvasplank.database.migrations import Schema
-from canvasplank.runtime.worker_thread import BusyError, Thread
+from canvasplank.runtime.worker_thread import WorkerThread, WorkerThreadBusyError
 
 BUSY_S = 1.0  # how long the library waits for another writer's lock before it says so
 REFUSALS = (sqlite3.IntegrityError, sqlite3.DataError, sqlite3.InterfaceError, OverflowError, ValueError)
@@ -22,7 +22,7 @@
 
     def __init__(self, path: str, schema: Schema, thread: str) -> None:
         self._path, self._schema, self._name = path, schema, thread
-        self._thread: Thread | None = None
+        self._thread: WorkerThread | None = None
         self._connection: sqlite3.Connection | None = None
 
     async def do(self, what: Callable[[sqlite3.Connection], Result]) -> Result:
@@ -43,15 +43,15 @@
             await self._on_thread(self._close)
 
     async def _on_thread(self, what: Callable[[], Result]) -> Result:
-        self._thread = self._thread or Thread(self._name)
+        self._thread = self._thread or WorkerThread(self._name)
         try:
-            return await self._thread.do(what)
-        except BusyError as fault:
-            raise StoreUnavailableError(f"SQLite {self._path}: {fault}") from None
-        except REFUSALS as fault:
-            raise StoreRefusedError(f"SQLite: {fault}") from None
-        except (sqlite3.Error, NewerSchemaError) as fault:
-            raise StoreUnavailableError(f"SQLite {self._path}: {fault}") from None
+            return await self._thread.run(what)
+        except WorkerThreadBusyError as error:
+            raise StoreUnavailableError(f"SQLite {self._path}: {error}") from None
+        except REFUSALS as error:
+            raise StoreRefusedError(f"SQLite: {error}") from None
+        except (sqlite3.Error, NewerSchemaError) as error:
+            raise StoreUnavailableError(f"SQLite {self._path}: {error}") from None
 
     @property
     def _current(self) -> sqlite3.Connection:
--- a/canvasplank/endpoint_cache/cached_list.py
+++ b/canvasplank/endpoint_cache/cached_list.py
@@ -54,8 +54,8 @@
         raise KeptError(f"more than {MOST_BYTES} bytes")
     try:
         kept = _DECODER.decode(data)
-    except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as fault:
-        raise KeptError(f"cannot be read: {' '.join(str(fault).split())}") from None
+    except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as error:
+        raise KeptError(f"cannot be read: {' '.join(str(error).split())}") from None
     if kept.version != VERSION:
         raise KeptError(f"of version {kept.version}, not {VERSION}")
     if len({server.instance_id for server in kept.servers}) != len(kept.servers):
--- a/canvasplank/endpoint_cache/extension.py
+++ b/canvasplank/endpoint_cache/extension.py
@@ -26,7 +26,10 @@
         self._host, self._settings = host, settings
         self._known = folded(host.configuration.known.notices)
         self._keeper = Keeper(
-            settings.path, Roster(self._known, host.turns.now_ms), host.turns, lambda: host.discovery.heard_ms
+            settings.path,
+            Roster(self._known, host.scheduler.now_ms),
+            host.scheduler,
+            lambda: host.discovery.heard_ms,
         )
 
     async def start(self) -> None:
@@ -37,7 +40,12 @@
             return
         gateways = read_settings(host.configuration.settings).instances
         start = judge(
-            kept, host.turns.now_ms, gateways, settings.trusted_ms, settings.most_age_ms, settings.start_per_s
+            kept,
+            host.scheduler.now_ms,
+            gateways,
+            settings.trusted_ms,
+            settings.most_age_ms,
+            settings.start_per_s,
         )
         if start is None:
             LOG.warning("no list of servers taken from %s: too old, or names nobody", settings.path)
--- a/canvasplank/endpoint_cache/writer.py
+++ b/canvasplank/endpoint_cache/writer.py
@@ -12,8 +12,8 @@
 from canvasplank.config.settings import DiscoveryEvent
 from canvasplank.endpoint_cache.bootstrap import Roster
 from canvasplank.endpoint_cache.cached_list import MOST_BYTES, KeptError, KeptList, decode, encode
-from canvasplank.runtime.scheduler import Turns
-from canvasplank.runtime.worker_thread import BusyError, Thread
+from canvasplank.runtime.scheduler import Scheduler
+from canvasplank.runtime.worker_thread import WorkerThread, WorkerThreadBusyError
 
 LOG = logging.getLogger(__name__)
 WRITE_EVERY_MS = 1_000.0  # so that a release, which tells dozens of events, writes a few times
@@ -27,8 +27,8 @@
     try:
         with open(path, "rb") as file:
             return decode(file.read(MOST_BYTES + 1))
-    except (OSError, KeptError) as fault:
-        LOG.warning("no list of servers taken from %s: %s", path, fault)
+    except (OSError, KeptError) as error:
+        LOG.warning("no list of servers taken from %s: %s", path, error)
         return None
 
 
@@ -50,9 +50,11 @@
 class Keeper:
     """Writes the roster; the serving never waits for it."""
 
-    def __init__(self, path: str, roster: Roster, turns: Turns, heard_ms: Callable[[], float | None]) -> None:
-        self._path, self._roster, self._turns, self._heard_ms = path, roster, turns, heard_ms
-        self._thread = Thread("membership")
+    def __init__(
+        self, path: str, roster: Roster, scheduler: Scheduler, heard_ms: Callable[[], float | None]
+    ) -> None:
+        self._path, self._roster, self._scheduler, self._heard_ms = path, roster, scheduler, heard_ms
+        self._thread = WorkerThread("membership")
         self._written_ms = 0.0
         self._pause_ms = PAUSE_MS
         self._not_before_ms = 0.0
@@ -61,12 +63,12 @@
 
     def told(self, notice: DiscoveryEvent) -> None:
         """An event of the board."""
-        self._roster.told(notice, self._turns.now_ms)
+        self._roster.told(notice, self._scheduler.now_ms)
 
     def start(self) -> None:
         """Look now and then whether there is something to write."""
-        self._turns.after(WRITE_EVERY_MS, self.start)
-        now_ms = self._turns.now_ms
+        self._scheduler.call_later(WRITE_EVERY_MS, self.start)
+        now_ms = self._scheduler.now_ms
         if not self._roster.known or now_ms < self._not_before_ms:
             return
         if (heard_ms := self._heard_ms()) is not None:
@@ -79,15 +81,15 @@
 
     async def _write(self) -> None:
         kept, self._roster.changed = self._roster.kept(), False
-        began_ms = self._turns.now_ms
+        began_ms = self._scheduler.now_ms
         try:
-            await self._thread.do(lambda: write(self._path, kept))
-        except (OSError, BusyError) as fault:
+            await self._thread.run(lambda: write(self._path, kept))
+        except (OSError, WorkerThreadBusyError) as error:
             self._roster.changed = True
             self._not_before_ms = began_ms + self._pause_ms
             self._pause_ms = min(PAUSE_MOST_MS, 2 * self._pause_ms)
             if not self._failing:
-                LOG.warning("the list of servers is not kept at %s: %s", self._path, fault)
+                LOG.warning("the list of servers is not kept at %s: %s", self._path, error)
             self._failing = True
             return
         if self._failing:
--- a/canvasplank/exchange/exchange.py
+++ b/canvasplank/exchange/exchange.py
@@ -17,7 +17,7 @@
 
 from canvasplank import interface as api
 from canvasplank.counters import Counters
-from canvasplank.runtime.scheduler import Deadline, Turns
+from canvasplank.runtime.scheduler import Scheduler, Timer
 
 LOG = logging.getLogger(__name__)
 NORMAL_CLEARING = 16  # Q.850: the cause of a call's ordinary end
@@ -99,7 +99,7 @@
     number: int
     server_id: str
     sent_ms: float
-    deadline: Deadline | None = None
+    timer: Timer | None = None
 
 
 @dataclass(slots=True)
@@ -122,7 +122,7 @@
     unanswered: bool = True
     established_at: str | None = None  # the server, once the call is established
     established_ms: float = 0.0
-    deadline: Deadline | None = field(default=None, repr=False)
+    timer: Timer | None = field(default=None, repr=False)
 
     def is_again(self, other: CallRecord) -> bool:
         """Whether the other is the same set-up, sent once more."""
@@ -140,13 +140,13 @@
 
     def __init__(
         self,
-        turns: Turns,
+        scheduler: Scheduler,
         controller: Callable[[float, api.Event], list[api.Action]],
         counters: Counters,
         most_open: int,
         memory_bytes: float,
     ) -> None:
-        self.turns = turns
+        self.scheduler = scheduler
         self.counters = counters
         self.callers: CallerSide
         self.servers: ServerSide
@@ -180,7 +180,7 @@
     def offer(self, call: CallRecord) -> bool:
         """A caller's set-up; False: its id belongs to another call, and this one is not taken."""
         self.counters.add("taken.set_ups")
-        call.taken_ms = self.turns.now_ms
+        call.taken_ms = self.scheduler.now_ms
         known = self._open.get(call.id) or self._established.get(call.id)
         if known is not None:
             # A set-up resent on a new connection is the same call, with one answer.  Guards against handing a
@@ -199,7 +199,7 @@
             return True
         self._open[call.id] = call
         self._held_bytes += len(call.description)
-        call.deadline = self.turns.deadlines.add(call.expires_ms, lambda: self._overdue(call))
+        call.timer = self.scheduler.timers.add(call.expires_ms, lambda: self._overdue(call))
         self._tell(
             api.Call(
                 call.id,
@@ -216,7 +216,7 @@
     def invalid(self, call: CallRecord) -> None:
         """A set-up that no server can use: the edge's own to turn away."""
         self.counters.add("answered.invalid")
-        call.taken_ms = self.turns.now_ms
+        call.taken_ms = self.scheduler.now_ms
         self._turn_away(call, Final.INVALID)
 
     def _turn_away(self, call: CallRecord, final: Final) -> None:
@@ -255,7 +255,7 @@
         call.unanswered = False
         self.callers.forget(call.origin, call.id)  # the word of it may have come on another connection
         if self.recorder is not None:
-            self.recorder.answered(call, "given_up", self.turns.now_ms)
+            self.recorder.answered(call, "given_up", self.scheduler.now_ms)
         self._tell(api.CallAbandoned(call.id))
         if call.in_flight is not None:
             self._end_attempt(call, api.Outcome.CANCELLED, cancel=True)
@@ -291,17 +291,17 @@
                 self.servers.release(server_id, call_id, UNWANTED_ANSWER_CAUSE)
             return
         in_flight = call.in_flight
-        self.turns.deadlines.discard(in_flight.deadline)
+        self.scheduler.timers.cancel(in_flight.timer)
         call.unanswered = False
-        call.established_at, call.established_ms = server_id, self.turns.now_ms
+        call.established_at, call.established_ms = server_id, self.scheduler.now_ms
         self._close(call)
         self._established[call_id] = call
         self.counters.add("answered.stands")
         self.counters.by_class("served", call.class_name)
         if self.recorder is not None:
-            self.recorder.answered(call, "served", self.turns.now_ms)
+            self.recorder.answered(call, "served", self.scheduler.now_ms)
         self.callers.answer(call.origin, call_id, description)
-        waited_ms = self.turns.now_ms - in_flight.sent_ms
+        waited_ms = self.scheduler.now_ms - in_flight.sent_ms
         self._tell(api.Established(call_id, in_flight.number, server_id, waited_ms))
 
     def ended(
@@ -398,7 +398,7 @@
             while self._events:
                 event = self._events.popleft()
                 try:
-                    actions = self._decide(self.turns.now_ms, event)
+                    actions = self._decide(self.scheduler.now_ms, event)
                 except Exception:  # a fault in one decision must not end the program and all its other calls
                     LOG.exception("the module failed on %s", type(event).__name__)
                     continue
@@ -421,7 +421,7 @@
             case api.Fail(call_id):
                 self._final(call_id, Final.FAILED, None)
             case api.SetTimer(after_ms, token):
-                self.turns.after(after_ms, lambda: self._tell(api.TimerFired(token)))
+                self.scheduler.call_later(after_ms, lambda: self._tell(api.TimerFired(token)))
             case api.Probe(server_id):
                 self.counters.add("sent.probes")
                 self.servers.probe(server_id)
@@ -433,10 +433,10 @@
         if call is None or not call.unanswered or call.in_flight is not None:
             LOG.error("set-up for call %s, which cannot have one", call_id)
             return
-        in_flight = call.in_flight = Attempt(call.attempts, server_id, self.turns.now_ms)
+        in_flight = call.in_flight = Attempt(call.attempts, server_id, self.scheduler.now_ms)
         call.attempts += 1
         call.tried = server_id
-        in_flight.deadline = self.turns.after(timeout_ms, lambda: self._timed_out(call, in_flight))
+        in_flight.timer = self.scheduler.call_later(timeout_ms, lambda: self._timed_out(call, in_flight))
         self.counters.add("sent.set_ups")
         self.servers.set_up(server_id, call, in_flight.number, timeout_ms)
 
@@ -466,7 +466,7 @@
     def _count_final(self, call: CallRecord, final: Final) -> None:
         self.counters.by_class("refused" if final is Final.REFUSED else "failed", call.class_name)
         if self.recorder is not None:
-            self.recorder.answered(call, final.value, self.turns.now_ms)
+            self.recorder.answered(call, final.value, self.scheduler.now_ms)
 
     def _end_attempt(
         self,
@@ -477,7 +477,7 @@
         details: RefusalDetails = NO_DETAILS,
     ) -> None:
         in_flight, call.in_flight = call.in_flight, None
-        self.turns.deadlines.discard(in_flight.deadline)
+        self.scheduler.timers.cancel(in_flight.timer)
         self.counters.add(f"ended.{outcome.name.lower()}")
         if cancel:
             self.servers.cancel(in_flight.server_id, call.id)
@@ -500,7 +500,7 @@
         """It is answered, and nothing is in flight."""
         if self._open.pop(call.id, None) is None:
             return
-        self.turns.deadlines.discard(call.deadline)
+        self.scheduler.timers.cancel(call.timer)
         self._held_bytes -= len(call.description)
         call.description = b""
         if call.established_at is None:
@@ -512,7 +512,7 @@
         del self._established[call.id]
         self._remember(call.id)
         if self.recorder is not None:
-            self.recorder.over(call, outcome, self.turns.now_ms)
+            self.recorder.over(call, outcome, self.scheduler.now_ms)
         self.counters.add(f"ended.{outcome.name.lower()}")
         self._tell(
             api.AttemptEnded(
--- a/canvasplank/extensions/extension.py
+++ b/canvasplank/extensions/extension.py
@@ -16,14 +16,14 @@
 from canvasplank.network.discovery import Discovery
 from canvasplank.network.servers import Servers
 from canvasplank.policy import Controller
-from canvasplank.runtime.scheduler import Turns
+from canvasplank.runtime.scheduler import Scheduler
 
 
 class Host(Protocol):
     """What a part may use of the program that it is a part of."""
 
     configuration: Configuration
-    turns: Turns
+    scheduler: Scheduler
     counters: Counters
     exchange: Exchange
     servers: Servers
--- a/canvasplank/fleet/extension.py
+++ b/canvasplank/fleet/extension.py
@@ -31,7 +31,7 @@
         return self._agent.spend(call.tenant, attempt, server_id, take)
 
     def _others_hear(self) -> None:
-        self._host.turns.begin()
+        self._host.scheduler.begin_iteration()
         self._host.discovery.heard_by_others()
 
     async def start(self) -> None:
--- a/canvasplank/fleet/lease_renewer.py
+++ b/canvasplank/fleet/lease_renewer.py
@@ -22,7 +22,7 @@
 from canvasplank.fleet.renewal_schedule import Pace
 from canvasplank.fleet.state import Answer, Request
 from canvasplank.fleet.task_leadership import Ownership
-from canvasplank.runtime.structured_logging import event
+from canvasplank.runtime.structured_logging import log_event
 
 LOG = logging.getLogger(__name__)
 MS = 1000.0
@@ -75,7 +75,7 @@
         if take and self.spender.spend(budgets, now_ms):
             self._counters.add("fleet.spent")
             if self._fleet.trace:
-                event(LOG, "budget.spent", budgets=budgets, at_ms=now_ms)
+                log_event(LOG, "budget.spent", budgets=budgets, at_ms=now_ms)
             return 0.0
         wait_ms = self.spender.wait_ms(budgets, now_ms)
         if wait_ms > 0:
@@ -144,23 +144,25 @@
                     await self._backend.open()
                     self._open = True
                 answer = await self._backend.transact(request)
-        except (StoreUnavailableError, StoreRefusedError, TimeoutError) as fault:
-            await self._fail(str(fault) or f"no answer within {within_s:g} s")
+        except (StoreUnavailableError, StoreRefusedError, TimeoutError) as error:
+            await self._fail(str(error) or f"no answer within {within_s:g} s")
             return None
-        except Exception as fault:  # guards the shares against a fault of ours: the task must go on
+        except Exception as error:  # guards the shares against a fault of ours: the task must go on
             LOG.exception("fleet: a request failed")
-            await self._fail(type(fault).__name__)
+            await self._fail(type(error).__name__)
             return None
         self._counters.add("fleet.requests")
         if self._failing:
             self._failing = False
-            event(LOG, "fleet.available", text="fleet: the store answers again")
+            log_event(LOG, "fleet.available", text="fleet: the store answers again")
         return answer
 
     async def _fail(self, why: str) -> None:
         self._counters.add("fleet.failures")
         if not self._failing:
-            event(LOG, "fleet.unavailable", text=f"fleet: the store does not answer: {' '.join(why.split())}")
+            log_event(
+                LOG, "fleet.unavailable", text=f"fleet: the store does not answer: {' '.join(why.split())}"
+            )
         self._failing = True
         await self._let_go()
 
@@ -172,9 +174,9 @@
 
     def _tell(self, known: int | None, request: Request, answer: Answer) -> None:
         if answer.incarnation is None:
-            event(LOG, "fleet.out", text=f"fleet: not in it: {answer.why}", why=answer.why)
+            log_event(LOG, "fleet.out", text=f"fleet: not in it: {answer.why}", why=answer.why)
         elif answer.incarnation != known:
-            event(
+            log_event(
                 LOG,
                 "fleet.in",
                 text=f"fleet: in it as {answer.incarnation}, one of {len(answer.seen)}",
@@ -184,7 +186,7 @@
         gone = {sign.incarnation for sign in request.dead} - {sign.incarnation for sign in answer.seen}
         if gone:
             self._counters.add("fleet.removed", len(gone))
-            event(
+            log_event(
                 LOG,
                 "fleet.removed",
                 text=f"fleet: not heard of for a lease, removed: {sorted(gone)}",
@@ -200,7 +202,7 @@
             if self._fleet.trace or self._told.get(budget) != share:
                 self._told[budget] = share
                 text = f"fleet: budget {budget}: {terms.own_part / MS:g}/s and a share of {share / MS:g}/s"
-                event(
+                log_event(
                     LOG,
                     "budget.share",
                     text=text,
--- a/canvasplank/fleet/schema.py
+++ b/canvasplank/fleet/schema.py
@@ -81,9 +81,9 @@
                 if form != FORM:
                     raise msgspec.ValidationError(f"form {form}")
                 content = msgspec.json.decode(text, type=Content)
-            except msgspec.MsgspecError as fault:
+            except msgspec.MsgspecError as error:
                 unreadable.append(incarnation)
-                self._tell(incarnation, name, fault)
+                self._tell(incarnation, name, error)
                 continue
             members[incarnation] = Member(
                 incarnation,
@@ -98,7 +98,7 @@
         owned = {name: Task(*rest) for name, *rest in tasks}
         return Rows(members, next_incarnation, tuple(unreadable), owned)
 
-    def _tell(self, incarnation: int, name: str, fault: Exception) -> None:
+    def _tell(self, incarnation: int, name: str, error: Exception) -> None:
         if incarnation not in self._told:
             self._told.add(incarnation)
             LOG.warning(
@@ -106,7 +106,7 @@
                 "while it is there: %s",
                 name,
                 incarnation,
-                fault,
+                error,
             )
 
 
--- a/canvasplank/network/caller_stream.py
+++ b/canvasplank/network/caller_stream.py
@@ -37,12 +37,12 @@
     """One connection from callers."""
 
     def __init__(self, callers: Owner) -> None:
-        super().__init__(callers.exchange.turns, "caller", isup.Parser(), callers.budget)
+        super().__init__(callers.exchange.scheduler, "caller", isup.Parser(), callers.budget)
         self._callers = callers
         self.open: set[str] = set()  # set-ups that came here and lack their answer
         self.half_closed = False
         self.asked = False  # whether it has brought a whole message
-        self.made_ms = self.turns.now_ms
+        self.made_ms = self.scheduler.now_ms
         self.calls = False  # whether it has carried calls, and not only tests
         self.unconfirmed: dict[str, tuple[int, float]] = {}  # releases not confirmed: cause, time
         self.established: set[str] = set()  # calls answered here: their releases come here
@@ -63,7 +63,7 @@
     def message_is_overdue(self) -> bool:
         """Whether it should have said something whole by now, a first message or the rest of one."""
         since_ms = self.begun_ms if self.asked else self.made_ms
-        late = self.turns.now_ms - since_ms > SILENT_MS
+        late = self.scheduler.now_ms - since_ms > SILENT_MS
         return late and not self.open and (not self.asked or self.parser.in_message)
 
     def eof_received(self) -> bool:
@@ -82,7 +82,7 @@
         """
         if self.open and self.is_open:
             self.write(isup.progress(next(iter(self.open))))
-            self.turns.after(HALF_CLOSED_LOOK_MS, self._prove_read)
+            self.scheduler.call_later(HALF_CLOSED_LOOK_MS, self._prove_read)
 
     def ended(self, error: Exception | None) -> None:
         """Its unanswered set-ups have nobody left to answer."""
@@ -90,7 +90,7 @@
 
     def release(self, call_id: str, cause: int) -> None:
         """Write the release of an established call."""
-        self.unconfirmed[call_id] = cause, self.turns.now_ms
+        self.unconfirmed[call_id] = cause, self.scheduler.now_ms
         if len(self.unconfirmed) > UNCONFIRMED_MOST:
             del self.unconfirmed[next(iter(self.unconfirmed))]
         self.write(isup.release(call_id, cause))
@@ -125,4 +125,6 @@
         At the end of the turn: guards a set-up that lies there unread against our end of the connection.
         """
         if self._callers.quiesced and self.carries_nothing:
-            self.turns.after(0.0, lambda: self._callers.quiesced and self.carries_nothing and self.finish())
+            self.scheduler.call_later(
+                0.0, lambda: self._callers.quiesced and self.carries_nothing and self.finish()
+            )
--- a/canvasplank/network/callers.py
+++ b/canvasplank/network/callers.py
@@ -51,7 +51,9 @@
         It takes few connections in one go, so that room is made meanwhile: guards against a crowd that takes
         every descriptor; the listener then stands still for a second.
         """
-        self._listener = Listener(self.exchange.turns, host, port, self._at_once, lambda: CallerStream(self))
+        self._listener = Listener(
+            self.exchange.scheduler, host, port, self._at_once, lambda: CallerStream(self)
+        )
         self._look_for_idle()
 
     def limit(self, sockets: int) -> None:
@@ -120,7 +122,7 @@
             stream.release(call_id, cause)
         elif len(self._pending_releases) < PENDING_RELEASES_MOST:
             self._pending_releases[call_id] = cause
-            self.exchange.turns.after(PENDING_MS, lambda: self._send_pending(self._any(calls=False)))
+            self.exchange.scheduler.call_later(PENDING_MS, lambda: self._send_pending(self._any(calls=False)))
 
     def forget(self, origin: Hashable, call_id: str) -> None:
         """See ``CallerSide``."""
@@ -151,7 +153,7 @@
         self.streams[stream] = None
         self._make_room()
         if self._pending_releases:
-            self.exchange.turns.after(PENDING_MS, lambda: self._send_pending(self._any(calls=False)))
+            self.exchange.scheduler.call_later(PENDING_MS, lambda: self._send_pending(self._any(calls=False)))
 
     def left(self, stream: CallerStream) -> None:
         """A connection from callers has ended."""
@@ -163,7 +165,7 @@
     def resend_unconfirmed(self, stream: CallerStream) -> None:
         """Guards against a release that crosses the caller's end of a connection: it goes out on another."""
         pending, stream.unconfirmed = stream.unconfirmed, {}
-        newest_ms = self.exchange.turns.now_ms - UNCONFIRMED_MS
+        newest_ms = self.exchange.scheduler.now_ms - UNCONFIRMED_MS
         for call_id, (cause, sent_ms) in pending.items():
             if sent_ms > newest_ms:
                 self.release(None, call_id, cause)
@@ -191,7 +193,7 @@
                 raise BadMessageError(f"a message of type {message.kind} is no caller's")
 
     def _set_up(self, stream: CallerStream, message: isup.Message) -> None:
-        call = call_of(stream, message, self._figures, self.exchange.turns)
+        call = call_of(stream, message, self._figures, self.exchange.scheduler)
         new = call.id not in stream.open
         if new and not is_possible(call, message, self._figures):
             # Guards the servers' work, and other callers' set-ups, against what no server can use.
@@ -215,7 +217,7 @@
         if over <= 0:
             return
         newest = open_streams.pop()
-        young_ms = self.exchange.turns.now_ms - YOUNG_MS
+        young_ms = self.exchange.scheduler.now_ms - YOUNG_MS
         idle = [s for s in open_streams if not s.open]
         idle.sort(key=lambda s: (s.asked or s.used_ms > young_ms, s.used_ms))
         for stream in (idle or [newest])[:over]:
@@ -224,7 +226,7 @@
 
     def _look_for_idle(self) -> None:
         """Guards against connections kept for nothing: long unused, or silent where a message is due."""
-        now_ms = self.exchange.turns.now_ms
+        now_ms = self.exchange.scheduler.now_ms
         idle_ms = QUIESCED_IDLE_MS if self.quiesced else self._idle_ms
 
         def unused(stream: CallerStream) -> bool:
@@ -235,4 +237,4 @@
                 stream.end_spoilt(f"nothing whole for {SILENT_MS:.0f} ms")
             elif unused(stream) and now_ms - stream.used_ms > idle_ms:
                 stream.finish()
-        self.exchange.turns.after(IDLE_LOOK_MS, self._look_for_idle)
+        self.exchange.scheduler.call_later(IDLE_LOOK_MS, self._look_for_idle)
--- a/canvasplank/network/connecting.py
+++ b/canvasplank/network/connecting.py
@@ -8,7 +8,7 @@
 
 from canvasplank.config.settings import split_address
 from canvasplank.network.stream import Stream
-from canvasplank.runtime.scheduler import Deadline, Turns
+from canvasplank.runtime.scheduler import Scheduler, Timer
 
 
 class Connecting:
@@ -21,13 +21,13 @@
         self._address = address
         self._timeout_ms = timeout_ms
         self._failed = failed
-        self._turns = stream.turns
-        self._deadline = self._turns.after(timeout_ms, self._timed_out)
+        self._scheduler = stream.scheduler
+        self._timer = self._scheduler.call_later(timeout_ms, self._timed_out)
         self._task: asyncio.Task | None = asyncio.get_running_loop().create_task(self._run())
 
     def cancel(self) -> None:
         """Stop trying and tell nobody."""
-        self._turns.deadlines.discard(self._deadline)
+        self._scheduler.timers.cancel(self._timer)
         if self._task is not None:
             self._task.cancel()
             self._task = None
@@ -44,11 +44,11 @@
     async def _run(self) -> None:
         try:
             await self._connect()
-        except (OSError, ValueError) as fault:
-            self._turns.begin()
-            self._give_up(str(fault))
+        except (OSError, ValueError) as error:
+            self._scheduler.begin_iteration()
+            self._give_up(str(error))
         else:
-            self._turns.deadlines.discard(self._deadline)
+            self._scheduler.timers.cancel(self._timer)
             self._task = None
 
     async def _connect(self) -> None:
@@ -72,11 +72,11 @@
 class Backoff:
     """Doubling waits between tries, from the start again after a success."""
 
-    def __init__(self, turns: Turns, first_ms: float, most_ms: float) -> None:
-        self._turns = turns
+    def __init__(self, scheduler: Scheduler, first_ms: float, most_ms: float) -> None:
+        self._scheduler = scheduler
         self._first_ms, self._most_ms = first_ms, most_ms
         self._next_ms = first_ms
-        self._waiting: Deadline | None = None
+        self._waiting: Timer | None = None
         self.failures = 0  # since the last success: the first is worth a line to the operators
 
     def succeeded(self) -> None:
@@ -86,7 +86,7 @@
 
     def reset(self) -> None:
         """Begin anew with another peer: guards it against a wait that was meant for the last one."""
-        self._turns.deadlines.discard(self._waiting)
+        self._scheduler.timers.cancel(self._waiting)
         self._waiting = None
         self.succeeded()
 
@@ -100,5 +100,5 @@
             self._waiting = None
             action()
 
-        self._waiting = self._turns.after(self._next_ms if wait_ms is None else wait_ms, come_due)
+        self._waiting = self._scheduler.call_later(self._next_ms if wait_ms is None else wait_ms, come_due)
         self._next_ms = min(self._most_ms, 2 * self._next_ms)
--- a/canvasplank/network/discovery.py
+++ b/canvasplank/network/discovery.py
@@ -15,7 +15,7 @@
 from canvasplank.config.settings import DISCOVERY_EVENT, DiscoveryEvent
 from canvasplank.network.connecting import Backoff, Connecting
 from canvasplank.network.stream import BufferBudget, Stream
-from canvasplank.runtime.scheduler import Turns
+from canvasplank.runtime.scheduler import Scheduler
 
 LOG = logging.getLogger(__name__)
 PATH = "/board/poll"
@@ -35,13 +35,13 @@
     """One connection to service discovery."""
 
     def __init__(self, discovery: Discovery) -> None:
-        super().__init__(discovery.turns, "notice board", sse.Parser(), discovery.budget)
+        super().__init__(discovery.scheduler, "notice board", sse.Parser(), discovery.budget)
         self._discovery = discovery
-        self.made_ms = self.turns.now_ms
+        self.made_ms = self.scheduler.now_ms
 
     def connected(self) -> None:
         """Ask for what is new."""
-        self.made_ms = self.turns.now_ms
+        self.made_ms = self.scheduler.now_ms
         self._discovery.watches()
         self.write(sse.request(PATH, self._discovery.address, self._discovery.last_id))
 
@@ -77,14 +77,14 @@
 
     def __init__(
         self,
-        turns: Turns,
+        scheduler: Scheduler,
         address: str,
         last_id: int,
         told: Callable[[DiscoveryEvent], None],
         budget: BufferBudget,
         rng: random.Random | None = None,
     ) -> None:
-        self.turns = turns
+        self.scheduler = scheduler
         self.budget = budget
         self._rng = rng or random.Random()
         self.address = address
@@ -92,7 +92,7 @@
         self._told = told
         self._stream: DiscoveryWatch | None = None
         self._connecting: Connecting | None = None
-        self._backoff = Backoff(turns, BACKOFF_MS, BACKOFF_MOST_MS)
+        self._backoff = Backoff(scheduler, BACKOFF_MS, BACKOFF_MOST_MS)
         self.pace: Pace | None = None  # None: by the doubling waits alone
         self._untold_ms: float | None = None  # after a move and until the first event: the next such time
         self._asks_ms = float("inf")  # when the watch is given up for another
@@ -114,14 +114,14 @@
         if self.pace is None:
             self._connect()
         else:
-            self.turns.after(self.pace.first(), self._connect)
+            self.scheduler.call_later(self.pace.first(), self._connect)
 
     def heard_by_others(self) -> None:
         """Another proxy hears it; where we do not, ask sooner than we would."""
         if self.heard_ms is None and self.pace is not None:
-            wait_ms = self.pace.hinted(self.turns.now_ms)
+            wait_ms = self.pace.hinted(self.scheduler.now_ms)
             if wait_ms is not None:
-                self.turns.after(wait_ms, self._connect)
+                self.scheduler.call_later(wait_ms, self._connect)
 
     def move(self, address: str) -> None:
         """The service is elsewhere now: ask there at once, from the last event known.
@@ -160,7 +160,7 @@
                 self._connect,
                 None
                 if self.pace is None
-                else self.pace.again(self.turns.now_ms, stream.parser.named_wait_ms),
+                else self.pace.again(self.scheduler.now_ms, stream.parser.named_wait_ms),
             )
 
     def spoke(self, stream: DiscoveryWatch) -> None:
@@ -168,7 +168,7 @@
 
         Guards against asking a service that answers with errors over and over at the shortest wait.
         """
-        if self.turns.now_ms - stream.made_ms > BACKOFF_MOST_MS:
+        if self.scheduler.now_ms - stream.made_ms > BACKOFF_MOST_MS:
             self._backoff.succeeded()
 
     def watches(self) -> None:
@@ -177,7 +177,7 @@
         One that has told an event is known to be well: asking that again would only be load.
         """
         if self._untold_ms is not None:
-            self._asks_ms = self.turns.now_ms + self._untold_ms * self._rng.uniform(*UNTOLD_SPREAD)
+            self._asks_ms = self.scheduler.now_ms + self._untold_ms * self._rng.uniform(*UNTOLD_SPREAD)
             self._untold_ms = min(UNTOLD_MOST_MS, 2 * self._untold_ms)
 
     def event(self, event: sse.Event) -> None:
@@ -189,12 +189,12 @@
             return
         try:
             notice = DISCOVERY_EVENT.decode(event.data)
-        except (ValueError, RecursionError, msgspec.MsgspecError) as fault:
+        except (ValueError, RecursionError, msgspec.MsgspecError) as error:
             self._unread += 1
             # Guards against an event that can never be read keeping all later ones from us.
             if self._unread < READS_MOST:
-                raise BadMessageError(f"event {number}: {fault}") from None
-            LOG.warning("notice board: event %d is passed over, unread: %s", number, fault)
+                raise BadMessageError(f"event {number}: {error}") from None
+            LOG.warning("notice board: event %d is passed over, unread: %s", number, error)
             notice = None
         self._unread = 0
         self._backoff.succeeded()
@@ -208,12 +208,12 @@
     def _look(self) -> None:
         """Guards against a connection that is open and dead."""
         stream = self._stream
-        if stream is not None and stream.is_open and self.turns.now_ms - stream.heard_ms > SILENCE_MS:
+        if stream is not None and stream.is_open and self.scheduler.now_ms - stream.heard_ms > SILENCE_MS:
             LOG.info("notice board: silent, connecting again")
             stream.transport.abort()
             self.left(stream)
-        elif stream is not None and stream.is_open and self.turns.now_ms >= self._asks_ms:
+        elif stream is not None and stream.is_open and self.scheduler.now_ms >= self._asks_ms:
             stream.transport.abort()
             self._stream = None
             self._connect()
-        self.turns.after(LOOK_MS, self._look)
+        self.scheduler.call_later(LOOK_MS, self._look)
--- a/canvasplank/network/listening.py
+++ b/canvasplank/network/listening.py
@@ -8,7 +8,7 @@
 import socket
 from collections.abc import Callable
 
-from canvasplank.runtime.scheduler import Turns
+from canvasplank.runtime.scheduler import Scheduler
 
 LOG = logging.getLogger(__name__)
 BACKLOG = 512
@@ -24,11 +24,16 @@
     """
 
     def __init__(
-        self, turns: Turns, host: str, port: int, at_once: int, protocol: Callable[[], asyncio.BaseProtocol]
+        self,
+        scheduler: Scheduler,
+        host: str,
+        port: int,
+        at_once: int,
+        protocol: Callable[[], asyncio.BaseProtocol],
     ) -> None:
         """The port is shared (``SO_REUSEPORT``): a new version listens beside this one."""
         self.at_once = at_once
-        self._turns, self._protocol = turns, protocol
+        self._scheduler, self._protocol = scheduler, protocol
         self._loop = asyncio.get_running_loop()
         self._taken: set[asyncio.Task] = set()
         self._socket = socket.socket(
@@ -63,13 +68,13 @@
                 accepted, _address = self._socket.accept()
             except BlockingIOError:
                 return
-            except OSError as fault:
-                if fault.errno not in SHORT_OF:
+            except OSError as error:
+                if error.errno not in SHORT_OF:
                     continue  # it broke before it was taken, and accept(2) tells its fault
                 # Guards against a loop that does nothing but fail to accept.
-                LOG.error("no connection is taken for a second: %s", fault)
+                LOG.error("no connection is taken for a second: %s", error)
                 self._loop.remove_reader(self._socket)
-                self._turns.after(PAUSE_MS, self._begin)
+                self._scheduler.call_later(PAUSE_MS, self._begin)
                 return
             accepted.setblocking(False)
             task = self._loop.create_task(self._loop.connect_accepted_socket(self._protocol, accepted))
--- a/canvasplank/network/server_stream.py
+++ b/canvasplank/network/server_stream.py
@@ -63,7 +63,7 @@
 
     def __init__(self, servers: Owner, peer: Peer) -> None:
         label = f"server {peer.server_id} {peer.address}"
-        super().__init__(servers.exchange.turns, label, sip.Parser(), servers.budget)
+        super().__init__(servers.exchange.scheduler, label, sip.Parser(), servers.budget)
         self.servers = servers
         self.peer = peer
         self.address = peer.address
@@ -75,17 +75,17 @@
         self.established: set[str] = set()  # calls set up here: the server releases them here
         self.replaced_ms = -1.0  # when another took its place
         self.connecting: Connecting | None = None
-        self.made_ms = self.turns.now_ms
+        self.made_ms = self.scheduler.now_ms
         self.asked_ms = -1.0  # when the first set-up was sent here of those after the last word
 
     def connected(self) -> None:
         """Send what has waited."""
-        self.made_ms = self.peer.heard_ms = self.turns.now_ms
+        self.made_ms = self.peer.heard_ms = self.scheduler.now_ms
         self.servers.joined(self)
 
     def received(self, data: memoryview) -> None:
         """Read what it says."""
-        self.peer.heard_ms = self.turns.now_ms
+        self.peer.heard_ms = self.scheduler.now_ms
         for message in self.messages(data):
             if not self.servers.disconnecting:
                 self.servers.take(self, message)
@@ -97,18 +97,18 @@
         """
         self.peer.reports_circuits = True
         self.reports += 1
-        if self.reports > UNTIMED_REPORTS and self.turns.now_ms - self.reported_ms < QUIET_MS:
+        if self.reports > UNTIMED_REPORTS and self.scheduler.now_ms - self.reported_ms < QUIET_MS:
             self.peer.quiet_ms = QUIET_MS
-        self.reported_ms = self.turns.now_ms
+        self.reported_ms = self.scheduler.now_ms
 
     def is_cut_short(self, limit_ms: float) -> bool:
         """Whether the rest of a message is overdue: all that follows would be taken for it."""
-        late = self.turns.now_ms - self.begun_ms > limit_ms
+        late = self.scheduler.now_ms - self.begun_ms > limit_ms
         return self.is_open and late and self.parser.in_message
 
     def is_hung(self, limit_ms: float) -> bool:
         """Whether it has brought not a word since a set-up went out on it."""
-        return self.asked_ms > self.heard_ms and self.turns.now_ms - self.asked_ms > limit_ms
+        return self.asked_ms > self.heard_ms and self.scheduler.now_ms - self.asked_ms > limit_ms
 
     def is_left_over(self, limit_ms: float) -> bool:
         """Whether it has been replaced and nothing more is to come on it.
@@ -116,7 +116,7 @@
         Guards against losing the release of an established call, on its way while we end the connection: its
         successor is up already, and the server would not tell it again.
         """
-        spoke_again = self.heard_ms > self.replaced_ms and self.turns.now_ms - self.used_ms < limit_ms
+        spoke_again = self.heard_ms > self.replaced_ms and self.scheduler.now_ms - self.used_ms < limit_ms
         return not self.open and not (self.established and spoke_again)
 
     @property
--- a/canvasplank/network/servers.py
+++ b/canvasplank/network/servers.py
@@ -67,7 +67,7 @@
         self.exchange = exchange
         self._gauges = gauges
         self.budget = budget
-        self.turns = exchange.turns
+        self.scheduler = exchange.scheduler
         self._ceilings = ceilings
         self._peers: dict[str, Peer] = {}
         self._probes: dict[str, str] = {}
@@ -75,7 +75,7 @@
         self.opening: Opening | None = None  # None: all servers, all at once
         self.disconnecting = False  # the program ends
         self._resend_ms = resend_ms or FIRST_RESEND_MS
-        self.turns.after(LOOK_SHARE * self._resend_ms, self._look)
+        self.scheduler.call_later(LOOK_SHARE * self._resend_ms, self._look)
 
     def known_and_excluded(self) -> tuple[int, int]:
         """Servers in the list, and those of them that nothing new goes to: draining, or not reachable now."""
@@ -98,7 +98,7 @@
 
     def has_unsettled_releases(self, server_id: str) -> bool:
         """Whether a release for this server has yet to be sent, or may yet have to be sent again."""
-        peer, recent_ms = self._peers.get(server_id), self.turns.now_ms - UNCONFIRMED_MS
+        peer, recent_ms = self._peers.get(server_id), self.scheduler.now_ms - UNCONFIRMED_MS
         return peer is not None and (
             bool(peer.pending_releases)
             or any(
@@ -148,11 +148,11 @@
         if server.state is api.ServerState.GONE:
             return
         if peer is None:
-            backoff = Backoff(self.turns, BACKOFF_MS, BACKOFF_MOST_MS)
+            backoff = Backoff(self.scheduler, BACKOFF_MS, BACKOFF_MOST_MS)
             peer = Peer(server.id, entry.host_port, server.state, server.started_ms, backoff)
-            peer.heard_ms = self.turns.now_ms
+            peer.heard_ms = self.scheduler.now_ms
             if self.opening is not None:
-                peer.opens_ms = self.turns.now_ms + self.opening.first_ms()
+                peer.opens_ms = self.scheduler.now_ms + self.opening.first_ms()
             self._peers[server.id] = peer
         elif entry.host_port != peer.address:
             peer.address = entry.host_port
@@ -183,11 +183,11 @@
     def _restarted(self, peer: Peer) -> None:
         """A fresh process under the same name: what the old one held is over, its connections are dead."""
         self._drop(self._dead(peer, peer.started_ms))
-        self.exchange.process_over(peer.server_id, peer.started_ms or self.turns.now_ms)
+        self.exchange.process_over(peer.server_id, peer.started_ms or self.scheduler.now_ms)
 
     def _dead(self, peer: Peer, started_ms: float | None) -> list[ServerStream]:
         """Connections to a process before the one that started then, or now where that is not told."""
-        return [s for s in peer.streams if s.made_ms < (started_ms or self.turns.now_ms)]
+        return [s for s in peer.streams if s.made_ms < (started_ms or self.scheduler.now_ms)]
 
     def _leave(self, peer: Peer) -> None:
         """Its address has changed: what is open stays, what comes goes to the new one."""
@@ -205,8 +205,8 @@
         """It has stopped.  While it still speaks to us it can release its calls itself."""
         peer.state = api.ServerState.GONE
         self._recall(peer)
-        if any(s.is_open and self.turns.now_ms - s.heard_ms < QUIET_MS for s in peer.streams):
-            self.turns.after(GONE_LOOK_MS, lambda: self._still_gone(peer))
+        if any(s.is_open and self.scheduler.now_ms - s.heard_ms < QUIET_MS for s in peer.streams):
+            self.scheduler.call_later(GONE_LOOK_MS, lambda: self._still_gone(peer))
             return
         self._peers.pop(peer.server_id, None)
         if peer.current is not None and peer.current.connecting is not None:
@@ -237,7 +237,7 @@
             self.exchange.ended(server_id, call.id, attempt, api.Outcome.NO_CONNECTION)
             return
         self._connect(peer, wanted=True)
-        stream, waiting = peer.current, WaitingSetUp(call, attempt, self.turns.now_ms + wait_ms)
+        stream, waiting = peer.current, WaitingSetUp(call, attempt, self.scheduler.now_ms + wait_ms)
         if stream.is_open:
             self._invite(stream, waiting)
         else:
@@ -249,10 +249,10 @@
             # Guards against ending the call by the release of an earlier attempt here, sent once more.
             each.unconfirmed.pop(call.id, None)
         if stream.asked_ms <= stream.heard_ms:
-            stream.asked_ms = self.turns.now_ms
+            stream.asked_ms = self.scheduler.now_ms
         stream.open[call.id] = attempt
         # What is left now: guards a server against working on for as long as its connection took to come up.
-        left_ms = max(1, round(waiting.until_ms - self.turns.now_ms))
+        left_ms = max(1, round(waiting.until_ms - self.scheduler.now_ms))
         headers = {"X-Tier": call.class_name, "X-Deadline": str(left_ms)}
         stream.write(sip.request("INVITE", call.number, call.id, attempt + 1, headers, call.description))
         self.exchange.counters.by_class("attempts", call.class_name)
@@ -290,7 +290,9 @@
         probe_id = f"{self._probe_count:016x}"
         self._probes[probe_id] = server_id
         peer.current.write(sip.request("OPTIONS", "load", probe_id, 1))
-        self.turns.after(self._ceilings.connect_timeout_ms, lambda: self._probed(probe_id, False, None))
+        self.scheduler.call_later(
+            self._ceilings.connect_timeout_ms, lambda: self._probed(probe_id, False, None)
+        )
 
     def _probed(self, probe_id: str, answered: bool, report: api.Report | None) -> None:
         server_id = self._probes.pop(probe_id, None)
@@ -299,7 +301,7 @@
 
     def _bye(self, stream: ServerStream, call_id: str, cause: int) -> None:
         self.exchange.counters.add("sent.releases_to_servers")
-        stream.unconfirmed[call_id] = cause, self.turns.now_ms
+        stream.unconfirmed[call_id] = cause, self.scheduler.now_ms
         if len(stream.unconfirmed) > UNCONFIRMED_MOST:
             del stream.unconfirmed[next(iter(stream.unconfirmed))]
         stream.write(sip.request("BYE", "call", call_id, 1, {"Reason": f"Q.850;cause={cause}"}))
@@ -311,7 +313,7 @@
 
         Guards a server against a connection from each of hundreds of proxies that start at once.
         """
-        if self.disconnecting or (self.turns.now_ms < peer.opens_ms and not wanted):
+        if self.disconnecting or (self.scheduler.now_ms < peer.opens_ms and not wanted):
             return
         current = peer.current
         if current is not None and (current.is_open or current.connecting is not None):
@@ -382,7 +384,7 @@
 
         It stays open for what may yet come on it; a connection that speaks again is as good as a new one.
         """
-        now_ms = self.turns.now_ms
+        now_ms = self.scheduler.now_ms
         cut_short_ms = CUT_SHORT_SHARE * self._resend_ms
         for peer in list(self._peers.values()):
             for stream in [s for s in peer.streams if s.is_cut_short(cut_short_ms)]:
@@ -406,7 +408,7 @@
             if not up and now_ms - peer.heard_ms > UNREACHABLE_MS:
                 self._unreachable(peer)
             self._retire(peer)
-        self.turns.after(LOOK_SHARE * self._resend_ms, self._look)
+        self.scheduler.call_later(LOOK_SHARE * self._resend_ms, self._look)
 
     def _unreachable(self, peer: Peer) -> None:
         """Neither a word nor a connection for long: found on a day with a cut-off district.
--- a/canvasplank/network/set_ups.py
+++ b/canvasplank/network/set_ups.py
@@ -9,7 +9,7 @@
 from canvasplank.config.settings import Figures
 from canvasplank.exchange.exchange import CallRecord
 from canvasplank.network.caller_stream import CallerStream
-from canvasplank.runtime.scheduler import Turns
+from canvasplank.runtime.scheduler import Scheduler
 
 NO_CALL = "0" * 16
 NUMBER = re.compile(r"[A-Za-z0-9*#+._-]{1,64}")  # what a server can read in the first line
@@ -19,7 +19,7 @@
 DESCRIPTION_MOST = 15 * 1024  # with the server side's headers it still is one message
 
 
-def call_of(stream: CallerStream, message: isup.Message, known: Figures, turns: Turns) -> CallRecord:
+def call_of(stream: CallerStream, message: isup.Message, known: Figures, scheduler: Scheduler) -> CallRecord:
     """The call that a set-up asks for; one that no server could read is a bad message.
 
     Guards against figures that are no figures (a wait of 'nan' would spoil the order of the deadlines),
@@ -29,8 +29,8 @@
     wait_text = message.text(isup.Parameter.WAIT)
     try:
         wait_ms = float(wait_text)
-    except ValueError as fault:
-        raise BadMessageError(f"set-up {message.call_id}: {fault}") from None
+    except ValueError as error:
+        raise BadMessageError(f"set-up {message.call_id}: {error}") from None
     if not 0 < wait_ms <= WAIT_MOST_MS:  # a 'nan' is not, either
         raise BadMessageError(f"set-up {message.call_id}: a wait of {wait_text[:20]!r}")
     number = message.text(isup.Parameter.NUMBER)
@@ -47,7 +47,7 @@
         preferred_pool=figures.get("dest", -1),
         was_cut=figures.get("again") == 1,
         # The wait counts from when the caller sent it: earlier than now by as much as we looked late.
-        expires_ms=turns.now_ms - turns.lateness_ms + wait_ms,
+        expires_ms=scheduler.now_ms - scheduler.lateness_ms + wait_ms,
         description=description,
         origin=stream,
     )
--- a/canvasplank/network/stream.py
+++ b/canvasplank/network/stream.py
@@ -11,7 +11,7 @@
 from typing import Protocol, TypeVar
 
 from canvasplank.codecs.errors import MESSAGE_MOST, BadMessageError
-from canvasplank.runtime.scheduler import Turns
+from canvasplank.runtime.scheduler import Scheduler
 
 LOG = logging.getLogger(__name__)
 UNSENT_MOST = 1024 * 1024  # bytes that a peer may leave unread before its connection is ended
@@ -84,15 +84,15 @@
     # One for all: guards against 16 KiB for each of hundreds of idle connections.
     _buffer = bytearray(MESSAGE_MOST)
 
-    def __init__(self, turns: Turns, label: str, parser: Parser, budget: BufferBudget) -> None:
-        self.turns = turns
+    def __init__(self, scheduler: Scheduler, label: str, parser: Parser, budget: BufferBudget) -> None:
+        self.scheduler = scheduler
         self.parser = parser
         self.budget = budget
         self.label = label
         self.transport: asyncio.Transport | None = None
-        self.heard_ms = turns.now_ms
-        self.used_ms = turns.now_ms
-        self.begun_ms = turns.now_ms  # when the message began that is not whole, if there is one
+        self.heard_ms = scheduler.now_ms
+        self.used_ms = scheduler.now_ms
+        self.begun_ms = scheduler.now_ms  # when the message began that is not whole, if there is one
         self.spoilt = False  # whether it was ended for a bad message
         self.finishing = False  # whether it is only read any more
 
@@ -118,13 +118,13 @@
             was_in_message = False
             yield message
         if not was_in_message:
-            self.begun_ms = self.turns.now_ms
+            self.begun_ms = self.scheduler.now_ms
 
     def write(self, data: bytes) -> None:
         """Send; a peer that never reads loses its connection and not our memory."""
         if not self.is_open:
             return
-        self.used_ms = self.turns.now_ms
+        self.used_ms = self.scheduler.now_ms
         self.transport.write(data)
         self._note_buffered()
         if self.unsent > UNSENT_MOST:
@@ -148,7 +148,7 @@
         """End it once all is written, or soon: guards against a peer that never reads the rest."""
         if self.is_open:
             if self.unsent:
-                self.turns.after(LINGER_MS, self.transport.abort)
+                self.scheduler.call_later(LINGER_MS, self.transport.abort)
             self.transport.close()
 
     def finish(self) -> None:
@@ -160,16 +160,16 @@
         if self.is_open:
             self.finishing = True
             self.transport.write_eof()
-            self.turns.after(LINGER_MS, self.transport.abort)
+            self.scheduler.call_later(LINGER_MS, self.transport.abort)
 
     # asyncio's names from here on
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """See asyncio."""
-        self.turns.begin()
+        self.scheduler.begin_iteration()
         self.transport = transport
         transport.set_write_buffer_limits(high=UNSENT_PAUSE)
-        self.heard_ms = self.used_ms = self.turns.now_ms
+        self.heard_ms = self.used_ms = self.scheduler.now_ms
         self.connected()
 
     def get_buffer(self, sizehint: int) -> bytearray:
@@ -178,14 +178,14 @@
 
     def buffer_updated(self, nbytes: int) -> None:
         """See asyncio."""
-        self.turns.begin()
-        self.heard_ms = self.used_ms = self.turns.now_ms
+        self.scheduler.begin_iteration()
+        self.heard_ms = self.used_ms = self.scheduler.now_ms
         try:
             self.received(memoryview(self._buffer)[:nbytes])
             self._note_buffered()
-        except BadMessageError as fault:
+        except BadMessageError as error:
             # Guards against a bad message ending the program: it ends its own connection, with one line.
-            self.end_spoilt(str(fault))
+            self.end_spoilt(str(error))
         except Exception:
             # Guards against a fault of ours passing for an ordinary end: what may be there is released.
             LOG.exception("%s: reading failed", self.label)
@@ -225,7 +225,7 @@
 
     def connection_lost(self, exc: Exception | None) -> None:
         """See asyncio, which closes the socket only after this."""
-        self.turns.begin()
+        self.scheduler.begin_iteration()
         if exc is not None:
             with contextlib.suppress(OSError):
                 descriptor = os.dup(self.transport.get_extra_info("socket").fileno())
--- a/canvasplank/program.py
+++ b/canvasplank/program.py
@@ -35,8 +35,8 @@
 from canvasplank.network.stream import BufferBudget
 from canvasplank.policy import Controller
 from canvasplank.runtime import signals, structured_logging
-from canvasplank.runtime.event_loop import PipeLoop
-from canvasplank.runtime.scheduler import Deadlines, Turns
+from canvasplank.runtime.event_loop import PipeEventLoop
+from canvasplank.runtime.scheduler import Scheduler, TimerQueue
 from canvasplank.runtime.shutdown import Phase, Shutdown
 
 LOG = logging.getLogger(__name__)
@@ -58,10 +58,10 @@
         settings = read_settings(configuration.settings)
         ceilings = read_ceilings(configuration.settings)
         self.counters = Counters()
-        self.turns = Turns(Deadlines())
+        self.scheduler = Scheduler(TimerQueue())
         controller = self.controller = Controller(settings, int(configuration.seed, 16))
         memory = configuration.limits.memory_mb * MIB
-        self.exchange = Exchange(self.turns, controller.handle, self.counters, ceilings.max_open, memory)
+        self.exchange = Exchange(self.scheduler, controller.handle, self.counters, ceilings.max_open, memory)
         self._budget = BufferBudget(memory)
         figures = read_figures(settings, configuration.settings)
         self._callers = Callers(
@@ -72,7 +72,7 @@
         self.servers = Servers(self.exchange, ceilings, settings.resend_ms, self._budget, gauges)
         self.exchange.servers = self.servers
         self.discovery = Discovery(
-            self.turns,
+            self.scheduler,
             configuration.discovery,
             configuration.known.rev,
             self._notice,
@@ -95,8 +95,8 @@
         loop.add_signal_handler(signal.SIGINT, self._terminate)
         loop.add_signal_handler(signal.SIGUSR1, self.print_counters)
         loop.add_signal_handler(signal.SIGHUP, self._reload)
-        signals.heed()
-        self.turns.begin()
+        signals.unblock()
+        self.scheduler.begin_iteration()
         self.servers.listed(True, folded(self.configuration.known.notices))
         for part in self._parts:
             await part.start()
@@ -111,8 +111,8 @@
         await self._done.wait()
         self._admin.close()
         for part in self._parts:
-            self.turns.begin()
-            await part.drain(self._shutdown.left_ms(self.turns.now_ms) / 1000)
+            self.scheduler.begin_iteration()
+            await part.drain(self._shutdown.remaining_ms(self.scheduler.now_ms) / 1000)
 
     @property
     def _serving(self) -> bool:
@@ -131,12 +131,12 @@
 
     def quiesce(self) -> None:
         """See ``Operated``."""
-        self.turns.begin()
+        self.scheduler.begin_iteration()
         self._callers.quiesce()
 
     def resume(self) -> None:
         """See ``Operated``."""
-        self.turns.begin()
+        self.scheduler.begin_iteration()
         self._callers.resume()
 
     def print_counters(self) -> None:
@@ -158,14 +158,14 @@
         The rest needs a restart, and what of it has changed is told.  Guards against ending on SIGHUP, and
         against a file that cannot be used: then the old one stays.
         """
-        self.turns.begin()
+        self.scheduler.begin_iteration()
         try:
             fresh = self._read_again()
             read_ceilings(fresh.settings)
             read_figures(read_settings(fresh.settings), fresh.settings)
             read_gauges(fresh.settings)
-        except (ConfigurationError, api.SettingsError) as fault:
-            LOG.warning("not reloaded, the old configuration stays: %s", one_line(fault))
+        except (ConfigurationError, api.SettingsError) as error:
+            LOG.warning("not reloaded, the old configuration stays: %s", one_line(error))
             return
         waiting = [name for name in AT_START if getattr(fresh, name) != getattr(self.configuration, name)]
         for_later = f"; for the next start: {', '.join(waiting)}" if waiting else ""
@@ -182,20 +182,20 @@
 
     def _terminate(self) -> None:
         """Told to stop: shut down gracefully, phase by phase (``shutdown``)."""
-        self.turns.begin()
-        if self._shutdown.begin(self.turns.now_ms):
+        self.scheduler.begin_iteration()
+        if self._shutdown.begin(self.scheduler.now_ms):
             LOG.info("told to stop")
             self._look_again()
 
     def _look_again(self) -> None:
-        self.turns.after(self._shutdown.next_look_ms(self.turns.now_ms), self._look)
+        self.scheduler.call_later(self._shutdown.next_check_ms(self.scheduler.now_ms), self._look)
 
     def _look(self) -> None:
         """Do what the phase of the shutdown asks for, and go on until it has stopped."""
-        before, now_ms = self._shutdown.phase, self.turns.now_ms
+        before, now_ms = self._shutdown.phase, self.scheduler.now_ms
         if before is Phase.DRAINING and self._shutdown.is_out_of_time(now_ms):
             self.exchange.fail_all()
-        phase = self._shutdown.look(
+        phase = self._shutdown.advance(
             now_ms,
             open_calls=self.exchange.open_calls,
             unsent=self._callers.unsent(),
@@ -216,14 +216,14 @@
 
 def serve() -> int:
     """Run by the environment's configuration; a fault in it is one line on standard error."""
-    signals.hold()
+    signals.block()
     try:
-        structured_logging.begin(os.environ.get("CANVASPLANK_LOG", "human"))
+        structured_logging.configure(os.environ.get("CANVASPLANK_LOG", "human"))
         factories = enabled_parts(os.environ)
-        with asyncio.Runner(loop_factory=PipeLoop) as runner:
+        with asyncio.Runner(loop_factory=PipeEventLoop) as runner:
             runner.run(_serve(_configuration(), factories))
-    except (ConfigurationError, api.SettingsError, OSError, ValueError) as fault:
-        print(f"canvasplank: {one_line(fault)}", file=sys.stderr)
+    except (ConfigurationError, api.SettingsError, OSError, ValueError) as error:
+        print(f"canvasplank: {one_line(error)}", file=sys.stderr)
         return 2
     return 0
 
@@ -236,14 +236,14 @@
     for address in (configuration.listen, configuration.admin or "any:0"):
         try:
             split_address(address)
-        except ValueError as fault:
-            raise ConfigurationError(f"configuration: {fault}") from None
+        except ValueError as error:
+            raise ConfigurationError(f"configuration: {error}") from None
     return configuration
 
 
-def one_line(fault: Exception) -> str:
+def one_line(error: Exception) -> str:
     """What is wrong, as one line for the log."""
-    return " ".join(str(fault).split())
+    return " ".join(str(error).split())
 
 
 async def _serve(configuration: Configuration, factories: list[PartFactory]) -> None:
@@ -252,4 +252,4 @@
     with contextlib.suppress(asyncio.CancelledError):
         await program.run()
     program.print_counters()
-    signals.hold()  # guards the exit status against one that comes now
+    signals.block()  # guards the exit status against one that comes now
--- a/canvasplank/runtime/event_loop.py
+++ b/canvasplank/runtime/event_loop.py
@@ -36,7 +36,7 @@
             self._fd = -1
 
 
-class PipeLoop(asyncio.SelectorEventLoop):
+class PipeEventLoop(asyncio.SelectorEventLoop):
     """asyncio's own loop, but for what wakes it."""
 
     def _make_self_pipe(self) -> None:
--- a/canvasplank/runtime/shutdown.py
+++ b/canvasplank/runtime/shutdown.py
@@ -4,13 +4,13 @@
 
 import enum
 
-SERVE_ON_MS = 700.0  # after SIGTERM callers may still come for so long
-LONGEST_MS = 3000.0  # a caller's deadline counts as no longer than this when we are to end
-FAIL_EARLY_MS = 300.0  # whatever is open so long before somebody may kill us is failed
+LAME_DUCK_MS = 700.0  # after SIGTERM callers may still come for so long
+MAX_CALL_DEADLINE_MS = 3000.0  # a caller's deadline counts as no longer than this when we are to end
+FAIL_BEFORE_KILL_MS = 300.0  # whatever is open so long before somebody may kill us is failed
 FLUSH_MS = 100.0  # past that, for the last bytes to leave
 DISCONNECT_MS = 100.0  # for callers to hear the end of connections; what crosses it does so within 50 ms
-KILLED_EARLY_MS = 100.0  # and all is to be done so long before it
-LOOK_MS = 20.0  # between two looks
+FINISH_BEFORE_KILL_MS = 100.0  # and all is to be done so long before it
+CHECK_INTERVAL_MS = 20.0  # between two looks
 
 
 class Phase(enum.IntEnum):
@@ -26,46 +26,46 @@
 class Shutdown:
     """Where the program stands between serving and its end."""
 
-    def __init__(self, longest_ms: float) -> None:
-        """``longest_ms``: the longest deadline of a call; somebody may kill us that much and 0.7 s after."""
+    def __init__(self, max_deadline_ms: float) -> None:
+        """``max_deadline_ms``: the longest deadline of a call; we may be killed that much and 0.7 s after."""
         self.phase = Phase.SERVING
-        self._killed_after_ms = min(LONGEST_MS, longest_ms) + SERVE_ON_MS
-        self._begun_ms = 0.0
+        self._kill_after_ms = min(MAX_CALL_DEADLINE_MS, max_deadline_ms) + LAME_DUCK_MS
+        self._started_ms = 0.0
         self._entered_ms = 0.0
 
     def begin(self, now_ms: float) -> bool:
         """SIGTERM; False: told so before, which changes nothing."""
         if self.phase is not Phase.SERVING:
             return False
-        self._begun_ms = now_ms
+        self._started_ms = now_ms
         self._enter(Phase.LAME_DUCK, now_ms)
         return True
 
     def is_out_of_time(self, now_ms: float) -> bool:
         """Whether what is open is to be failed: somebody may kill us soon."""
-        return now_ms - self._begun_ms >= self._killed_after_ms - FAIL_EARLY_MS
+        return now_ms - self._started_ms >= self._kill_after_ms - FAIL_BEFORE_KILL_MS
 
-    def left_ms(self, now_ms: float) -> float:
+    def remaining_ms(self, now_ms: float) -> float:
         """What may be spent on the parts' ends."""
-        return max(0.0, self._killed_after_ms - KILLED_EARLY_MS - (now_ms - self._begun_ms))
+        return max(0.0, self._kill_after_ms - FINISH_BEFORE_KILL_MS - (now_ms - self._started_ms))
 
-    def next_look_ms(self, now_ms: float) -> float:
+    def next_check_ms(self, now_ms: float) -> float:
         """How long until ``look`` may find something new."""
         if self.phase is Phase.LAME_DUCK:
-            return max(1.0, self._begun_ms + SERVE_ON_MS - now_ms)
-        return LOOK_MS
+            return max(1.0, self._started_ms + LAME_DUCK_MS - now_ms)
+        return CHECK_INTERVAL_MS
 
-    def look(self, now_ms: float, *, open_calls: int, unsent: int, connections: int) -> Phase:
+    def advance(self, now_ms: float, *, open_calls: int, unsent: int, connections: int) -> Phase:
         """The phase from now on; each look goes one phase further at most.
 
         So what lay at the listener is read before anything is ended.  Guards a set-up that comes while the
         last bytes leave against being taken and then left without an answer, and one who reads late against
         the end of an answer half written.
         """
-        past_ms = now_ms - self._begun_ms
-        may_flush = past_ms < self._killed_after_ms - FAIL_EARLY_MS + FLUSH_MS
+        elapsed_ms = now_ms - self._started_ms
+        may_flush = elapsed_ms < self._kill_after_ms - FAIL_BEFORE_KILL_MS + FLUSH_MS
         match self.phase:
-            case Phase.LAME_DUCK if past_ms >= SERVE_ON_MS:
+            case Phase.LAME_DUCK if elapsed_ms >= LAME_DUCK_MS:
                 self._enter(Phase.DRAINING, now_ms)
             case Phase.DRAINING if not open_calls and not (unsent and may_flush):
                 self._enter(Phase.DISCONNECTING, now_ms)
--- a/canvasplank/runtime/signals.py
+++ b/canvasplank/runtime/signals.py
@@ -4,14 +4,14 @@
 
 import signal
 
-HEEDED = (signal.SIGTERM, signal.SIGINT, signal.SIGUSR1, signal.SIGHUP)
+HANDLED_SIGNALS = (signal.SIGTERM, signal.SIGINT, signal.SIGUSR1, signal.SIGHUP)
 
 
-def hold() -> None:
+def block() -> None:
     """Keep them for later; for the last time just before the event loop gives their default action back."""
-    signal.pthread_sigmask(signal.SIG_BLOCK, HEEDED)
+    signal.pthread_sigmask(signal.SIG_BLOCK, HANDLED_SIGNALS)
 
 
-def heed() -> None:
+def unblock() -> None:
     """Let them come, those that were kept first."""
-    signal.pthread_sigmask(signal.SIG_UNBLOCK, HEEDED)
+    signal.pthread_sigmask(signal.SIG_UNBLOCK, HANDLED_SIGNALS)
--- a/canvasplank/runtime/streams.py
+++ b/canvasplank/runtime/streams.py
@@ -6,7 +6,7 @@
 import contextlib
 
 
-async def close_quietly(writer: asyncio.StreamWriter) -> None:
+async def close_writer(writer: asyncio.StreamWriter) -> None:
     """Close and wait for the close; a peer that has reset it meanwhile changes nothing."""
     writer.close()
     with contextlib.suppress(OSError):
--- a/canvasplank/runtime/structured_logging.py
+++ b/canvasplank/runtime/structured_logging.py
@@ -9,16 +9,16 @@
 import sys
 from typing import Any
 
-HUMAN = "%(asctime)s %(message)s"
-FORMS = ("human", "json")
+HUMAN_FORMAT = "%(asctime)s %(message)s"
+FORMATS = ("human", "json")
 
 
-def begin(form: str) -> None:
+def configure(log_format: str) -> None:
     """Set logging up on standard error; an unknown form is a ``ValueError``."""
-    if form not in FORMS:
-        raise ValueError(f"CANVASPLANK_LOG is {form!r}, not one of {', '.join(FORMS)}")
+    if log_format not in FORMATS:
+        raise ValueError(f"CANVASPLANK_LOG is {log_format!r}, not one of {', '.join(FORMATS)}")
     handler = logging.StreamHandler(sys.stderr)
-    if form == "json":
+    if log_format == "json":
         from pythonjsonlogger.json import JsonFormatter  # imported only where it is wanted
 
         handler.setFormatter(
@@ -29,11 +29,11 @@
             )
         )
     else:
-        handler.setFormatter(logging.Formatter(HUMAN))
+        handler.setFormatter(logging.Formatter(HUMAN_FORMAT))
     logging.basicConfig(handlers=[handler], level=logging.INFO)
 
 
-def event(log: logging.Logger, name: str, *, text: str = "", **fields: Any) -> None:
+def log_event(log: logging.Logger, name: str, *, text: str = "", **fields: Any) -> None:
     """One event; ``text`` is what people read of it, or else its name and fields."""
-    said = text or " ".join([name, *(f"{key}={value}" for key, value in fields.items())])
-    log.info("%s", said, extra={"event": name, **fields})
+    message = text or " ".join([name, *(f"{key}={value}" for key, value in fields.items())])
+    log.info("%s", message, extra={"event": name, **fields})
--- a/canvasplank/runtime/worker_thread.py
+++ b/canvasplank/runtime/worker_thread.py
@@ -10,46 +10,46 @@
 from typing import TypeVar
 
 Result = TypeVar("Result")
-Job = tuple[Callable[[], object], asyncio.Future, asyncio.AbstractEventLoop]
+QueuedJob = tuple[Callable[[], object], asyncio.Future, asyncio.AbstractEventLoop]
 
 
-class BusyError(Exception):
+class WorkerThreadBusyError(Exception):
     """What was asked before is still going on, though whoever asked may have given it up."""
 
 
-class Thread:
+class WorkerThread:
     """Does one thing after another; a daemon, so that a disk that hangs cannot keep the program alive."""
 
     def __init__(self, name: str) -> None:
-        self._jobs: queue.SimpleQueue[Job] = queue.SimpleQueue()
+        self._jobs: queue.SimpleQueue[QueuedJob] = queue.SimpleQueue()
         self.busy = False
-        threading.Thread(target=self._work, name=name, daemon=True).start()
+        threading.Thread(target=self._run_jobs, name=name, daemon=True).start()
 
-    async def do(self, what: Callable[[], Result]) -> Result:
+    async def run(self, job: Callable[[], Result]) -> Result:
         """Have it done there; one at a time, since what was given up may still be going on."""
         if self.busy:
-            raise BusyError("the last one is still going on")
+            raise WorkerThreadBusyError("the last one is still going on")
         self.busy = True
         loop = asyncio.get_running_loop()
-        done: asyncio.Future[Result] = loop.create_future()
-        self._jobs.put((what, done, loop))
-        return await done
+        future: asyncio.Future[Result] = loop.create_future()
+        self._jobs.put((job, future, loop))
+        return await future
 
-    def _work(self) -> None:
+    def _run_jobs(self) -> None:
         while True:
-            what, done, loop = self._jobs.get()
+            job, future, loop = self._jobs.get()
             try:
-                result, fault = what(), None
+                result, error = job(), None
             except Exception as caught:  # told to whoever waits for it
-                result, fault = None, caught
+                result, error = None, caught
             with contextlib.suppress(RuntimeError):  # the loop has ended meanwhile
-                loop.call_soon_threadsafe(self._tell, done, result, fault)
+                loop.call_soon_threadsafe(self._deliver, future, result, error)
 
-    def _tell(self, done: asyncio.Future, result: object, fault: Exception | None) -> None:
+    def _deliver(self, future: asyncio.Future, result: object, error: Exception | None) -> None:
         self.busy = False
-        if done.done():
+        if future.done():
             return  # given up
-        if fault is None:
-            done.set_result(result)
+        if error is None:
+            future.set_result(result)
         else:
-            done.set_exception(fault)
+            future.set_exception(error)
--- a/canvasplank/simulator_adapter.py
+++ b/canvasplank/simulator_adapter.py
@@ -85,16 +85,16 @@
                 reader = self._readers[name]
             except KeyError as unknown:
                 raise WireError(f"{name!r} for instance {instance!r}: unknown {unknown.args[0]!r}") from None
-            except api.SettingsError as fault:
-                yield ["give_in", instance, str(fault)]
+            except api.SettingsError as error:
+                yield ["give_in", instance, str(error)]
                 continue
             event = reader(message)
             if event is None:
                 continue
             try:
                 actions = controller.handle(now_ms, event)
-            except Exception as fault:  # the wire has a word for a module that failed: say it, with the cause
-                yield ["give_in", instance, f"{type(fault).__name__} on {name}: {fault}"]
+            except Exception as error:  # the wire has a word for a module that failed: say it, with the cause
+                yield ["give_in", instance, f"{type(error).__name__} on {name}: {error}"]
                 continue
             for action in actions:
                 yield _encode(instance, action)
@@ -216,8 +216,8 @@
     """Run on standard input and output."""
     try:
         serve(sys.stdin, sys.stdout)
-    except (WireError, LookupError, TypeError, ValueError) as fault:
-        print(f"canvasplank.simulator_adapter: {fault}", file=sys.stderr)
+    except (WireError, LookupError, TypeError, ValueError) as error:
+        print(f"canvasplank.simulator_adapter: {error}", file=sys.stderr)
         return 2
     return 0
 
--- a/canvasplank/store/__main__.py
+++ b/canvasplank/store/__main__.py
@@ -47,8 +47,8 @@
     """The store's counts, or an exit with one line."""
     try:
         return asyncio.run(_count(path, since, instance))
-    except (ConfigurationError, StoreUnavailableError, StoreRefusedError, TimeoutError) as fault:
-        raise click.ClickException(str(fault) or "the store gave no answer in time") from None
+    except (ConfigurationError, StoreUnavailableError, StoreRefusedError, TimeoutError) as error:
+        raise click.ClickException(str(error) or "the store gave no answer in time") from None
 
 
 @click.group()
--- a/canvasplank/store/writer.py
+++ b/canvasplank/store/writer.py
@@ -140,17 +140,17 @@
                     await self._backend.open()
                     self._open = True
                 await self._backend.write(batch)
-        except StoreRefusedError as fault:
+        except StoreRefusedError as error:
             if (bad := self._outbox.refused(self._now_ms())) is not None:
                 self._say(
                     "refused",
-                    f"call {bad.call_id} ({bad.class_name}, {bad.final}) is refused and left out: {fault}",
+                    f"call {bad.call_id} ({bad.class_name}, {bad.final}) is refused and left out: {error}",
                 )
-        except (StoreUnavailableError, TimeoutError) as fault:
-            await self._fail(str(fault) or f"no answer within {self._write_s:g} s")
-        except Exception as fault:  # guards the records against a fault of ours: the task must go on
+        except (StoreUnavailableError, TimeoutError) as error:
+            await self._fail(str(error) or f"no answer within {self._write_s:g} s")
+        except Exception as error:  # guards the records against a fault of ours: the task must go on
             LOG.exception("store: writing failed")
-            await self._fail(type(fault).__name__)
+            await self._fail(type(error).__name__)
         else:
             self._outbox.written()
             if self._troubled:
--- a/canvasplank/warm_start/client.py
+++ b/canvasplank/warm_start/client.py
@@ -15,7 +15,7 @@
 from collections.abc import Sequence
 
 from canvasplank.config.settings import split_address
-from canvasplank.runtime.streams import close_quietly
+from canvasplank.runtime.streams import close_writer
 from canvasplank.warm_start.peer_snapshot import MOST_BYTES, PeerView, ViewError, decode
 
 LOG = logging.getLogger(__name__)
@@ -36,8 +36,8 @@
             return await _ask(address)
     except TimeoutError:
         why = f"no whole answer within {bound_s * 1000:.0f} ms"
-    except (OSError, ValueError, RefusedError, asyncio.IncompleteReadError) as fault:
-        why = " ".join(str(fault).split()) or type(fault).__name__
+    except (OSError, ValueError, RefusedError, asyncio.IncompleteReadError) as error:
+        why = " ".join(str(error).split()) or type(error).__name__
     LOG.warning("no view taken from %s: %s; as one that asked no one", address, why)
     return None
 
@@ -67,11 +67,11 @@
             raise RefusedError(f"a view of {length} bytes announced, more than {MOST_BYTES}")
         data = await reader.readexactly(length)
     finally:
-        await close_quietly(writer)
+        await close_writer(writer)
     try:
         return decode(data)
-    except ViewError as fault:
-        raise RefusedError(str(fault)) from None
+    except ViewError as error:
+        raise RefusedError(str(error)) from None
 
 
 def framed(data: bytes) -> bytes:
--- a/canvasplank/warm_start/extension.py
+++ b/canvasplank/warm_start/extension.py
@@ -31,7 +31,7 @@
         host, settings = self._host, self._settings
         if settings.listen:
             name = host.configuration.name
-            exporter = Exporter(lambda: exported(name, host.controller.learned(), host.turns.now_ms))
+            exporter = Exporter(lambda: exported(name, host.controller.learned(), host.scheduler.now_ms))
             await exporter.listen(settings.listen)
             LOG.info("views for new instances at %s", settings.listen)
         peers = settings.asked()
@@ -40,12 +40,12 @@
         host.counters.add("learning.views_asked")
         random.Random(int(host.configuration.seed, 16)).shuffle(peers)  # guards one against all asking it
         seen = await ask_in_turn(peers, settings.bound_ms / 1000)
-        host.turns.begin()
+        host.scheduler.begin_iteration()
         if seen is None:
             host.counters.add("learning.views_refused")
             return
         listed = [Listed(*entry) for entry in host.servers.processes()]
-        found = hints(seen, host.turns.now_ms, listed, None, settings.half_life_ms, settings.most_age_ms)
+        found = hints(seen, host.scheduler.now_ms, listed, None, settings.half_life_ms, settings.most_age_ms)
         host.counters.add("learning.views_taken")
         host.exchange.hinted(told(found))
         LOG.info(
--- a/canvasplank/warm_start/peer_snapshot.py
+++ b/canvasplank/warm_start/peer_snapshot.py
@@ -60,8 +60,8 @@
         raise ViewError(f"a view of {len(data)} bytes, more than {MOST_BYTES}")
     try:
         view = _DECODER.decode(data)
-    except msgspec.MsgspecError as fault:
-        raise ViewError(f"a view that cannot be read: {' '.join(str(fault).split())}") from None
+    except msgspec.MsgspecError as error:
+        raise ViewError(f"a view that cannot be read: {' '.join(str(error).split())}") from None
     if view.version != VERSION:
         raise ViewError(f"a view of version {view.version}, not {VERSION}")
     if any(server.learned_ms > view.taken_ms for server in view.servers):
--- a/canvasplank/warm_start/server.py
+++ b/canvasplank/warm_start/server.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable
 
 from canvasplank.config.settings import split_address
-from canvasplank.runtime.streams import close_quietly
+from canvasplank.runtime.streams import close_writer
 from canvasplank.warm_start.client import ASK, framed
 from canvasplank.warm_start.peer_snapshot import PeerView, encode
 
@@ -52,9 +52,9 @@
             async with asyncio.timeout(LINE_WAIT_S):
                 await writer.drain()
             self.counts["given"] += 1
-        except (TimeoutError, ValueError, OSError) as fault:
+        except (TimeoutError, ValueError, OSError) as error:
             self.counts["refused"] += 1
-            LOG.info("a view was not given: %s", type(fault).__name__)
+            LOG.info("a view was not given: %s", type(error).__name__)
         finally:
             self._at_once -= 1
-            await close_quietly(writer)
+            await close_writer(writer)
--- a/canvasplank/worker/export_files.py
+++ b/canvasplank/worker/export_files.py
@@ -37,8 +37,8 @@
             (folder / MARK).write_text("exports of the usage ledger\n")
         if not os.access(folder, os.W_OK):
             raise FolderError(f"{folder} cannot be written to")
-    except OSError as fault:
-        raise FolderError(f"{folder}: {fault.strerror}") from None
+    except OSError as error:
+        raise FolderError(f"{folder}: {error.strerror}") from None
 
 
 def as_csv(sums: Sequence[Sum], period_ms: int) -> bytes:
--- a/canvasplank/worker/task_runner.py
+++ b/canvasplank/worker/task_runner.py
@@ -21,8 +21,8 @@
 from canvasplank.fleet.backend import Backend, Tenure, TermOverError
 from canvasplank.fleet.config import Fleet
 from canvasplank.fleet.lease_renewer import Agent
-from canvasplank.runtime.structured_logging import event
-from canvasplank.runtime.worker_thread import BusyError, Thread
+from canvasplank.runtime.structured_logging import log_event
+from canvasplank.runtime.worker_thread import WorkerThread, WorkerThreadBusyError
 from canvasplank.store import schema as records
 from canvasplank.worker import export_files, usage_ledger
 from canvasplank.worker.config import Work
@@ -38,7 +38,7 @@
 def pause(point: str) -> None:
     """Stop here where ``CANVASPLANK_PAUSE`` names this point, until told to go on: for experiments."""
     if os.environ.get("CANVASPLANK_PAUSE") == point:
-        event(LOG, "worker.paused", point=point)
+        log_event(LOG, "worker.paused", point=point)
         os.kill(os.getpid(), signal.SIGSTOP)
 
 
@@ -52,7 +52,7 @@
         self._backend: Backend = fleet.open_with()
         self._schemas: tuple[Schema, ...] = (records.SCHEMA, usage_ledger.SCHEMA)
         self._open = False
-        self._thread = Thread("export")
+        self._thread = WorkerThread("export")
         self._steps: dict[str, Callable[[Tenure], Awaitable[bool]]] = {
             CLOSE: self._close,
             EXPORT: self._export,
@@ -85,29 +85,29 @@
             did = await self._steps[tenure.task](tenure)
         except TermOverError as refused:
             ownership.lost(tenure)
-            event(LOG, "worker.refused", text=f"refused: {refused}", task=tenure.task, term=tenure.term)
-        except (StoreUnavailableError, TimeoutError) as fault:
+            log_event(LOG, "worker.refused", text=f"refused: {refused}", task=tenure.task, term=tenure.term)
+        except (StoreUnavailableError, TimeoutError) as error:
             # Guards against taking the store's trouble for this worker's: elsewhere it would be no better.
             self._open = False
-            event(
+            log_event(
                 LOG,
                 "worker.waits",
-                text=f"{tenure.task}: the store does not answer: {fault}",
+                text=f"{tenure.task}: the store does not answer: {error}",
                 task=tenure.task,
             )
-        except (StoreRefusedError, FolderError, ContentError, BusyError, OSError) as fault:
+        except (StoreRefusedError, FolderError, ContentError, WorkerThreadBusyError, OSError) as error:
             ownership.failed(tenure)
-            event(
+            log_event(
                 LOG,
                 "worker.failed",
-                text=f"{tenure.task} failed here and is given up: {fault}",
+                text=f"{tenure.task} failed here and is given up: {error}",
                 task=tenure.task,
                 term=tenure.term,
             )
         else:
             ownership.did(tenure)
             if did:
-                event(LOG, "worker.did", text=f"{tenure.task}: done", task=tenure.task, term=tenure.term)
+                log_event(LOG, "worker.did", text=f"{tenure.task}: done", task=tenure.task, term=tenure.term)
 
     async def _prepare(self) -> None:
         await self._backend.open()
@@ -140,7 +140,7 @@
         for (number,) in waiting:
             sums = [Sum(*row) for row in await self._backend.read(usage_ledger.SUMS, (int(number),))]
             pause("export:read")
-            await self._thread.do(lambda sums=sums, number=number: self._publish(int(number), sums))
+            await self._thread.run(lambda sums=sums, number=number: self._publish(int(number), sums))
             pause("export:linked")
             await self._backend.act(tenure, usage_ledger.exported(int(number), tenure.term))
             pause("export:marked")
--- a/tests/test_connecting.py
+++ b/tests/test_connecting.py
@@ -9,14 +9,14 @@
 from canvasplank.codecs import sip
 from canvasplank.network.connecting import Connecting
 from canvasplank.network.stream import BufferBudget, Stream
-from canvasplank.runtime.scheduler import Deadlines, Turns
+from canvasplank.runtime.scheduler import Scheduler, TimerQueue
 
 
 class Heard(Stream):
     """Notes what becomes of it."""
 
     def __init__(self) -> None:
-        super().__init__(Turns(Deadlines()), "server", sip.Parser(), BufferBudget(1e6))
+        super().__init__(Scheduler(TimerQueue()), "server", sip.Parser(), BufferBudget(1e6))
         self.told: list[bytes | str] = []
 
     def connected(self) -> None:
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -31,9 +31,9 @@
 from canvasplank.network.servers import Servers
 from canvasplank.network.stream import BufferBudget
 from canvasplank.program import Program
-from canvasplank.runtime.event_loop import PipeLoop
-from canvasplank.runtime.scheduler import Deadlines, Turns
-from canvasplank.runtime.shutdown import SERVE_ON_MS
+from canvasplank.runtime.event_loop import PipeEventLoop
+from canvasplank.runtime.scheduler import Scheduler, TimerQueue
+from canvasplank.runtime.shutdown import LAME_DUCK_MS
 
 ROOT = Path(__file__).parent.parent
 WAIT_S = 20.0  # bounds every wait here; none depends on speed
@@ -74,8 +74,10 @@
 
     def __init__(self, sockets: int = 64) -> None:
         self.now_ms = 0.0
-        self.turns = Turns(Deadlines(), clock=lambda: self.now_ms)
-        self.exchange = Exchange(self.turns, lambda now_ms, event: self.decide(event), Counters(), 100, 1e6)
+        self.scheduler = Scheduler(TimerQueue(), clock=lambda: self.now_ms)
+        self.exchange = Exchange(
+            self.scheduler, lambda now_ms, event: self.decide(event), Counters(), 100, 1e6
+        )
         self.decide: Callable[[api.Event], list[api.Action]] = lambda event: []
         self.released: list[str] = []
         self.exchange.servers = SimpleNamespace(
@@ -104,7 +106,7 @@
 
     def idle(self) -> None:
         self.now_ms += 5000.0
-        self.turns.now_ms = self.now_ms
+        self.scheduler.now_ms = self.now_ms
         self.callers._look_for_idle()
 
     def for_room(self) -> None:
@@ -153,7 +155,7 @@
 
 
 def _run(coroutine: object) -> object:
-    with asyncio.Runner(loop_factory=PipeLoop) as runner:
+    with asyncio.Runner(loop_factory=PipeEventLoop) as runner:
         return runner.run(coroutine)
 
 
@@ -206,7 +208,7 @@
                 peer.sendall(set_up())
                 await edge.taken()
             peer.sendall(set_up(second))  # in the machine, unread, all the while until the next await
-            edge.turns.begin()
+            edge.scheduler.begin_iteration()
             edge.callers.quiesce()
             edge.exchange.ended("a", ID, 0, api.Outcome.FULL)
             came = await loop.run_in_executor(None, read_to_the_end, peer)
@@ -332,7 +334,7 @@
     crowd = [player.caller(str(number)) for number in range(8)]
     for number, party in enumerate([*crowd, old]):
         party.stream.sendall(set_up(f"{number + 1:016x}", 300))
-    player.step(f"wait {SERVE_ON_MS + 300}")
+    player.step(f"wait {LAME_DUCK_MS + 300}")
     player.process.send_signal(signal.SIGCONT)
     for number, party in enumerate([*crowd, old]):
         party.stream.settimeout(WAIT_S)
@@ -360,8 +362,8 @@
 import canvasplank.__main__ as main
 name, when = signal.Signals[sys.argv.pop()], sys.argv.pop()
 if when == "before the imports":
-    hold = main.signals.hold
-    main.signals.hold = lambda: (hold(), os.kill(os.getpid(), name))
+    block = main.signals.block
+    main.signals.block = lambda: (block(), os.kill(os.getpid(), name))
 else:
     from canvasplank import program
     if when == "before the handlers":
@@ -482,7 +484,7 @@
         stream.transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
         stream.write(answers)
         program._terminate()
-        await asyncio.sleep((SERVE_ON_MS + 800) / 1000)
+        await asyncio.sleep((LAME_DUCK_MS + 800) / 1000)
         over = running.done()  # the process would have left, and what the machine had not taken with it
         async with asyncio.timeout(WAIT_S):
             came = await loop.run_in_executor(None, read_to_the_end, peer) if reads else answers
@@ -546,12 +548,15 @@
     """It went out on the half-open connection to the old one, which was then dropped as dead."""
 
     async def run() -> tuple[bytes, bytes]:
-        turns, loop = Turns(Deadlines(), clock=lambda: time.time() * 1000), asyncio.get_running_loop()
+        scheduler, loop = (
+            Scheduler(TimerQueue(), clock=lambda: time.time() * 1000),
+            asyncio.get_running_loop(),
+        )
         call = CallRecord(ID, "low", "7f3a", 0, False, float("inf"), b"v=0 offer", None)
         decide = lambda now_ms, event: (  # noqa: E731
             [api.SetUp(ID, "s-a", 9000)] if isinstance(event, api.ServerList) and exchange.open_calls else []
         )
-        exchange = Exchange(turns, decide, Counters(), 100, 1e6)
+        exchange = Exchange(scheduler, decide, Counters(), 100, 1e6)
         ceilings = Ceilings(conn_idle_ms=60_000.0, connect_timeout_ms=15_000.0, max_open=100)
         exchange.servers = servers = Servers(exchange, ceilings, 500.0, BufferBudget(1e6), Gauges([]))
         with socket.create_server(("127.0.0.1", 0)) as listener:
@@ -562,8 +567,8 @@
             while exchange.counters["sockets.servers"] == 0:
                 await asyncio.sleep(0.005)
             exchange.offer(call)
-            turns.begin()
-            servers.listed(False, [msgspec.structs.replace(entry, started_at_ms=turns.now_ms + 1)])
+            scheduler.begin_iteration()
+            servers.listed(False, [msgspec.structs.replace(entry, started_at_ms=scheduler.now_ms + 1)])
             new, _ = await loop.run_in_executor(None, listener.accept)
             new.settimeout(WAIT_S)
             came = await loop.run_in_executor(None, new.recv, 65536)
@@ -583,8 +588,8 @@
 
     async def run() -> int:
         now_ms, writers = [0.0], []
-        turns = Turns(Deadlines(), clock=lambda: now_ms[0])
-        exchange = Exchange(turns, lambda _, event: [], Counters(), 100, 1e6)
+        scheduler = Scheduler(TimerQueue(), clock=lambda: now_ms[0])
+        exchange = Exchange(scheduler, lambda _, event: [], Counters(), 100, 1e6)
         exchange.servers = servers = Servers(
             exchange, Ceilings(15_000.0, 60_000.0, 100), 500.0, BufferBudget(1e6), Gauges(["free", "size"])
         )
@@ -605,7 +610,7 @@
                     for writer in writers:
                         writer.write(notify)
                 for _ in range(3):
-                    turns.begin()
+                    scheduler.begin_iteration()
                     await asyncio.sleep(0.001)
         for writer in writers:
             writer.close()
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -10,7 +10,7 @@
 
 from canvasplank.network.discovery import Discovery
 from canvasplank.network.stream import BufferBudget
-from canvasplank.runtime.scheduler import Deadlines, Turns
+from canvasplank.runtime.scheduler import Scheduler, TimerQueue
 
 COMMENT_MS = 1000.0  # between two words of a board that is well
 
@@ -22,8 +22,8 @@
         server = await asyncio.start_server(lambda reader, writer: None, "127.0.0.1", 0)
         host, port = server.sockets[0].getsockname()
         now = [0.0]
-        turns = Turns(Deadlines(), clock=lambda: now[0])
-        discovery = Discovery(turns, f"{host}:{port}", 1, lambda notice: None, BufferBudget(1e6))
+        scheduler = Scheduler(TimerQueue(), clock=lambda: now[0])
+        discovery = Discovery(scheduler, f"{host}:{port}", 1, lambda notice: None, BufferBudget(1e6))
         discovery.start()
         first = discovery._stream
         async with asyncio.timeout(20):
@@ -31,7 +31,7 @@
                 await asyncio.sleep(0.01)
             while discovery._stream is first:
                 now[0] += 100.0
-                turns.begin()
+                scheduler.begin_iteration()
                 await asyncio.sleep(0.01)
         server.close()
         return now[0] - first.heard_ms
@@ -44,7 +44,7 @@
 
     def __init__(self, says: bytes = b": \n\n") -> None:
         self.now_ms = 0.0
-        self.turns = Turns(Deadlines(), clock=lambda: self.now_ms)
+        self.scheduler = Scheduler(TimerQueue(), clock=lambda: self.now_ms)
         self.asked_ms: list[float] = []
         self.open: list[asyncio.StreamWriter] = []
         self.told: list[int] = []
@@ -71,7 +71,7 @@
             for writer in self.open:
                 writer.write(self._says)
             for _ in range(4):
-                self.turns.begin()
+                self.scheduler.begin_iteration()
                 await asyncio.sleep(0.005)
 
 
@@ -81,7 +81,7 @@
         told, nobody = watched.told, "127.0.0.1:1"
         address = await watched.listen()
         discovery = Discovery(
-            watched.turns,
+            watched.scheduler,
             nobody if moved else address,
             1,
             lambda notice: told.append(notice.rev),
@@ -150,14 +150,14 @@
         host, port = old.sockets[0].getsockname()
         watched = Watched()
         discovery = Discovery(
-            watched.turns, f"{host}:{port}", 1, lambda notice: None, BufferBudget(1e6), random.Random(1)
+            watched.scheduler, f"{host}:{port}", 1, lambda notice: None, BufferBudget(1e6), random.Random(1)
         )
         discovery.pace = Pace()
         discovery.start()
         new = await watched.listen()
         async with asyncio.timeout(60):
             while discovery._backoff.failures == 0:
-                watched.turns.begin()
+                watched.scheduler.begin_iteration()
                 await asyncio.sleep(0.005)
             watched.server.close()  # nobody is there yet when it moves
             await watched.server.wait_closed()
--- a/tests/test_endpoint_cache.py
+++ b/tests/test_endpoint_cache.py
@@ -23,7 +23,7 @@
     encode,
 )
 from canvasplank.endpoint_cache.config import load_membership
-from canvasplank.runtime.scheduler import Deadlines, Turns
+from canvasplank.runtime.scheduler import Scheduler, TimerQueue
 from emulators.callers import Callers
 from emulators.fleet import fleet
 from emulators.server import CallServer
@@ -132,7 +132,7 @@
 
     async def run():
         roster = Roster([Instance("s-c", "10.0.0.3:1", "ready")], NOW)
-        made = writer.Keeper(str(path), roster, Turns(Deadlines(), lambda: NOW), lambda: None)
+        made = writer.Keeper(str(path), roster, Scheduler(TimerQueue(), lambda: NOW), lambda: None)
         (tmp_path / "servers.json.new").mkdir()  # in the way of the new file
         await made.close()
         await made.close()
--- a/tests/test_event_loop.py
+++ b/tests/test_event_loop.py
@@ -8,7 +8,7 @@
 import socket
 import threading
 
-from canvasplank.runtime.event_loop import PipeLoop
+from canvasplank.runtime.event_loop import PipeEventLoop
 
 
 def refused(*_args, **_kwargs):
@@ -34,6 +34,6 @@
             await done.wait()
         loop.remove_signal_handler(signal.SIGUSR2)
 
-    with asyncio.Runner(loop_factory=PipeLoop) as runner:
+    with asyncio.Runner(loop_factory=PipeEventLoop) as runner:
         runner.run(run())
     assert heard == ["signal", "thread"]
--- a/tests/test_exchange.py
+++ b/tests/test_exchange.py
@@ -4,7 +4,7 @@
 
 from canvasplank.counters import Counters
 from canvasplank.exchange.exchange import CallRecord, Exchange, Final
-from canvasplank.runtime.scheduler import Deadlines, Turns
+from canvasplank.runtime.scheduler import Scheduler, TimerQueue
 
 KIB = 1024
 
@@ -24,8 +24,8 @@
 
 def test_descriptions_take_no_more_than_their_part_of_the_memory():
     """With 32 MB, the 24 MiB that were allowed whatever the configuration would have ended the program."""
-    turns = Turns(Deadlines(), clock=lambda: 0.0)
-    exchange = Exchange(turns, lambda now_ms, event: [], Counters(), 20_000, 32 * KIB**2)
+    scheduler = Scheduler(TimerQueue(), clock=lambda: 0.0)
+    exchange = Exchange(scheduler, lambda now_ms, event: [], Counters(), 20_000, 32 * KIB**2)
     exchange.callers = callers = Rejections()
     for number in range(2000):
         exchange.offer(CallRecord(f"{number:016x}", "low", "1", 0, False, 1000.0, bytes(15 * KIB), None))
--- a/tests/test_fleet_store.py
+++ b/tests/test_fleet_store.py
@@ -177,11 +177,11 @@
 
     root = logging.getLogger()
     monkeypatch.setattr(root, "handlers", [])
-    structured_logging.begin("json")
-    structured_logging.event(
+    structured_logging.configure("json")
+    structured_logging.log_event(
         logging.getLogger("x"), "budget.share", text="what people read", budget="all", share=3
     )
     said = json.loads(capsys.readouterr().err)
     assert said["event"] == "budget.share" and said["share"] == 3 and said["message"] == "what people read"
     with pytest.raises(ValueError, match="CANVASPLANK_LOG"):
-        structured_logging.begin("morse")
+        structured_logging.configure("morse")
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -154,7 +154,7 @@
 
     from canvasplank.config.settings import load_configuration
     from canvasplank.program import Program
-    from canvasplank.runtime.event_loop import PipeLoop
+    from canvasplank.runtime.event_loop import PipeEventLoop
 
     configuration = json.loads((ROOT / "examples" / "config.json").read_text())
     configuration |= {"listen": f"127.0.0.1:{free_port()}", "board": f"127.0.0.1:{free_port()}"}
@@ -187,5 +187,5 @@
         calling.cancel()
         return seen
 
-    with asyncio.Runner(loop_factory=PipeLoop) as runner:
+    with asyncio.Runner(loop_factory=PipeEventLoop) as runner:
         assert runner.run(run()) == ["the caller heard the end", "the program has ended"]
--- a/tests/test_rendezvous_subset.py
+++ b/tests/test_rendezvous_subset.py
@@ -218,7 +218,7 @@
 def test_a_server_is_kept_while_a_release_is_on_its_way_there(pending, unconfirmed, unsettled):
     """It was let go with the release of its last call unsent, and would have kept that call's line."""
     servers = Servers.__new__(Servers)
-    servers.turns = SimpleNamespace(now_ms=10_000.0)
+    servers.scheduler = SimpleNamespace(now_ms=10_000.0)
     servers._peers = {
         "s-0": SimpleNamespace(pending_releases=pending, streams=[SimpleNamespace(unconfirmed=unconfirmed)])
     }
--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -5,20 +5,20 @@
 import asyncio
 import socket
 
-from canvasplank.runtime.scheduler import Deadlines, Turns, UnixClock
+from canvasplank.runtime.scheduler import Scheduler, TimerQueue, UnixClock
 
 
 def test_they_come_due_in_order_and_can_be_taken_out():
-    deadlines, done = Deadlines(), []
+    timers, done = TimerQueue(), []
     for name, at in (("c", 30), ("a", 10), ("x", 15), ("b", 20)):
-        handle = deadlines.add(at, lambda name=name: done.append(name))
+        timer = timers.add(at, lambda name=name: done.append(name))
         if name == "x":
-            deadlines.discard(handle)
-            deadlines.discard(handle)
-    assert deadlines.next_ms() == 10
-    while (due := deadlines.pop_due(25)) is not None:
+            timers.cancel(timer)
+            timers.cancel(timer)
+    assert timers.next_due_ms() == 10
+    while (due := timers.pop_due(25)) is not None:
         due[2]()
-    assert done == ["a", "b"] and len(deadlines) == 1
+    assert done == ["a", "b"] and len(timers) == 1
 
 
 def test_the_clock_stands_still_in_a_turn_and_never_runs_back():
@@ -26,14 +26,14 @@
     seen = []
 
     async def run() -> None:
-        turns = Turns(Deadlines(), clock=lambda: next(times, 90.0))
-        turns.begin()
-        turns.begin()
-        seen.append(turns.now_ms)
+        scheduler = Scheduler(TimerQueue(), clock=lambda: next(times, 90.0))
+        scheduler.begin_iteration()
+        scheduler.begin_iteration()
+        seen.append(scheduler.now_ms)
         for _ in range(5):
             await asyncio.sleep(0)
-        turns.begin()
-        seen.append(turns.now_ms)
+        scheduler.begin_iteration()
+        seen.append(scheduler.now_ms)
 
     asyncio.run(run())
     assert seen == [110.0, 110.0]
@@ -53,22 +53,22 @@
 
     async def run() -> None:
         now = [0.0]
-        turns = Turns(Deadlines(), clock=lambda: now[0])
+        scheduler = Scheduler(TimerQueue(), clock=lambda: now[0])
         left, right = socket.socketpair()
         right.setblocking(False)
 
         def read() -> None:
-            turns.begin()
+            scheduler.begin_iteration()
             told.append(right.recv(1))
 
         asyncio.get_running_loop().add_reader(right, read)
-        turns.after(50, lambda: told.append("deadline"))
-        turns.begin()
+        scheduler.call_later(50, lambda: told.append("deadline"))
+        scheduler.begin_iteration()
         for _ in range(5):
             await asyncio.sleep(0)
         left.send(b"12")  # read one byte a look, as a long arrival is
         now[0] = 1000.0
-        turns.begin()
+        scheduler.begin_iteration()
         while "deadline" not in told:
             await asyncio.sleep(0)
         asyncio.get_running_loop().remove_reader(right)
@@ -83,10 +83,10 @@
     done = []
 
     async def run() -> None:
-        turns = Turns(Deadlines(), clock=lambda: 5.0)
-        turns.deadlines.add(1, lambda: 1 / 0)
-        turns.deadlines.add(2, lambda: done.append("second"))
-        turns.begin()
+        scheduler = Scheduler(TimerQueue(), clock=lambda: 5.0)
+        scheduler.timers.add(1, lambda: 1 / 0)
+        scheduler.timers.add(2, lambda: done.append("second"))
+        scheduler.begin_iteration()
         for _ in range(5):
             await asyncio.sleep(0)
 
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -16,9 +16,9 @@
     """Time since SIGTERM and phase at each look, with the same load all the while."""
     now_ms = BEGUN_MS
     while shutdown.phase is not Phase.STOPPED and now_ms < BEGUN_MS + until_ms:
-        now_ms += shutdown.next_look_ms(now_ms)
+        now_ms += shutdown.next_check_ms(now_ms)
         open_calls = 0 if shutdown.is_out_of_time(now_ms) else load["open_calls"]  # these are failed then
-        yield now_ms - BEGUN_MS, shutdown.look(now_ms, **load | {"open_calls": open_calls})
+        yield now_ms - BEGUN_MS, shutdown.advance(now_ms, **load | {"open_calls": open_calls})
 
 
 def entered(shutdown: Shutdown, **load: int) -> dict[Phase, float]:
@@ -76,13 +76,13 @@
 
 def test_a_set_up_that_comes_while_the_last_bytes_leave_is_waited_for():
     shutdown = begun()
-    shutdown.look(BEGUN_MS + 700, **IDLE)
-    assert shutdown.look(BEGUN_MS + 720, open_calls=0, unsent=9, connections=1) is Phase.DRAINING
-    assert shutdown.look(BEGUN_MS + 740, open_calls=1, unsent=0, connections=1) is Phase.DRAINING
-    assert shutdown.look(BEGUN_MS + 760, open_calls=0, unsent=0, connections=1) is Phase.DISCONNECTING
+    shutdown.advance(BEGUN_MS + 700, **IDLE)
+    assert shutdown.advance(BEGUN_MS + 720, open_calls=0, unsent=9, connections=1) is Phase.DRAINING
+    assert shutdown.advance(BEGUN_MS + 740, open_calls=1, unsent=0, connections=1) is Phase.DRAINING
+    assert shutdown.advance(BEGUN_MS + 760, open_calls=0, unsent=0, connections=1) is Phase.DISCONNECTING
 
 
 def test_the_parts_have_what_is_left_but_100_ms():
     shutdown = begun()
-    assert shutdown.left_ms(BEGUN_MS + 740) == 3700 - 100 - 740
-    assert shutdown.left_ms(BEGUN_MS + 5000) == 0
+    assert shutdown.remaining_ms(BEGUN_MS + 740) == 3700 - 100 - 740
+    assert shutdown.remaining_ms(BEGUN_MS + 5000) == 0
