--- a/canvasplank/admin.py
+++ b/canvasplank/admin.py
@@ -10,7 +10,7 @@
 import logging
 from typing import Protocol
 
-from canvasplank.config.settings import split_address
+from canvasplank.config.settings import parse_address
 from canvasplank.runtime.streams import close_writer
 
 LOG = logging.getLogger(__name__)
@@ -47,7 +47,7 @@
 
     async def listen(self, address: str) -> None:
         """Open the listener; its port is shared, for a new version started beside this one."""
-        host, port = split_address(address)
+        host, port = parse_address(address)
         self._server = await asyncio.start_server(self._serve, host, port, limit=LINE_MOST, reuse_port=True)
 
     def close(self) -> None:
--- a/canvasplank/cold_start/extension.py
+++ b/canvasplank/cold_start/extension.py
@@ -11,9 +11,9 @@
 from canvasplank import interface as api
 from canvasplank.cold_start.poll_backoff import SECOND_MS, PollPace
 from canvasplank.cold_start.rendezvous_subset import Subset
-from canvasplank.config.extension_file import load_part_settings
-from canvasplank.config.settings import Instance, read_settings
-from canvasplank.extensions.extension import Host, Part, PartFactory
+from canvasplank.config.extension_file import load_extension_settings
+from canvasplank.config.settings import Endpoint, read_settings
+from canvasplank.extensions.extension import Extension, ExtensionContext, ExtensionFactory
 
 Rate = Annotated[float, msgspec.Meta(ge=0, le=100_000)]
 LOOK_MS = 1000.0  # between two looks at servers that are left to others, and at the fleet's size
@@ -26,30 +26,30 @@
     polls_per_s: Rate = 0.0  # while it is in trouble
     first_per_s: Rate = 0.0  # first polls after a start, and when it is known to be back; 0: as polls_per_s
     connections_per_s: Rate = 0.0  # first connections at each call server
-    begin_per_s: Rate = 0.0  # set-ups there at first
+    initial_rate_per_s: Rate = msgspec.field(name="begin_per_s", default=0.0)  # set-ups there at first
     ready_with_list: bool = False  # no test is passed before a list names a server
     servers_per_proxy: Annotated[int, msgspec.Meta(ge=0, le=10_000)] = 0  # for each class of call; 0: all
     # At least so many proxies keep to each server, on average: in a small fleet each then keeps to more.
     proxies_per_server: Annotated[int, msgspec.Meta(ge=0, le=10_000)] = 0
 
 
-def load(path: str) -> PartFactory:
+def load(path: str) -> ExtensionFactory:
     """Read its file."""
-    settings = load_part_settings(path, "starting", Starting, lambda _: None)
-    return lambda host: StartingPart(host, settings)
+    settings = load_extension_settings(path, "starting", Starting, lambda _: None)
+    return lambda context: ColdStartExtension(context, settings)
 
 
-class StartingPart(Part):
+class ColdStartExtension(Extension):
     """Has the board asked, and call servers come to, at the fleet's pace; see ``network.servers.Opening``."""
 
-    def __init__(self, host: Host, settings: Starting) -> None:
-        self._host, self._settings = host, settings
-        configured = read_settings(host.configuration.settings)
+    def __init__(self, context: ExtensionContext, settings: Starting) -> None:
+        self._context, self._settings = context, settings
+        configured = read_settings(context.configuration.settings)
         self._instances = configured.instances
-        self._rng = random.Random(int(host.configuration.seed, 16))
+        self._rng = random.Random(int(context.configuration.seed, 16))
         groups = (None if c.pools is None else frozenset(c.pools) for c in configured.classes)
         self._subset = Subset(
-            host.configuration.name,
+            context.configuration.name,
             groups,
             settings.servers_per_proxy,
             self._carries,
@@ -58,25 +58,25 @@
         self._told_of = 0  # proxies, when the module last heard how many share a server
         if (polls_per_s := settings.polls_per_s) > 0:
             first_per_s = settings.first_per_s or polls_per_s
-            host.discovery.pace = PollPace(self._fleet, polls_per_s, first_per_s, self._rng)
-        host.servers.opening = self
+            context.discovery.pace = PollPace(self._fleet, polls_per_s, first_per_s, self._rng)
+        context.servers.opening = self
 
     async def start(self) -> None:
-        """See ``Part``."""
+        """See ``Extension``."""
         if self._settings.servers_per_proxy:
             self._look()
 
-    def ready(self) -> bool:
-        """See ``Part``: guards callers against one that has no list yet and could only turn them away."""
-        return not self._settings.ready_with_list or bool(self._host.servers.processes())
+    def is_ready(self) -> bool:
+        """See ``Extension``; guards callers against one without a list, which could only reject them."""
+        return not self._settings.ready_with_list or bool(self._context.servers.processes())
 
-    def count(self) -> None:
-        """See ``Part``."""
-        self._host.counters.set("starting.servers_kept", len(self._host.servers.processes()))
+    def export_metrics(self) -> None:
+        """See ``Extension``."""
+        self._context.counters.set("starting.servers_kept", len(self._context.servers.processes()))
 
     # ------------------------------------------------------------------------------------ for the servers
 
-    def narrowed(self, complete: bool, instances: list[Instance]) -> list[Instance]:
+    def narrowed(self, complete: bool, instances: list[Endpoint]) -> list[Endpoint]:
         """See ``Opening``."""
         self._told_of = self._fleet()
         return self._subset.narrowed(complete, instances)
@@ -84,11 +84,11 @@
     def entered(self, server: api.Server) -> api.Server:
         """See ``Opening``; a lease of the fleet's set-ups is divided among the servers that they go to."""
         senders = self._subset.senders(server.pool, self._told_of)
-        if not (whole_per_s := self._settings.begin_per_s):
+        if not (whole_per_s := self._settings.initial_rate_per_s):
             return replace(server, senders=senders)
-        part = self._host.part_of_fleet()
+        part = self._context.fleet_fraction()
         part = 1.0 / (senders or self._told_of) if part is None else min(1.0, part * self._subset.spread())
-        return replace(server, senders=senders, begin_per_s=whole_per_s * part)
+        return replace(server, senders=senders, initial_rate_per_s=whole_per_s * part)
 
     def first_ms(self) -> float:
         """See ``Opening``."""
@@ -104,12 +104,14 @@
 
     def _carries(self, server_id: str) -> bool:
         """Guards a release that is still on its way to a server against the end of our connection to it."""
-        return self._host.exchange.carries(server_id) or self._host.servers.has_unsettled_releases(server_id)
+        return self._context.exchange.has_calls_at(server_id) or self._context.servers.has_unsettled_releases(
+            server_id
+        )
 
     def _fleet(self) -> int:
-        return max(1, self._host.count_fleet() or self._instances)
+        return max(1, self._context.fleet_size() or self._instances)
 
     def _look(self) -> None:
         if self._subset.may_let_go() or abs(self._fleet() - self._told_of) > CHANGED * self._told_of:
-            self._host.servers.listed(False, [])
-        self._host.scheduler.call_later(LOOK_MS, self._look)
+            self._context.servers.listed(False, [])
+        self._context.scheduler.call_later(LOOK_MS, self._look)
--- a/canvasplank/cold_start/rendezvous_subset.py
+++ b/canvasplank/cold_start/rendezvous_subset.py
@@ -14,7 +14,7 @@
 import msgspec
 import xxhash
 
-from canvasplank.config.settings import DiscoveryEvent, Instance, Pool, fold
+from canvasplank.config.settings import DiscoveryEvent, Endpoint, EndpointListUpdate, apply_event
 
 READY, DRAINING = "ready", "draining"
 SPREAD = 3.0  # roots of the mean: about one server in a thousand is shared by more than that over the mean
@@ -26,7 +26,7 @@
     return xxhash.xxh64_intdigest(f"{name}\0{of}".encode()) / 2**64
 
 
-def rank(name: str, servers: Iterable[Instance]) -> list[str]:
+def rank(name: str, servers: Iterable[Endpoint]) -> list[str]:
     """All servers, those first that this proxy keeps to: any first few are of each zone by its size.
 
     The ranking of a zone with n servers stands at u/n, (1 + u)/n, ... (n - 1 + u)/n of the way, u being drawn
@@ -52,7 +52,7 @@
 
 
 def choose(
-    name: str, ready: Sequence[Instance], groups: Iterable[Pools | None], most: int, least_part: float = 0.0
+    name: str, ready: Sequence[Endpoint], groups: Iterable[Pools | None], most: int, least_part: float = 0.0
 ) -> set[str]:
     """Of the servers that may take a class of call, by its ``Pools`` (None: any), the first of its ranking.
 
@@ -67,7 +67,7 @@
 
 def shared_by(
     cell: int,
-    ready: Sequence[Instance],
+    ready: Sequence[Endpoint],
     groups: Iterable[Pools | None],
     most: int,
     proxies: int,
@@ -108,16 +108,16 @@
         """
         self._name, self._groups, self._most, self._carries = name, tuple(groups), most, carries
         self._least_part = least_part
-        self._listed: dict[str, Instance] = {}
+        self._listed: dict[str, Endpoint] = {}
         self._kept: set[str] = set()
 
-    def narrowed(self, complete: bool, instances: list[Instance]) -> list[Instance]:
+    def narrowed(self, complete: bool, instances: list[Endpoint]) -> list[Endpoint]:
         """The whole of what this proxy keeps to after this news of the list, which may be none.
 
         One that is no longer among them drains: nothing new goes there, and it is kept until no call stands
         there, so that their releases find somebody.
         """
-        fold(self._listed, DiscoveryEvent(0, Pool(instances, reset=complete)))
+        apply_event(self._listed, DiscoveryEvent(0, EndpointListUpdate(instances, reset=complete)))
         wanted = self._wanted()
         told = []
         for server_id, instance in self._listed.items():
@@ -157,5 +157,5 @@
             self._name, self._ready(), self._groups, self._most or len(self._listed), self._least_part()
         )
 
-    def _ready(self) -> list[Instance]:
+    def _ready(self) -> list[Endpoint]:
         return [instance for instance in self._listed.values() if instance.lifecycle == READY]
--- a/canvasplank/config/extension_file.py
+++ b/canvasplank/config/extension_file.py
@@ -13,7 +13,7 @@
 Settings = TypeVar("Settings", bound=msgspec.Struct)
 
 
-def load_part_settings(
+def load_extension_settings(
     path: str, part: str, kind: type[Settings], check: Callable[[Settings], None]
 ) -> Settings:
     """The settings of one part; whatever is wrong with them is one line, as a bad configuration.
--- a/canvasplank/config/settings.py
+++ b/canvasplank/config/settings.py
@@ -32,7 +32,7 @@
     """The configuration cannot be used; the message says why, in one line."""
 
 
-class Limits(msgspec.Struct):
+class ResourceLimits(msgspec.Struct):
     """What the platform lets this machine have."""
 
     sockets: Annotated[int, msgspec.Meta(gt=0)] = 1024
@@ -40,7 +40,7 @@
     cores: float = 1.0
 
 
-class Instance(msgspec.Struct, rename="camel"):
+class Endpoint(msgspec.Struct, rename="camel"):
     """One call server, as a notice names it."""
 
     instance_id: str
@@ -51,10 +51,10 @@
     zone: str = ""
 
 
-class Pool(msgspec.Struct):
+class EndpointListUpdate(msgspec.Struct):
     """What a notice tells of the list: the whole list when ``reset`` is set, else what has changed."""
 
-    instances: list[Instance]
+    instances: list[Endpoint]
     reset: bool = False
 
 
@@ -62,14 +62,14 @@
     """One numbered event of the notice board."""
 
     rev: int
-    pool: Pool | None = None
+    pool: EndpointListUpdate | None = None
 
 
-class Known(msgspec.Struct):
+class BootstrapState(msgspec.Struct):
     """The notices up to the start."""
 
     rev: int = 0
-    notices: list[DiscoveryEvent] = []
+    events: list[DiscoveryEvent] = msgspec.field(name="notices", default_factory=list)
 
 
 class Configuration(msgspec.Struct):
@@ -81,11 +81,11 @@
     settings: dict[str, Any]
     name: str = ""
     admin: str = ""  # the operators' address; none: no such listener
-    known: Known = msgspec.field(default_factory=Known)
-    limits: Limits = msgspec.field(default_factory=Limits)
+    known: BootstrapState = msgspec.field(default_factory=BootstrapState)
+    limits: ResourceLimits = msgspec.field(default_factory=ResourceLimits)
 
 
-class Ceilings(msgspec.Struct):
+class ConnectionLimits(msgspec.Struct):
     """The figures in the settings that concern connections and tables, and not the decisions."""
 
     connect_timeout_ms: float
@@ -93,16 +93,16 @@
     max_open: int
 
 
-class Figures(msgspec.Struct, frozen=True):
+class RequestBounds(msgspec.Struct, frozen=True):
     """What a set-up may ask for, by the settings: classes, pools and circuits.  None: they do not say."""
 
     classes: frozenset[str]
     tenants: frozenset[str]  # empty where the settings name none: then nothing is read of them
     pools: frozenset[int] | None
-    most_width: int | None
+    max_width: int | None
 
 
-class Gauges:
+class LoadReportReader:
     """Reads what servers tell of themselves, in the columns that the settings name.
 
     The first two are a group's free circuits and all its circuits, whatever the settings call them: a
@@ -115,7 +115,7 @@
 
     def circuits(self, figures: Mapping[str, float]) -> tuple[float, float] | None:
         """Free circuits and all circuits, where both are told."""
-        free, size = known(figures.get(self._free)), known(figures.get(self._size))
+        free, size = known_or_none(figures.get(self._free)), known_or_none(figures.get(self._size))
         return None if free is None or size is None else (free, size)
 
     def report(self, figures: Mapping[str, float], wait_ms: float | None = None) -> api.Report | None:
@@ -126,14 +126,14 @@
         values = {
             REPORT_FIELDS[name].value: value
             for name in self._columns
-            if name in REPORT_FIELDS and (value := known(figures.get(name))) is not None
+            if name in REPORT_FIELDS and (value := known_or_none(figures.get(name))) is not None
         }
         if wait_ms is not None:
             values.setdefault(api.ReportField.WAIT_MS.value, wait_ms)
         return api.Report(**values) if values else None
 
 
-DISCOVERY_EVENT = msgspec.json.Decoder(DiscoveryEvent)
+DISCOVERY_EVENT_DECODER = msgspec.json.Decoder(DiscoveryEvent)
 
 _STATES = {
     "ready": api.ServerState.READY,
@@ -142,24 +142,24 @@
 }
 
 
-def fold(instances: dict[str, Instance], notice: DiscoveryEvent) -> None:
+def apply_event(instances: dict[str, Endpoint], event: DiscoveryEvent) -> None:
     """Take one event of the board into the list."""
-    if notice.pool is None:
+    if event.pool is None:
         return
-    if notice.pool.reset:
+    if event.pool.reset:
         instances.clear()
-    for instance in notice.pool.instances:
+    for instance in event.pool.instances:
         if instance.lifecycle == "gone":
             instances.pop(instance.instance_id, None)
         else:
             instances[instance.instance_id] = instance
 
 
-def folded(notices: Iterable[DiscoveryEvent]) -> list[Instance]:
+def endpoints_after(events: Iterable[DiscoveryEvent]) -> list[Endpoint]:
     """The list as it stands after these events."""
-    instances: dict[str, Instance] = {}
-    for notice in notices:
-        fold(instances, notice)
+    instances: dict[str, Endpoint] = {}
+    for event in events:
+        apply_event(instances, event)
     return list(instances.values())
 
 
@@ -169,45 +169,45 @@
         with open(path, "rb") as file:
             configuration = msgspec.json.decode(file.read(), type=Configuration)
         for address in (configuration.listen, configuration.discovery, configuration.admin or "any:0"):
-            split_address(address)
+            parse_address(address)
         int(configuration.seed, 16)
     except (OSError, msgspec.MsgspecError, ValueError, RecursionError) as error:  # the last: too deep
         raise ConfigurationError(f"configuration {path}: {error}") from None
     return configuration
 
 
-def read_ceilings(options: dict[str, Any]) -> Ceilings:
+def read_connection_limits(options: dict[str, Any]) -> ConnectionLimits:
     """The part of the settings that the network side goes by."""
     try:
-        return msgspec.convert(options["ceilings"], Ceilings)
+        return msgspec.convert(options["ceilings"], ConnectionLimits)
     except (KeyError, msgspec.ValidationError) as error:
         raise ConfigurationError(f"settings: ceilings: {error}") from None
 
 
-def read_gauges(options: dict[str, Any]) -> Gauges:
+def read_load_report_reader(options: dict[str, Any]) -> LoadReportReader:
     """The columns of servers' reports."""
     try:
-        return Gauges(msgspec.convert(options["load_report"]["names"], list[str]))
+        return LoadReportReader(msgspec.convert(options["load_report"]["names"], list[str]))
     except (KeyError, TypeError, msgspec.ValidationError) as error:
         raise ConfigurationError(f"settings: load_report: {error}") from None
 
 
-def read_figures(settings: api.Settings, options: dict[str, Any]) -> Figures:
+def read_request_bounds(settings: api.Settings, options: dict[str, Any]) -> RequestBounds:
     """The bounds that the network side holds a caller's set-up to."""
     pools = [c.pools for c in settings.classes]
     try:
         widths = msgspec.convert(options["family_info"].get("widths") or [], list[int])
     except msgspec.ValidationError as error:
         raise ConfigurationError(f"settings: widths: {error}") from None
-    return Figures(
+    return RequestBounds(
         classes=frozenset(c.name for c in settings.classes),
         tenants=frozenset(c.name for c in settings.tenants),
         pools=None if None in pools else frozenset(number for each in pools for number in each),
-        most_width=max(widths) if widths else None,
+        max_width=max(widths) if widths else None,
     )
 
 
-def split_address(address: str) -> tuple[str, int]:
+def parse_address(address: str) -> tuple[str, int]:
     """Host and port of ``host:port``."""
     host, _, port = address.rpartition(":")
     if not host or not port.isdigit():
@@ -215,7 +215,7 @@
     return host.strip("[]"), int(port)
 
 
-def server_of(instance: Instance) -> api.Server:
+def to_server(instance: Endpoint) -> api.Server:
     """The entry as the module reads it; an unknown state counts as draining: nothing new goes there."""
     return api.Server(
         instance.instance_id,
@@ -225,7 +225,7 @@
     )
 
 
-def known(value: float | None) -> float | None:
+def known_or_none(value: float | None) -> float | None:
     """A figure, or None where the wire leaves it out or says -1."""
     return None if value is None or value < 0 else value
 
@@ -233,7 +233,7 @@
 def read_settings(options: dict[str, Any]) -> api.Settings:
     """The settings as the library names them; keys that it does not know are ignored."""
     try:
-        rules, ceilings, family = options["rules"], options["ceilings"], options["family_info"]
+        rules, limits, family = options["rules"], options["ceilings"], options["family_info"]
         report = options["load_report"]
         pools, holds = family.get("skilled_pools"), family.get("class_hold_ms") or ()
         classes = tuple(
@@ -260,19 +260,19 @@
                 overload_multiple=rules["tip_multiple"],
                 overload_span_ms=rules["overload_for_ms"],
             ),
-            max_attempts=ceilings["most_tries"],
+            max_attempts=limits["most_tries"],
             tick_ms=options["tick_ms"],
-            resend_ms=known(family.get("resend_ms")) or None,
+            resend_ms=known_or_none(family.get("resend_ms")) or None,
             tenants=tuple(
                 api.Tenant(tenant["name"], tenant["quota_per_s"]) for tenant in options.get("tenants") or ()
             ),
             over_quota_weight=options.get("over_share_worth", 1.0),
             reports=_SOURCES[report["via"]],
             report_fields=tuple(REPORT_FIELDS[name] for name in report["names"] if name in REPORT_FIELDS),
-            probes_allowed=ceilings["probes"],
-            cancel_allowed=ceilings["cancel"],
-            retry_after_max_ms=(known(ceilings.get("max_retry_after_ms")) or None)
-            if ceilings["retry_after"]
+            probes_allowed=limits["probes"],
+            cancel_allowed=limits["cancel"],
+            retry_after_max_ms=(known_or_none(limits.get("max_retry_after_ms")) or None)
+            if limits["retry_after"]
             else None,
         )
     except KeyError as missing:
--- a/canvasplank/endpoint_cache/bootstrap.py
+++ b/canvasplank/endpoint_cache/bootstrap.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass
 
 from canvasplank import interface as api
-from canvasplank.config.settings import DiscoveryEvent, Instance, fold
+from canvasplank.config.settings import DiscoveryEvent, Endpoint, apply_event
 from canvasplank.endpoint_cache.cached_list import VERSION, KeptList, KeptServer
 
 READY = "ready"
@@ -21,7 +21,7 @@
 class Roster:
     """What is to be kept, and whether it has changed since it was."""
 
-    def __init__(self, instances: list[Instance], now_ms: float) -> None:
+    def __init__(self, instances: list[Endpoint], now_ms: float) -> None:
         self._instances = {instance.instance_id: instance for instance in instances}
         self._as_of_ms = now_ms
         self.known = bool(instances)  # whether anybody but the disk has told a list: guards the kept one
@@ -32,7 +32,7 @@
         if notice.pool is not None and (self.known or notice.pool.reset):
             if not self.known:
                 self._instances.clear()
-            fold(self._instances, notice)
+            apply_event(self._instances, notice)
             self.known = self.changed = True
             self._as_of_ms = max(self._as_of_ms, now_ms)
 
@@ -56,9 +56,9 @@
 class Start:
     """Where to start from: the list, its age, and what the module is told besides."""
 
-    instances: list[Instance]
+    instances: list[Endpoint]
     age_ms: float
-    hints: list[api.Hinted]
+    hints: list[api.WarmStartHint]
 
     @property
     def careful(self) -> bool:
@@ -89,5 +89,5 @@
     if not instances:
         return None
     rate_per_s = start_per_s / max(1, gateways)
-    hints = [api.Hinted(i.instance_id, rate_per_s, shun=False) for i in instances] if doubted else []
+    hints = [api.WarmStartHint(i.instance_id, rate_per_s, shun=False) for i in instances] if doubted else []
     return Start(instances, max(0.0, age_ms), hints)
--- a/canvasplank/endpoint_cache/cached_list.py
+++ b/canvasplank/endpoint_cache/cached_list.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from canvasplank.config.settings import Instance
+from canvasplank.config.settings import Endpoint
 
 VERSION = 1
 MOST_BYTES = 8 * 1024 * 1024
@@ -27,9 +27,9 @@
     cell: int = 0
     started_at_ms: Annotated[float, msgspec.Meta(ge=0, le=1e15)] = 0
 
-    def instance(self) -> Instance:
+    def instance(self) -> Endpoint:
         """As a notice names it."""
-        return Instance(self.instance_id, self.host_port, self.lifecycle, self.cell, self.started_at_ms)
+        return Endpoint(self.instance_id, self.host_port, self.lifecycle, self.cell, self.started_at_ms)
 
 
 class KeptList(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
--- a/canvasplank/endpoint_cache/config.py
+++ b/canvasplank/endpoint_cache/config.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from canvasplank.config.extension_file import load_part_settings
+from canvasplank.config.extension_file import load_extension_settings
 from canvasplank.endpoint_cache.bootstrap import MOST_AGE_MS, START_PER_S, TRUSTED_MS
 
 YEAR_MS = 366 * 24 * 3_600_000.0
@@ -23,7 +23,7 @@
 
 def load_membership(path: str) -> Membership:
     """Read the file."""
-    return load_part_settings(path, "membership", Membership, _check)
+    return load_extension_settings(path, "membership", Membership, _check)
 
 
 def _check(membership: Membership) -> None:
--- a/canvasplank/endpoint_cache/extension.py
+++ b/canvasplank/endpoint_cache/extension.py
@@ -4,44 +4,44 @@
 
 import logging
 
-from canvasplank.config.settings import DiscoveryEvent, folded, read_settings
+from canvasplank.config.settings import DiscoveryEvent, endpoints_after, read_settings
 from canvasplank.endpoint_cache.bootstrap import Roster, judge
 from canvasplank.endpoint_cache.config import Membership, load_membership
 from canvasplank.endpoint_cache.writer import Keeper, read
-from canvasplank.extensions.extension import Host, Part, PartFactory
+from canvasplank.extensions.extension import Extension, ExtensionContext, ExtensionFactory
 
 LOG = logging.getLogger(__name__)
 
 
-def load(path: str) -> PartFactory:
+def load(path: str) -> ExtensionFactory:
     """Read its file."""
     settings = load_membership(path)
-    return lambda host: KeptListPart(host, settings)
+    return lambda context: EndpointCacheExtension(context, settings)
 
 
-class KeptListPart(Part):
+class EndpointCacheExtension(Extension):
     """Keeps the list on disk, and starts from what lies there where nobody else has told one."""
 
-    def __init__(self, host: Host, settings: Membership) -> None:
-        self._host, self._settings = host, settings
-        self._known = folded(host.configuration.known.notices)
+    def __init__(self, context: ExtensionContext, settings: Membership) -> None:
+        self._context, self._settings = context, settings
+        self._known = endpoints_after(context.configuration.known.events)
         self._keeper = Keeper(
             settings.path,
-            Roster(self._known, host.scheduler.now_ms),
-            host.scheduler,
-            lambda: host.discovery.heard_ms,
+            Roster(self._known, context.scheduler.now_ms),
+            context.scheduler,
+            lambda: context.discovery.heard_ms,
         )
 
     async def start(self) -> None:
-        """See ``Part``."""
-        host, settings = self._host, self._settings
+        """See ``Extension``."""
+        context, settings = self._context, self._settings
         self._keeper.start()
         if self._known or (kept := read(settings.path)) is None:
             return
-        gateways = read_settings(host.configuration.settings).instances
+        gateways = read_settings(context.configuration.settings).instances
         start = judge(
             kept,
-            host.scheduler.now_ms,
+            context.scheduler.now_ms,
             gateways,
             settings.trusted_ms,
             settings.most_age_ms,
@@ -57,14 +57,14 @@
             start.age_ms / 1000,
             ", with care" if start.careful else "",
         )
-        host.counters.add("membership.starts_from_disk")
-        host.servers.listed(True, start.instances)
-        host.exchange.hinted(start.hints)
+        context.counters.add("membership.starts_from_disk")
+        context.servers.listed(True, start.instances)
+        context.exchange.apply_hints(start.hints)
 
-    def told(self, notice: DiscoveryEvent) -> None:
-        """See ``Part``."""
-        self._keeper.told(notice)
+    def on_discovery_event(self, event: DiscoveryEvent) -> None:
+        """See ``Extension``."""
+        self._keeper.told(event)
 
     async def drain(self, within_s: float) -> None:
-        """See ``Part``."""
+        """See ``Extension``."""
         await self._keeper.close()
--- a/canvasplank/exchange/exchange.py
+++ b/canvasplank/exchange/exchange.py
@@ -23,11 +23,13 @@
 NORMAL_CLEARING = 16  # Q.850: the cause of a call's ordinary end
 CUT_CAUSE = 41  # Q.850: temporary failure, the cause of a call that was cut
 UNWANTED_ANSWER_CAUSE = 31  # Q.850: normal, unspecified: nobody waits for this answer any more
-ENDED_MOST = 8192  # ids of calls that are over, remembered so that a release heard twice is passed on once
-DESCRIPTIONS_PART = 1 / 8  # of the memory: the most that descriptions of calls without an answer may take
+MAX_ENDED_CALLS = (
+    8192  # ids of calls that are over, remembered so that a release heard twice is passed on once
+)
+DESCRIPTIONS_FRACTION = 1 / 8  # of the memory: the most that descriptions of calls without an answer may take
 
 
-class Final(enum.Enum):
+class FinalAnswer(enum.Enum):
     """The final answers other than 'established'."""
 
     REFUSED = "refused"
@@ -44,13 +46,15 @@
     def answer(self, origin: Hashable, call_id: str, description: bytes) -> None:
         """Tell that the call is established."""
 
-    def reject(self, origin: Hashable, call_id: str, final: Final, retry_after_ms: float | None) -> None:
+    def reject(
+        self, origin: Hashable, call_id: str, final: FinalAnswer, retry_after_ms: float | None
+    ) -> None:
         """Tell that the call was refused or has failed."""
 
     def release(self, origin: Hashable | None, call_id: str, cause: int) -> None:
         """Tell that an established call is over, on any connection."""
 
-    def forget(self, origin: Hashable, call_id: str) -> None:
+    def remove_call(self, origin: Hashable, call_id: str) -> None:
         """Nothing of it is to come there: its caller gave it up, released it, or sent it again elsewhere."""
 
 
@@ -73,10 +77,10 @@
 class Recorder(Protocol):
     """Who keeps calls' outcomes, where somebody does; what it is told must cost no wait."""
 
-    def answered(self, call: CallRecord, final: str, now_ms: float) -> None:
+    def call_answered(self, call: CallRecord, final: str, now_ms: float) -> None:
         """A call got its final answer, or its caller gave it up."""
 
-    def over(self, call: CallRecord, outcome: api.Outcome, now_ms: float) -> None:
+    def call_ended(self, call: CallRecord, outcome: api.Outcome, now_ms: float) -> None:
         """An established call has ended."""
 
 
@@ -117,14 +121,14 @@
     tenant: str | None = None  # None: the settings name no tenants
     taken_ms: float = 0.0
     attempts: int = 0
-    tried: str | None = None  # the server of its latest attempt
+    last_server_id: str | None = None  # the server of its latest attempt
     in_flight: Attempt | None = None
     unanswered: bool = True
-    established_at: str | None = None  # the server, once the call is established
+    established_server_id: str | None = None  # the server, once the call is established
     established_ms: float = 0.0
     timer: Timer | None = field(default=None, repr=False)
 
-    def is_again(self, other: CallRecord) -> bool:
+    def is_retransmission_of(self, other: CallRecord) -> bool:
         """Whether the other is the same set-up, sent once more."""
         return (self.class_name, self.tenant, self.number, self.preferred_pool, self.description) == (
             other.class_name,
@@ -143,7 +147,7 @@
         scheduler: Scheduler,
         controller: Callable[[float, api.Event], list[api.Action]],
         counters: Counters,
-        most_open: int,
+        max_open: int,
         memory_bytes: float,
     ) -> None:
         self.scheduler = scheduler
@@ -152,14 +156,14 @@
         self.servers: ServerSide
         self.recorder: Recorder | None = None
         self._decide = controller
-        self._most_open = most_open
-        self.limit(memory_bytes)
+        self._max_open = max_open
+        self.set_memory_limit(memory_bytes)
         self._open: dict[str, CallRecord] = {}  # unanswered, or with an attempt in flight
         self._established: dict[str, CallRecord] = {}
         self._ended: OrderedDict[str, None] = OrderedDict()
-        self._held_bytes = 0
+        self._description_bytes = 0
         self._events: deque[api.Event] = deque()
-        self._telling = False
+        self._dispatching = False
 
     @property
     def open_calls(self) -> int:
@@ -171,9 +175,9 @@
         """Calls that are established."""
         return len(self._established)
 
-    def limit(self, memory_bytes: float) -> None:
+    def set_memory_limit(self, memory_bytes: float) -> None:
         """Hold no more than the configuration has room for."""
-        self._most_held_bytes = DESCRIPTIONS_PART * memory_bytes
+        self._max_description_bytes = DESCRIPTIONS_FRACTION * memory_bytes
 
     # ------------------------------------------------------------------------------------ from the callers
 
@@ -185,22 +189,24 @@
         if known is not None:
             # A set-up resent on a new connection is the same call, with one answer.  Guards against handing a
             # call to whoever repeats its id alone: the first caller would lose its answer, the other get it.
-            if not known.unanswered or not known.is_again(call):  # an established one has had its answer
+            if not known.unanswered or not known.is_retransmission_of(
+                call
+            ):  # an established one has had its answer
                 return False
             if known.origin != call.origin:
-                self.callers.forget(known.origin, call.id)
+                self.callers.remove_call(known.origin, call.id)
                 known.origin = call.origin
             return True
-        held_bytes = self._held_bytes + len(call.description)
-        if len(self._open) >= self._most_open or held_bytes > self._most_held_bytes:
+        description_bytes = self._description_bytes + len(call.description)
+        if len(self._open) >= self._max_open or description_bytes > self._max_description_bytes:
             # Guards the memory that this machine has by its configuration, be it 32 or 192 MB.
             self.counters.add("answered.over_capacity")
-            self._turn_away(call, Final.REFUSED)
+            self._reject_untracked(call, FinalAnswer.REFUSED)
             return True
         self._open[call.id] = call
-        self._held_bytes += len(call.description)
-        call.timer = self.scheduler.timers.add(call.expires_ms, lambda: self._overdue(call))
-        self._tell(
+        self._description_bytes += len(call.description)
+        call.timer = self.scheduler.timers.add(call.expires_ms, lambda: self._on_caller_deadline(call))
+        self._dispatch(
             api.Call(
                 call.id,
                 call.class_name,
@@ -213,18 +219,18 @@
         )
         return True
 
-    def invalid(self, call: CallRecord) -> None:
+    def reject_invalid(self, call: CallRecord) -> None:
         """A set-up that no server can use: the edge's own to turn away."""
         self.counters.add("answered.invalid")
         call.taken_ms = self.scheduler.now_ms
-        self._turn_away(call, Final.INVALID)
+        self._reject_untracked(call, FinalAnswer.INVALID)
 
-    def _turn_away(self, call: CallRecord, final: Final) -> None:
+    def _reject_untracked(self, call: CallRecord, final: FinalAnswer) -> None:
         """Answer a call that was never entered in the table."""
         self._count_final(call, final)
         self.callers.reject(call.origin, call.id, final, None)
 
-    def released_by_caller(self, call_id: str, cause: int) -> None:
+    def on_released_by_caller(self, call_id: str, cause: int) -> None:
         """A release from a caller: of a set-up that it abandons, or of an established call."""
         call = self._open.get(call_id)
         if call is not None:
@@ -233,8 +239,8 @@
         call = self._established.get(call_id)
         if call is not None:
             self.counters.add("taken.releases")
-            self.servers.release(call.established_at, call_id, cause)
-            self.callers.forget(call.origin, call_id)
+            self.servers.release(call.established_server_id, call_id, cause)
+            self.callers.remove_call(call.origin, call_id)
             self._end_established(call, api.Outcome.CANCELLED)
         elif call_id not in self._ended:
             # Guards against losing a release after a restart of ours: the call may be at any server.
@@ -242,7 +248,7 @@
             self._remember(call_id)
             self.servers.release(None, call_id, cause)
 
-    def caller_disconnected(self, call_id: str, origin: Hashable) -> None:
+    def on_caller_disconnected(self, call_id: str, origin: Hashable) -> None:
         """The connection of an unanswered set-up has ended."""
         call = self._open.get(call_id)
         if call is not None and call.unanswered and call.origin == origin:
@@ -253,27 +259,27 @@
             return
         self.counters.add("taken.given_up")
         call.unanswered = False
-        self.callers.forget(call.origin, call.id)  # the word of it may have come on another connection
+        self.callers.remove_call(call.origin, call.id)  # the word of it may have come on another connection
         if self.recorder is not None:
-            self.recorder.answered(call, "given_up", self.scheduler.now_ms)
-        self._tell(api.CallAbandoned(call.id))
+            self.recorder.call_answered(call, "given_up", self.scheduler.now_ms)
+        self._dispatch(api.CallAbandoned(call.id))
         if call.in_flight is not None:
             self._end_attempt(call, api.Outcome.CANCELLED, cancel=True)
         else:
             self._close(call)
 
-    def _overdue(self, call: CallRecord) -> None:
+    def _on_caller_deadline(self, call: CallRecord) -> None:
         """The caller's time is up and the module has said nothing: guards rule 1 whatever the module does."""
         if call.unanswered:
             LOG.warning("call %s: no answer by the caller's time", call.id)
-            self._reject(call, Final.FAILED, None)
-            self._tell(api.CallAbandoned(call.id))
+            self._reject(call, FinalAnswer.FAILED, None)
+            self._dispatch(api.CallAbandoned(call.id))
             if call.in_flight is not None:
                 self._end_attempt(call, api.Outcome.CANCELLED, cancel=True)
 
     # ------------------------------------------------------------------------------------ from the servers
 
-    def established(self, server_id: str, call_id: str, attempt: int | None, description: bytes) -> None:
+    def on_established(self, server_id: str, call_id: str, attempt: int | None, description: bytes) -> None:
         """A server answered a set-up; an answer that nobody waits for is taken back there."""
         call = self._open.get(call_id)
         if (
@@ -286,25 +292,25 @@
             call = None
         if call is None or not self._is_in_flight(call, server_id, attempt) or not call.unanswered:
             known = self._established.get(call_id)
-            if known is None or known.established_at != server_id:
+            if known is None or known.established_server_id != server_id:
                 self.counters.add("sent.taken_back")
                 self.servers.release(server_id, call_id, UNWANTED_ANSWER_CAUSE)
             return
         in_flight = call.in_flight
         self.scheduler.timers.cancel(in_flight.timer)
         call.unanswered = False
-        call.established_at, call.established_ms = server_id, self.scheduler.now_ms
+        call.established_server_id, call.established_ms = server_id, self.scheduler.now_ms
         self._close(call)
         self._established[call_id] = call
         self.counters.add("answered.stands")
         self.counters.by_class("served", call.class_name)
         if self.recorder is not None:
-            self.recorder.answered(call, "served", self.scheduler.now_ms)
+            self.recorder.call_answered(call, "served", self.scheduler.now_ms)
         self.callers.answer(call.origin, call_id, description)
         waited_ms = self.scheduler.now_ms - in_flight.sent_ms
-        self._tell(api.Established(call_id, in_flight.number, server_id, waited_ms))
+        self._dispatch(api.Established(call_id, in_flight.number, server_id, waited_ms))
 
-    def ended(
+    def on_attempt_ended(
         self,
         server_id: str,
         call_id: str,
@@ -317,11 +323,13 @@
         if call is not None and self._is_in_flight(call, server_id, attempt):
             self._end_attempt(call, outcome, details=details)
 
-    def released(self, server_id: str, call_id: str, cause: int, report: api.Report | None = None) -> None:
+    def on_released_by_server(
+        self, server_id: str, call_id: str, cause: int, report: api.Report | None = None
+    ) -> None:
         """A server ended an established call."""
         call = self._established.get(call_id)
         if call is not None:
-            if call.established_at != server_id:
+            if call.established_server_id != server_id:
                 return  # guards against the end of an attempt that was taken back there
             self.counters.add("taken.ends")
             self.callers.release(call.origin, call_id, cause)
@@ -333,67 +341,67 @@
             self._remember(call_id)
             self.callers.release(None, call_id, cause)
 
-    def circuits_reported(self, server_id: str, free: float, circuits: float) -> None:
+    def on_circuits_reported(self, server_id: str, free: float, circuits: float) -> None:
         """A server told its free lines."""
         self.counters.add("taken.states")
-        self._tell(api.CircuitsReported(server_id, free, circuits))
+        self._dispatch(api.CircuitsReported(server_id, free, circuits))
 
-    def probe_answered(self, server_id: str, answered: bool, report: api.Report | None = None) -> None:
+    def on_probe_answered(self, server_id: str, answered: bool, report: api.Report | None = None) -> None:
         """What became of a probe."""
-        self._tell(api.ProbeAnswered(server_id, answered, report))
+        self._dispatch(api.ProbeAnswered(server_id, answered, report))
 
-    def carries(self, server_id: str) -> bool:
+    def has_calls_at(self, server_id: str) -> bool:
         """Whether a call is established at this server, or an attempt in flight there."""
         in_flight = (call.in_flight for call in self._open.values() if call.in_flight is not None)
-        return any(call.established_at == server_id for call in self._established.values()) or any(
+        return any(call.established_server_id == server_id for call in self._established.values()) or any(
             attempt.server_id == server_id for attempt in in_flight
         )
 
-    def process_over(self, server_id: str, started_before_ms: float, *, tell_server: bool = False) -> None:
+    def process_ended(self, server_id: str, started_before_ms: float, *, notify_server: bool = False) -> None:
         """A server's process has ended without releasing its calls: release those that it held.
 
-        With ``tell_server`` it may not have ended, and is told as well.
+        With ``notify_server`` it may not have ended, and is told as well.
         Only those of before ``started_before_ms`` are over; a fresh process may hold calls already.
         """
-        over = [
+        ended_calls = [
             c
             for c in self._established.values()
-            if c.established_at == server_id and c.established_ms < started_before_ms
+            if c.established_server_id == server_id and c.established_ms < started_before_ms
         ]
-        for call in over:
+        for call in ended_calls:
             self.counters.add("sent.ends_for_servers")
             self.callers.release(call.origin, call.id, CUT_CAUSE)
-            if tell_server:
+            if notify_server:
                 self.servers.release(server_id, call.id, CUT_CAUSE)
             self._end_established(call, api.Outcome.RESET)
 
     # ------------------------------------------------------------------------------------ from the board
 
-    def listed(self, kind: api.ListKind, servers: tuple[api.Server, ...]) -> None:
+    def endpoints_changed(self, kind: api.ListKind, servers: tuple[api.Server, ...]) -> None:
         """News of the list of servers."""
-        self._tell(api.ServerList(kind, servers))
+        self._dispatch(api.ServerList(kind, servers))
 
-    def hinted(self, events: list[api.Hinted]) -> None:
+    def apply_hints(self, events: list[api.WarmStartHint]) -> None:
         """A running peer's aged word on servers, for this instance's start."""
         self.counters.add("taken.hints", len(events))
         for event in events:
-            self._tell(event)
+            self._dispatch(event)
 
     def fail_all(self) -> None:
         """The program ends: whatever is still unanswered gets its answer."""
         for call in [c for c in self._open.values() if c.unanswered]:
-            self._reject(call, Final.FAILED, None)
+            self._reject(call, FinalAnswer.FAILED, None)
             if call.in_flight is not None:
                 self._end_attempt(call, api.Outcome.CANCELLED, cancel=True)
 
     # ------------------------------------------------------------------------------------ the module
 
-    def _tell(self, event: api.Event) -> None:
+    def _dispatch(self, event: api.Event) -> None:
         """Hand an event over and carry out what comes back; what that causes is told after it, in order."""
         self._events.append(event)
-        if self._telling:
+        if self._dispatching:
             return
-        self._telling = True
+        self._dispatching = True
         try:
             while self._events:
                 event = self._events.popleft()
@@ -403,11 +411,11 @@
                     LOG.exception("the module failed on %s", type(event).__name__)
                     continue
                 for action in actions:
-                    self._carry_out(action)
+                    self._execute(action)
         finally:
-            self._telling = False
+            self._dispatching = False
 
-    def _carry_out(self, action: api.Action) -> None:
+    def _execute(self, action: api.Action) -> None:
         match action:
             case api.SetUp(call_id, server_id, timeout_ms):
                 self._set_up(call_id, server_id, timeout_ms)
@@ -417,11 +425,11 @@
                     self.counters.add("sent.cancels")
                     self._end_attempt(call, api.Outcome.CANCELLED, cancel=True)
             case api.Refuse(call_id, retry_after_ms):
-                self._final(call_id, Final.REFUSED, retry_after_ms)
+                self._final_answer(call_id, FinalAnswer.REFUSED, retry_after_ms)
             case api.Fail(call_id):
-                self._final(call_id, Final.FAILED, None)
+                self._final_answer(call_id, FinalAnswer.FAILED, None)
             case api.SetTimer(after_ms, token):
-                self.scheduler.call_later(after_ms, lambda: self._tell(api.TimerFired(token)))
+                self.scheduler.call_later(after_ms, lambda: self._dispatch(api.TimerFired(token)))
             case api.Probe(server_id):
                 self.counters.add("sent.probes")
                 self.servers.probe(server_id)
@@ -435,16 +443,18 @@
             return
         in_flight = call.in_flight = Attempt(call.attempts, server_id, self.scheduler.now_ms)
         call.attempts += 1
-        call.tried = server_id
-        in_flight.timer = self.scheduler.call_later(timeout_ms, lambda: self._timed_out(call, in_flight))
+        call.last_server_id = server_id
+        in_flight.timer = self.scheduler.call_later(
+            timeout_ms, lambda: self._on_attempt_timeout(call, in_flight)
+        )
         self.counters.add("sent.set_ups")
         self.servers.set_up(server_id, call, in_flight.number, timeout_ms)
 
-    def _timed_out(self, call: CallRecord, in_flight: Attempt) -> None:
+    def _on_attempt_timeout(self, call: CallRecord, in_flight: Attempt) -> None:
         if call.in_flight is in_flight:
             self._end_attempt(call, api.Outcome.TIMED_OUT, cancel=True)
 
-    def _final(self, call_id: str, final: Final, retry_after_ms: float | None) -> None:
+    def _final_answer(self, call_id: str, final: FinalAnswer, retry_after_ms: float | None) -> None:
         call = self._open.get(call_id)
         if call is not None and call.unanswered:
             self._reject(call, final, retry_after_ms)
@@ -455,7 +465,7 @@
         in_flight = call.in_flight
         return in_flight is not None and (in_flight.server_id, in_flight.number) == (server_id, attempt)
 
-    def _reject(self, call: CallRecord, final: Final, retry_after_ms: float | None) -> None:
+    def _reject(self, call: CallRecord, final: FinalAnswer, retry_after_ms: float | None) -> None:
         call.unanswered = False
         self.counters.add(f"answered.{final.value}")
         self._count_final(call, final)
@@ -463,10 +473,10 @@
         if call.in_flight is None:
             self._close(call)
 
-    def _count_final(self, call: CallRecord, final: Final) -> None:
-        self.counters.by_class("refused" if final is Final.REFUSED else "failed", call.class_name)
+    def _count_final(self, call: CallRecord, final: FinalAnswer) -> None:
+        self.counters.by_class("refused" if final is FinalAnswer.REFUSED else "failed", call.class_name)
         if self.recorder is not None:
-            self.recorder.answered(call, final.value, self.scheduler.now_ms)
+            self.recorder.call_answered(call, final.value, self.scheduler.now_ms)
 
     def _end_attempt(
         self,
@@ -483,7 +493,7 @@
             self.servers.cancel(in_flight.server_id, call.id)
         if not call.unanswered:
             self._close(call)
-        self._tell(
+        self._dispatch(
             api.AttemptEnded(
                 call.id,
                 in_flight.number,
@@ -501,9 +511,9 @@
         if self._open.pop(call.id, None) is None:
             return
         self.scheduler.timers.cancel(call.timer)
-        self._held_bytes -= len(call.description)
+        self._description_bytes -= len(call.description)
         call.description = b""
-        if call.established_at is None:
+        if call.established_server_id is None:
             self._remember(call.id)
 
     def _end_established(
@@ -512,15 +522,15 @@
         del self._established[call.id]
         self._remember(call.id)
         if self.recorder is not None:
-            self.recorder.over(call, outcome, self.scheduler.now_ms)
+            self.recorder.call_ended(call, outcome, self.scheduler.now_ms)
         self.counters.add(f"ended.{outcome.name.lower()}")
-        self._tell(
+        self._dispatch(
             api.AttemptEnded(
-                call.id, call.attempts - 1, call.established_at, outcome, finished=True, report=report
+                call.id, call.attempts - 1, call.established_server_id, outcome, finished=True, report=report
             )
         )
 
     def _remember(self, call_id: str) -> None:
         self._ended[call_id] = None
-        if len(self._ended) > ENDED_MOST:
+        if len(self._ended) > MAX_ENDED_CALLS:
             self._ended.popitem(last=False)
--- a/canvasplank/extensions/extension.py
+++ b/canvasplank/extensions/extension.py
@@ -19,7 +19,7 @@
 from canvasplank.runtime.scheduler import Scheduler
 
 
-class Host(Protocol):
+class ExtensionContext(Protocol):
     """What a part may use of the program that it is a part of."""
 
     configuration: Configuration
@@ -29,37 +29,37 @@
     servers: Servers
     discovery: Discovery
     controller: Controller
-    count_fleet: Callable[[], int]  # proxies in the fleet as far as is known; 0: nobody counts them
-    part_of_fleet: Callable[[], float | None]  # of all set-ups, this proxy's; None: nobody divides them
+    fleet_size: Callable[[], int]  # proxies in the fleet as far as is known; 0: nobody counts them
+    fleet_fraction: Callable[[], float | None]  # of all set-ups, this proxy's; None: nobody divides them
 
 
-class Part:
+class Extension:
     """A part that does nothing: each says what it does of this."""
 
     async def start(self) -> None:
         """Before callers are let in, with the configuration's list already entered; must be bounded."""
 
-    def told(self, notice: DiscoveryEvent) -> None:
+    def on_discovery_event(self, event: DiscoveryEvent) -> None:
         """The notice board has told something; the call servers have it already."""
 
-    def ready(self) -> bool:
+    def is_ready(self) -> bool:
         """Whether callers may be sent here, as far as this part knows."""
         return True
 
-    def reloaded(self) -> None:
+    def on_configuration_reloaded(self) -> None:
         """The configuration was read again."""
 
-    def count(self) -> None:
+    def export_metrics(self) -> None:
         """Bring the program's counters up to date, just before they are shown."""
 
     async def drain(self, within_s: float) -> None:
         """The program ends, everything is answered: bring what is under way to an end in this time."""
 
 
-PartFactory = Callable[[Host], Part]
+ExtensionFactory = Callable[[ExtensionContext], Extension]
 
 
-class Entry(NamedTuple):
+class ExtensionEntry(NamedTuple):
     """One kind of part: the variable that names its file, and the module whose ``load`` reads that."""
 
     variable: str
@@ -67,19 +67,19 @@
 
 
 # In the order of their starts: the kept list before whoever asks what servers there are.
-TABLE = (
-    Entry("CANVASPLANK_MEMBERSHIP", "canvasplank.endpoint_cache.extension"),
-    Entry("CANVASPLANK_STORE", "canvasplank.store.extension"),
-    Entry("CANVASPLANK_STARTING", "canvasplank.cold_start.extension"),
-    Entry("CANVASPLANK_FLEET", "canvasplank.fleet.extension"),
-    Entry("CANVASPLANK_LEARNING", "canvasplank.warm_start.extension"),
+REGISTRY = (
+    ExtensionEntry("CANVASPLANK_MEMBERSHIP", "canvasplank.endpoint_cache.extension"),
+    ExtensionEntry("CANVASPLANK_STORE", "canvasplank.store.extension"),
+    ExtensionEntry("CANVASPLANK_STARTING", "canvasplank.cold_start.extension"),
+    ExtensionEntry("CANVASPLANK_FLEET", "canvasplank.fleet.extension"),
+    ExtensionEntry("CANVASPLANK_LEARNING", "canvasplank.warm_start.extension"),
 )
 
 
-def enabled_parts(environment: Mapping[str, str]) -> list[PartFactory]:
+def load_enabled_extensions(environment: Mapping[str, str]) -> list[ExtensionFactory]:
     """What the environment names files for, its files read; a bad one is a ``ConfigurationError``."""
     return [
         importlib.import_module(entry.module).load(path)
-        for entry in TABLE
+        for entry in REGISTRY
         if (path := environment.get(entry.variable))
     ]
--- a/canvasplank/fleet/config.py
+++ b/canvasplank/fleet/config.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from canvasplank.config.extension_file import load_part_settings
+from canvasplank.config.extension_file import load_extension_settings
 from canvasplank.database.location import check_where
 from canvasplank.fleet.backend import Backend
 from canvasplank.fleet.budget_limiter import Kind, Scope
@@ -74,7 +74,7 @@
 
 def load_fleet(path: str) -> Fleet:
     """Read the file."""
-    return load_part_settings(path, "fleet", Fleet, _check)
+    return load_extension_settings(path, "fleet", Fleet, _check)
 
 
 def _check(fleet: Fleet) -> None:
--- a/canvasplank/interface.py
+++ b/canvasplank/interface.py
@@ -178,7 +178,7 @@
     state: ServerState
     started_ms: float | None = None  # its latest start; None: long ago
     senders: int | None = None  # gateways that share it, at the most; None: all
-    begin_per_s: float | None = None  # our first rate there where a whole fleet starts; None: no bound
+    initial_rate_per_s: float | None = None  # our first rate there where a whole fleet starts; None: no bound
 
 
 @dataclass(frozen=True, slots=True)
@@ -271,7 +271,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Hinted:
+class WarmStartHint:
     """A running peer's aged word on one server, for a new instance's start (``canvasplank.warm_start``).
 
     A rate that is ``None`` was not learned, or is too old to count; ``shun``: the peer saw it slow or
@@ -285,7 +285,7 @@
 
 # Asks fleet-wide budgets about a call's attempt of this number at a server: how long until it may go, in ms.
 # 0: now, and where the last argument says so its units are taken.
-Spend = Callable[[Call, int, str, bool], float]
+BudgetDelay = Callable[[Call, int, str, bool], float]
 
 Event = (
     ServerList
@@ -296,7 +296,7 @@
     | TimerFired
     | ProbeAnswered
     | CircuitsReported
-    | Hinted
+    | WarmStartHint
 )
 
 
--- a/canvasplank/network/caller_stream.py
+++ b/canvasplank/network/caller_stream.py
@@ -103,7 +103,7 @@
         self.open.discard(call_id)
         self._leave_if_unused()
 
-    def forget(self, call_id: str) -> None:
+    def remove_call(self, call_id: str) -> None:
         """Nothing of this call is to come here any more."""
         self.open.discard(call_id)
         self.established.discard(call_id)
--- a/canvasplank/network/callers.py
+++ b/canvasplank/network/callers.py
@@ -6,17 +6,17 @@
 
 from canvasplank.codecs import isup
 from canvasplank.codecs.errors import BadMessageError
-from canvasplank.config.settings import Figures
-from canvasplank.exchange.exchange import Exchange, Final
+from canvasplank.config.settings import RequestBounds
+from canvasplank.exchange.exchange import Exchange, FinalAnswer
 from canvasplank.network.caller_stream import SILENT_MS, CallerStream
 from canvasplank.network.listening import Listener
 from canvasplank.network.set_ups import call_of, is_possible
 from canvasplank.network.stream import BufferBudget
 
 CAUSES = {
-    Final.REFUSED: isup.Cause.CONGESTION,
-    Final.FAILED: isup.Cause.TEMPORARY_FAILURE,
-    Final.INVALID: isup.Cause.INVALID_INFORMATION,
+    FinalAnswer.REFUSED: isup.Cause.CONGESTION,
+    FinalAnswer.FAILED: isup.Cause.TEMPORARY_FAILURE,
+    FinalAnswer.INVALID: isup.Cause.INVALID_INFORMATION,
 }
 YOUNG_MS = 500.0  # a connection that has asked nothing may yet be about to
 PENDING_RELEASES_MOST = 20_000  # releases kept while no caller is connected
@@ -32,7 +32,7 @@
     """All connections from callers."""
 
     def __init__(
-        self, exchange: Exchange, figures: Figures, sockets: int, idle_ms: float, budget: BufferBudget
+        self, exchange: Exchange, figures: RequestBounds, sockets: int, idle_ms: float, budget: BufferBudget
     ) -> None:
         self.exchange = exchange
         self.budget = budget
@@ -107,7 +107,9 @@
         origin.established.add(call_id)
         origin.answered(call_id, isup.answer(call_id, description))
 
-    def reject(self, origin: Hashable, call_id: str, final: Final, retry_after_ms: float | None) -> None:
+    def reject(
+        self, origin: Hashable, call_id: str, final: FinalAnswer, retry_after_ms: float | None
+    ) -> None:
         """See ``CallerSide``."""
         origin.answered(call_id, isup.release(call_id, CAUSES[final], retry_after_ms))
 
@@ -124,9 +126,9 @@
             self._pending_releases[call_id] = cause
             self.exchange.scheduler.call_later(PENDING_MS, lambda: self._send_pending(self._any(calls=False)))
 
-    def forget(self, origin: Hashable, call_id: str) -> None:
+    def remove_call(self, origin: Hashable, call_id: str) -> None:
         """See ``CallerSide``."""
-        origin.forget(call_id)
+        origin.remove_call(call_id)
 
     def _any(self, *, calls: bool) -> CallerStream | None:
         """The newest connection, the least likely to be closed now; with ``calls``, one that carries them.
@@ -159,7 +161,7 @@
         """A connection from callers has ended."""
         self.streams.pop(stream, None)
         for call_id in list(stream.open):
-            self.exchange.caller_disconnected(call_id, stream)
+            self.exchange.on_caller_disconnected(call_id, stream)
         self.resend_unconfirmed(stream)
 
     def resend_unconfirmed(self, stream: CallerStream) -> None:
@@ -181,7 +183,7 @@
             case isup.Kind.SET_UP:
                 self._set_up(stream, message)
             case isup.Kind.RELEASE:
-                self.exchange.released_by_caller(message.call_id, message.cause)
+                self.exchange.on_released_by_caller(message.call_id, message.cause)
                 stream.write(isup.release_heard(message.call_id))
             case isup.Kind.RELEASE_HEARD:
                 stream.unconfirmed.pop(message.call_id, None)
@@ -197,7 +199,7 @@
         new = call.id not in stream.open
         if new and not is_possible(call, message, self._figures):
             # Guards the servers' work, and other callers' set-ups, against what no server can use.
-            self.exchange.invalid(call)
+            self.exchange.reject_invalid(call)
             return
         stream.open.add(call.id)
         if not self.exchange.offer(call):
--- a/canvasplank/network/connecting.py
+++ b/canvasplank/network/connecting.py
@@ -6,7 +6,7 @@
 import socket
 from collections.abc import Callable
 
-from canvasplank.config.settings import split_address
+from canvasplank.config.settings import parse_address
 from canvasplank.network.stream import Stream
 from canvasplank.runtime.scheduler import Scheduler, Timer
 
@@ -53,7 +53,7 @@
 
     async def _connect(self) -> None:
         loop = asyncio.get_running_loop()
-        host, port = split_address(self._address)
+        host, port = parse_address(self._address)
         family = socket.AF_INET6 if ":" in host else socket.AF_INET
         # With its protocol named: asyncio turns Nagle's delay off for no other.
         connected = socket.socket(family, socket.SOCK_STREAM, socket.IPPROTO_TCP)
--- a/canvasplank/network/discovery.py
+++ b/canvasplank/network/discovery.py
@@ -12,7 +12,7 @@
 
 from canvasplank.codecs import sse
 from canvasplank.codecs.errors import BadMessageError
-from canvasplank.config.settings import DISCOVERY_EVENT, DiscoveryEvent
+from canvasplank.config.settings import DISCOVERY_EVENT_DECODER, DiscoveryEvent
 from canvasplank.network.connecting import Backoff, Connecting
 from canvasplank.network.stream import BufferBudget, Stream
 from canvasplank.runtime.scheduler import Scheduler
@@ -188,7 +188,7 @@
         if number <= self.last_id:
             return
         try:
-            notice = DISCOVERY_EVENT.decode(event.data)
+            notice = DISCOVERY_EVENT_DECODER.decode(event.data)
         except (ValueError, RecursionError, msgspec.MsgspecError) as error:
             self._unread += 1
             # Guards against an event that can never be read keeping all later ones from us.
--- a/canvasplank/network/server_messages.py
+++ b/canvasplank/network/server_messages.py
@@ -6,7 +6,7 @@
 
 from canvasplank import interface as api
 from canvasplank.codecs import sip
-from canvasplank.config.settings import Gauges
+from canvasplank.config.settings import LoadReportReader
 from canvasplank.exchange.exchange import RefusalDetails
 
 OUTCOMES = {
@@ -20,12 +20,12 @@
 WAITED = re.compile(r"\d{1,9}(?:\.\d{1,9})?")
 
 
-def refusal(message: sip.Message, gauges: Gauges) -> tuple[api.Outcome, RefusalDetails]:
+def refusal(message: sip.Message, load_reports: LoadReportReader) -> tuple[api.Outcome, RefusalDetails]:
     """How an attempt ended by a final answer that is no success."""
     outcome = OUTCOMES.get(message.status, api.Outcome.ERROR)
     note = message.headers.get("x-outcome", "")
     busy = note == NUMBER_BUSY and outcome is api.Outcome.ERROR
-    report = gauges.report(figures(message), _waited_ms(message))
+    report = load_reports.report(figures(message), _waited_ms(message))
     return outcome, RefusalDetails(note == PROCESSOR_FULL, busy, report)
 
 
--- a/canvasplank/network/servers.py
+++ b/canvasplank/network/servers.py
@@ -13,7 +13,7 @@
 from canvasplank import interface as api
 from canvasplank.codecs import sip
 from canvasplank.codecs.errors import BadMessageError
-from canvasplank.config.settings import Ceilings, Gauges, Instance, server_of
+from canvasplank.config.settings import ConnectionLimits, Endpoint, LoadReportReader, to_server
 from canvasplank.exchange.exchange import UNWANTED_ANSWER_CAUSE, CallRecord, Exchange
 from canvasplank.network.connecting import Backoff, Connecting
 from canvasplank.network.server_messages import figures, refusal
@@ -40,7 +40,7 @@
 class Opening(Protocol):
     """How one of many proxies comes to its servers, where a file says so (``starting``)."""
 
-    def narrowed(self, complete: bool, instances: list[Instance]) -> list[Instance]:
+    def narrowed(self, complete: bool, instances: list[Endpoint]) -> list[Endpoint]:
         """The whole of what this proxy keeps to after this news of the list."""
 
     def entered(self, server: api.Server) -> api.Server:
@@ -59,16 +59,16 @@
     def __init__(
         self,
         exchange: Exchange,
-        ceilings: Ceilings,
+        limits: ConnectionLimits,
         resend_ms: float | None,
         budget: BufferBudget,
-        gauges: Gauges,
+        load_reports: LoadReportReader,
     ) -> None:
         self.exchange = exchange
-        self._gauges = gauges
+        self._load_reports = load_reports
         self.budget = budget
         self.scheduler = exchange.scheduler
-        self._ceilings = ceilings
+        self._limits = limits
         self._peers: dict[str, Peer] = {}
         self._probes: dict[str, str] = {}
         self._probe_count = 0
@@ -108,7 +108,7 @@
 
     # -------------------------------------------------------------------------------- for the board
 
-    def listed(self, complete: bool, instances: list[Instance]) -> None:
+    def listed(self, complete: bool, instances: list[Endpoint]) -> None:
         """News of the list.
 
         Servers that are ready are entered before the module is told, since it may send to them at once;
@@ -122,7 +122,7 @@
         missing = [p for p in self._peers.values() if complete and p.server_id not in entries]
         for entry in entries.values():
             self._admit(entry)
-        self.exchange.listed(kind, tuple(self._told(entry) for entry in entries.values()))
+        self.exchange.endpoints_changed(kind, tuple(self._told(entry) for entry in entries.values()))
         for peer in missing:
             if self.opening is not None and self.opening.let_go(peer.server_id):
                 self._let_go(peer)
@@ -131,8 +131,8 @@
         for entry in entries.values():
             self._entry(entry)
 
-    def _told(self, entry: Instance) -> api.Server:
-        return server_of(entry) if self.opening is None else self.opening.entered(server_of(entry))
+    def _told(self, entry: Endpoint) -> api.Server:
+        return to_server(entry) if self.opening is None else self.opening.entered(to_server(entry))
 
     def _let_go(self, peer: Peer) -> None:
         """It goes on without us: we have nothing there, and say no more."""
@@ -142,8 +142,8 @@
         for stream in list(peer.streams):
             stream.finish()
 
-    def _admit(self, entry: Instance) -> None:
-        server = server_of(entry)
+    def _admit(self, entry: Endpoint) -> None:
+        server = to_server(entry)
         peer = self._peers.get(server.id)
         if server.state is api.ServerState.GONE:
             return
@@ -164,8 +164,8 @@
             peer.state = server.state
         self._connect(peer)
 
-    def _entry(self, entry: Instance) -> None:
-        server = server_of(entry)
+    def _entry(self, entry: Endpoint) -> None:
+        server = to_server(entry)
         peer = self._peers.get(server.id)
         if peer is None:
             return
@@ -183,7 +183,7 @@
     def _restarted(self, peer: Peer) -> None:
         """A fresh process under the same name: what the old one held is over, its connections are dead."""
         self._drop(self._dead(peer, peer.started_ms))
-        self.exchange.process_over(peer.server_id, peer.started_ms or self.scheduler.now_ms)
+        self.exchange.process_ended(peer.server_id, peer.started_ms or self.scheduler.now_ms)
 
     def _dead(self, peer: Peer, started_ms: float | None) -> list[ServerStream]:
         """Connections to a process before the one that started then, or now where that is not told."""
@@ -211,7 +211,7 @@
         self._peers.pop(peer.server_id, None)
         if peer.current is not None and peer.current.connecting is not None:
             self._failed(peer.current, "gone")
-        self.exchange.process_over(peer.server_id, float("inf"))
+        self.exchange.process_ended(peer.server_id, float("inf"))
         self._drop(list(peer.streams))
 
     def _still_gone(self, peer: Peer) -> None:
@@ -224,7 +224,9 @@
         for stream in [s for s in streams if s is not None]:
             for call_id, waiting in list(stream.waiting.items()):
                 del stream.waiting[call_id]
-                self.exchange.ended(peer.server_id, call_id, waiting.attempt, api.Outcome.NO_CONNECTION)
+                self.exchange.on_attempt_ended(
+                    peer.server_id, call_id, waiting.attempt, api.Outcome.NO_CONNECTION
+                )
             if stream.open and stream.unsent:
                 stream.transport.abort()
 
@@ -234,7 +236,7 @@
         """See ``ServerSide``."""
         peer = self._peers.get(server_id)
         if self.disconnecting or peer is None or peer.state is not api.ServerState.READY:
-            self.exchange.ended(server_id, call.id, attempt, api.Outcome.NO_CONNECTION)
+            self.exchange.on_attempt_ended(server_id, call.id, attempt, api.Outcome.NO_CONNECTION)
             return
         self._connect(peer, wanted=True)
         stream, waiting = peer.current, WaitingSetUp(call, attempt, self.scheduler.now_ms + wait_ms)
@@ -284,20 +286,20 @@
         """See ``ServerSide``."""
         peer = self._peers.get(server_id)
         if peer is None or peer.current is None or not peer.current.is_open:
-            self.exchange.probe_answered(server_id, False)
+            self.exchange.on_probe_answered(server_id, False)
             return
         self._probe_count += 1
         probe_id = f"{self._probe_count:016x}"
         self._probes[probe_id] = server_id
         peer.current.write(sip.request("OPTIONS", "load", probe_id, 1))
         self.scheduler.call_later(
-            self._ceilings.connect_timeout_ms, lambda: self._probed(probe_id, False, None)
+            self._limits.connect_timeout_ms, lambda: self._probed(probe_id, False, None)
         )
 
     def _probed(self, probe_id: str, answered: bool, report: api.Report | None) -> None:
         server_id = self._probes.pop(probe_id, None)
         if server_id is not None:
-            self.exchange.probe_answered(server_id, answered, report)
+            self.exchange.on_probe_answered(server_id, answered, report)
 
     def _bye(self, stream: ServerStream, call_id: str, cause: int) -> None:
         self.exchange.counters.add("sent.releases_to_servers")
@@ -320,7 +322,7 @@
             return
         stream = peer.current = ServerStream(self, peer)
         stream.connecting = Connecting(
-            stream, peer.address, self._ceilings.connect_timeout_ms, lambda why: self._failed(stream, why)
+            stream, peer.address, self._limits.connect_timeout_ms, lambda why: self._failed(stream, why)
         )
 
     def joined(self, stream: ServerStream) -> None:
@@ -351,7 +353,9 @@
         self.exchange.counters.add("sockets.servers_failed")
         unsent, stream.waiting = stream.waiting, {}
         for call_id, waiting in unsent.items():
-            self.exchange.ended(peer.server_id, call_id, waiting.attempt, api.Outcome.NO_CONNECTION)
+            self.exchange.on_attempt_ended(
+                peer.server_id, call_id, waiting.attempt, api.Outcome.NO_CONNECTION
+            )
         self._keep_up(peer)
 
     def left(self, stream: ServerStream) -> None:
@@ -368,7 +372,7 @@
             if stream.broke_off:
                 # Guards against a call established there for nobody: its answer came, and could not be read.
                 self._send_release(peer, call_id, UNWANTED_ANSWER_CAUSE)
-            self.exchange.ended(peer.server_id, call_id, attempt, api.Outcome.RESET)
+            self.exchange.on_attempt_ended(peer.server_id, call_id, attempt, api.Outcome.RESET)
         self._keep_up(peer)
 
     def _keep_up(self, peer: Peer) -> None:
@@ -416,7 +420,7 @@
         Calls over a cut link end some seconds into it, and the server can tell nobody before the cut is over.
         A call that is established after all is ended there too, once a connection is up.
         """
-        self.exchange.process_over(peer.server_id, float("inf"), tell_server=True)
+        self.exchange.process_ended(peer.server_id, float("inf"), notify_server=True)
 
     def _expected(self, stream: ServerStream) -> bool:
         """Whether something should have come: a server goes on reporting its circuits, and answers set-ups.
@@ -444,7 +448,7 @@
         if peer.current is None or not peer.current.is_open:
             return
         for stream in peer.streams:
-            if stream is not peer.current and stream.is_left_over(self._ceilings.conn_idle_ms):
+            if stream is not peer.current and stream.is_left_over(self._limits.conn_idle_ms):
                 stream.finish()
 
     # -------------------------------------------------------------------------------- messages
@@ -464,12 +468,12 @@
                 # Guards the callers, and what is remembered of calls, against an id that is no call's.
                 if CALL_ID.fullmatch(message.call_id):
                     cause = NORMAL_CLEARING if message.cause is None else message.cause
-                    report = self._gauges.report(figures(message))
-                    self.exchange.released(stream.peer.server_id, message.call_id, cause, report)
+                    report = self._load_reports.report(figures(message))
+                    self.exchange.on_released_by_server(stream.peer.server_id, message.call_id, cause, report)
             case "NOTIFY":
                 stream.reported()
-                if (circuits := self._gauges.circuits(figures(message))) is not None:
-                    self.exchange.circuits_reported(stream.peer.server_id, *circuits)
+                if (circuits := self._load_reports.circuits(figures(message))) is not None:
+                    self.exchange.on_circuits_reported(stream.peer.server_id, *circuits)
             case "OPTIONS":
                 stream.write(sip.response(OK, "OK", message))
 
@@ -477,7 +481,7 @@
         if message.method == "BYE":
             stream.unconfirmed.pop(message.call_id, None)
         if message.method == "OPTIONS":
-            self._probed(message.call_id, message.status == OK, self._gauges.report(figures(message)))
+            self._probed(message.call_id, message.status == OK, self._load_reports.report(figures(message)))
         if message.method != "INVITE" or message.status < OK or not CALL_ID.fullmatch(message.call_id):
             return
         call_id, server_id = message.call_id, stream.peer.server_id
@@ -487,7 +491,7 @@
         stream.write(sip.request("ACK", "call", call_id, max(1, message.sequence)))
         if message.status < MULTIPLE_CHOICES:
             stream.established.add(call_id)  # where it is taken back, the release takes it out again
-            self.exchange.established(server_id, call_id, attempt, message.body)
+            self.exchange.on_established(server_id, call_id, attempt, message.body)
         elif attempt is not None:
-            outcome, details = refusal(message, self._gauges)
-            self.exchange.ended(server_id, call_id, attempt, outcome, details)
+            outcome, details = refusal(message, self._load_reports)
+            self.exchange.on_attempt_ended(server_id, call_id, attempt, outcome, details)
--- a/canvasplank/network/set_ups.py
+++ b/canvasplank/network/set_ups.py
@@ -6,7 +6,7 @@
 
 from canvasplank.codecs import isup
 from canvasplank.codecs.errors import BadMessageError
-from canvasplank.config.settings import Figures
+from canvasplank.config.settings import RequestBounds
 from canvasplank.exchange.exchange import CallRecord
 from canvasplank.network.caller_stream import CallerStream
 from canvasplank.runtime.scheduler import Scheduler
@@ -19,7 +19,9 @@
 DESCRIPTION_MOST = 15 * 1024  # with the server side's headers it still is one message
 
 
-def call_of(stream: CallerStream, message: isup.Message, known: Figures, scheduler: Scheduler) -> CallRecord:
+def call_of(
+    stream: CallerStream, message: isup.Message, known: RequestBounds, scheduler: Scheduler
+) -> CallRecord:
     """The call that a set-up asks for; one that no server could read is a bad message.
 
     Guards against figures that are no figures (a wait of 'nan' would spoil the order of the deadlines),
@@ -53,7 +55,7 @@
     )
 
 
-def is_possible(call: CallRecord, message: isup.Message, known: Figures) -> bool:
+def is_possible(call: CallRecord, message: isup.Message, known: RequestBounds) -> bool:
     """Whether class, tenant and figures are within what the settings know."""
     if call.class_name not in known.classes or (known.tenants and call.tenant not in known.tenants):
         return False
@@ -62,7 +64,7 @@
     return (
         (pool == -1 or known.pools is None or pool in known.pools)
         and width >= 1
-        and (known.most_width is None or width <= known.most_width)
+        and (known.max_width is None or width <= known.max_width)
     )
 
 
--- a/canvasplank/policy/controller.py
+++ b/canvasplank/policy/controller.py
@@ -48,7 +48,7 @@
 
     def __init__(self, settings: api.Settings, seed: int) -> None:
         super().__init__(settings, seed)
-        self.spend: api.Spend | None = None  # fleet-wide budgets, where there are any
+        self.spend: api.BudgetDelay | None = None  # fleet-wide budgets, where there are any
         self._classes = {c.name: c for c in settings.classes}
         self._calls: dict[str, CallState] = {}  # those that still lack their final answer
         self._queued: dict[str, CallState] = {}  # those of them that have no attempt out
@@ -96,7 +96,7 @@
                 self._established.pop(call_id, None)
             case api.ProbeAnswered(server_id, True, report) if server_id in self._servers:
                 self._on_report(self._servers[server_id], report)
-            case api.Hinted():
+            case api.WarmStartHint():
                 self._on_hint(event)
             case api.CircuitsReported(server_id, _, circuits) if 0 < circuits < NEVER:
                 if server_id in self._servers:
--- a/canvasplank/policy/servers.py
+++ b/canvasplank/policy/servers.py
@@ -46,8 +46,8 @@
         self.capacity: float | None = None  # set-ups a second from all senders, told while it had no wait
         self.reported_ms = -NEVER  # when it last told that itself
         self.bucket = LeakyBucket(now_ms, dither)
-        self.bucket.rate = NEVER if entry.begin_per_s is None else entry.begin_per_s
-        self.begin_until_ms = -NEVER if entry.begin_per_s is None else now_ms + BEGIN_MS
+        self.bucket.rate = NEVER if entry.initial_rate_per_s is None else entry.initial_rate_per_s
+        self.begin_until_ms = -NEVER if entry.initial_rate_per_s is None else now_ms + BEGIN_MS
         self.senders = 1  # gateways that share it
         self.pending: dict[str, float] = {}  # unanswered set-ups of ours, by call, with the time of sending
         self.answered: deque[float] = deque()  # when our set-ups were answered, one look back at most
@@ -57,7 +57,7 @@
         self.least_ms: float | None = None  # the least: the way there and back, without a wait
         self.slow = True  # no answer has come in time since the last that took too long
         self.calm = 0  # answers in a row that hardly waited
-        self.spared = None if entry.begin_per_s is None else NEVER  # the rate before a cut without a 'full'
+        self.spared = None if entry.initial_rate_per_s is None else NEVER  # rate before a cut without 'full'
         self.heard_ms = now_ms  # when it last said anything
         self.heard_sent_ms = -1.0  # the latest send time among the set-ups that it has answered
         self.stood_sent_ms = -1.0  # and among those whose calls stand
@@ -140,7 +140,7 @@
         """For a new instance: each server's id, start, rate (None: open), whether slow, silent, last word."""
         return [view.learned(self._silent_ms) for view in self._servers.values()]
 
-    def _on_hint(self, hint: api.Hinted) -> None:
+    def _on_hint(self, hint: api.WarmStartHint) -> None:
         """Exception (learned start): a peer's word counts only before any of our own."""
         view = self._servers.get(hint.server_id)
         if view is None or view.answered or view.pending:
--- a/canvasplank/program.py
+++ b/canvasplank/program.py
@@ -18,17 +18,17 @@
     Configuration,
     ConfigurationError,
     DiscoveryEvent,
-    folded,
+    endpoints_after,
     load_configuration,
-    read_ceilings,
-    read_figures,
-    read_gauges,
+    parse_address,
+    read_connection_limits,
+    read_load_report_reader,
+    read_request_bounds,
     read_settings,
-    split_address,
 )
 from canvasplank.counters import Counters
 from canvasplank.exchange.exchange import Exchange
-from canvasplank.extensions.extension import PartFactory, enabled_parts
+from canvasplank.extensions.extension import ExtensionFactory, load_enabled_extensions
 from canvasplank.network.callers import Callers
 from canvasplank.network.discovery import Discovery
 from canvasplank.network.servers import Servers
@@ -41,7 +41,8 @@
 
 LOG = logging.getLogger(__name__)
 MIB = 2**20
-AT_START = ("name", "listen", "admin", "settings")  # what holds from the next start on when it has changed
+# Changes of these hold from the next start on.
+APPLIED_AT_START = ("name", "listen", "admin", "settings")
 
 
 class Program:
@@ -50,32 +51,32 @@
     def __init__(
         self,
         configuration: Configuration,
-        read_again: Callable[[], Configuration],
-        factories: list[PartFactory],
+        reread_configuration: Callable[[], Configuration],
+        factories: list[ExtensionFactory],
     ) -> None:
         self.configuration = configuration
-        self._read_again = read_again
+        self._reread_configuration = reread_configuration
         settings = read_settings(configuration.settings)
-        ceilings = read_ceilings(configuration.settings)
+        limits = read_connection_limits(configuration.settings)
         self.counters = Counters()
         self.scheduler = Scheduler(TimerQueue())
         controller = self.controller = Controller(settings, int(configuration.seed, 16))
         memory = configuration.limits.memory_mb * MIB
-        self.exchange = Exchange(self.scheduler, controller.handle, self.counters, ceilings.max_open, memory)
+        self.exchange = Exchange(self.scheduler, controller.handle, self.counters, limits.max_open, memory)
         self._budget = BufferBudget(memory)
-        figures = read_figures(settings, configuration.settings)
+        figures = read_request_bounds(settings, configuration.settings)
         self._callers = Callers(
-            self.exchange, figures, configuration.limits.sockets, ceilings.conn_idle_ms, self._budget
+            self.exchange, figures, configuration.limits.sockets, limits.conn_idle_ms, self._budget
         )
         self.exchange.callers = self._callers
-        gauges = read_gauges(configuration.settings)
-        self.servers = Servers(self.exchange, ceilings, settings.resend_ms, self._budget, gauges)
+        load_reports = read_load_report_reader(configuration.settings)
+        self.servers = Servers(self.exchange, limits, settings.resend_ms, self._budget, load_reports)
         self.exchange.servers = self.servers
         self.discovery = Discovery(
             self.scheduler,
             configuration.discovery,
             configuration.known.rev,
-            self._notice,
+            self._on_discovery_event,
             self._budget,
             random.Random(int(configuration.seed, 16)),
         )
@@ -83,10 +84,12 @@
         self._done = asyncio.Event()
         self._listening = False
         self._admin = Admin(self)
-        self.count_fleet: Callable[[], int] = int
-        self.part_of_fleet: Callable[[], float | None] = lambda: None
-        self._parts = [made(self) for made in factories]
-        self._callers.is_ready = lambda: self._serving and all(part.ready() for part in self._parts)
+        self.fleet_size: Callable[[], int] = int
+        self.fleet_fraction: Callable[[], float | None] = lambda: None
+        self._extensions = [create(self) for create in factories]
+        self._callers.is_ready = lambda: (
+            self._serving and all(extension.is_ready() for extension in self._extensions)
+        )
 
     async def run(self) -> None:
         """Serve until told to stop."""
@@ -97,12 +100,12 @@
         loop.add_signal_handler(signal.SIGHUP, self._reload)
         signals.unblock()
         self.scheduler.begin_iteration()
-        self.servers.listed(True, folded(self.configuration.known.notices))
-        for part in self._parts:
-            await part.start()
+        self.servers.listed(True, endpoints_after(self.configuration.known.events))
+        for extension in self._extensions:
+            await extension.start()
         self.discovery.start()
         if self._serving:
-            self._callers.listen(*split_address(self.configuration.listen))
+            self._callers.listen(*parse_address(self.configuration.listen))
             self._listening = True
             LOG.info("%s listens on %s", self.configuration.name, self.configuration.listen)
         if self.configuration.admin and self._serving:
@@ -110,9 +113,9 @@
             LOG.info("the operators' address is %s", self.configuration.admin)
         await self._done.wait()
         self._admin.close()
-        for part in self._parts:
+        for extension in self._extensions:
             self.scheduler.begin_iteration()
-            await part.drain(self._shutdown.remaining_ms(self.scheduler.now_ms) / 1000)
+            await extension.drain(self._shutdown.remaining_ms(self.scheduler.now_ms) / 1000)
 
     @property
     def _serving(self) -> bool:
@@ -141,16 +144,16 @@
 
     def print_counters(self) -> None:
         """For the operators."""
-        for part in self._parts:
-            part.count()
+        for extension in self._extensions:
+            extension.export_metrics()
         for line in self.counters.lines():
             print(line, file=sys.stderr, flush=True)
 
-    def _notice(self, notice: DiscoveryEvent) -> None:
-        if notice.pool is not None:
-            self.servers.listed(notice.pool.reset, notice.pool.instances)
-        for part in self._parts:
-            part.told(notice)
+    def _on_discovery_event(self, event: DiscoveryEvent) -> None:
+        if event.pool is not None:
+            self.servers.listed(event.pool.reset, event.pool.instances)
+        for extension in self._extensions:
+            extension.on_discovery_event(event)
 
     def _reload(self) -> None:
         """Read the configuration again, follow the board where it now is and take new limits.
@@ -160,37 +163,39 @@
         """
         self.scheduler.begin_iteration()
         try:
-            fresh = self._read_again()
-            read_ceilings(fresh.settings)
-            read_figures(read_settings(fresh.settings), fresh.settings)
-            read_gauges(fresh.settings)
+            fresh = self._reread_configuration()
+            read_connection_limits(fresh.settings)
+            read_request_bounds(read_settings(fresh.settings), fresh.settings)
+            read_load_report_reader(fresh.settings)
         except (ConfigurationError, api.SettingsError) as error:
             LOG.warning("not reloaded, the old configuration stays: %s", one_line(error))
             return
-        waiting = [name for name in AT_START if getattr(fresh, name) != getattr(self.configuration, name)]
+        waiting = [
+            name for name in APPLIED_AT_START if getattr(fresh, name) != getattr(self.configuration, name)
+        ]
         for_later = f"; for the next start: {', '.join(waiting)}" if waiting else ""
         LOG.info("configuration read again%s", for_later)
         for name in waiting:  # guards against telling a change once and then forgetting that it waits
             setattr(fresh, name, getattr(self.configuration, name))
         self.configuration = fresh
         self._callers.limit(fresh.limits.sockets)
-        self.exchange.limit(fresh.limits.memory_mb * MIB)
+        self.exchange.set_memory_limit(fresh.limits.memory_mb * MIB)
         self._budget.limit(fresh.limits.memory_mb * MIB)
         self.discovery.move(fresh.discovery)
-        for part in self._parts:
-            part.reloaded()
+        for extension in self._extensions:
+            extension.on_configuration_reloaded()
 
     def _terminate(self) -> None:
         """Told to stop: shut down gracefully, phase by phase (``shutdown``)."""
         self.scheduler.begin_iteration()
         if self._shutdown.begin(self.scheduler.now_ms):
             LOG.info("told to stop")
-            self._look_again()
+            self._schedule_shutdown_check()
 
-    def _look_again(self) -> None:
-        self.scheduler.call_later(self._shutdown.next_check_ms(self.scheduler.now_ms), self._look)
+    def _schedule_shutdown_check(self) -> None:
+        self.scheduler.call_later(self._shutdown.next_check_ms(self.scheduler.now_ms), self._advance_shutdown)
 
-    def _look(self) -> None:
+    def _advance_shutdown(self) -> None:
         """Do what the phase of the shutdown asks for, and go on until it has stopped."""
         before, now_ms = self._shutdown.phase, self.scheduler.now_ms
         if before is Phase.DRAINING and self._shutdown.is_out_of_time(now_ms):
@@ -211,7 +216,7 @@
                 case Phase.STOPPED:
                     self._done.set()
         if phase is not Phase.STOPPED:
-            self._look_again()
+            self._schedule_shutdown_check()
 
 
 def serve() -> int:
@@ -219,7 +224,7 @@
     signals.block()
     try:
         structured_logging.configure(os.environ.get("CANVASPLANK_LOG", "human"))
-        factories = enabled_parts(os.environ)
+        factories = load_enabled_extensions(os.environ)
         with asyncio.Runner(loop_factory=PipeEventLoop) as runner:
             runner.run(_serve(_configuration(), factories))
     except (ConfigurationError, api.SettingsError, OSError, ValueError) as error:
@@ -235,7 +240,7 @@
     configuration.admin = os.environ.get("EDGE_ADMIN", configuration.admin)
     for address in (configuration.listen, configuration.admin or "any:0"):
         try:
-            split_address(address)
+            parse_address(address)
         except ValueError as error:
             raise ConfigurationError(f"configuration: {error}") from None
     return configuration
@@ -246,7 +251,7 @@
     return " ".join(str(error).split())
 
 
-async def _serve(configuration: Configuration, factories: list[PartFactory]) -> None:
+async def _serve(configuration: Configuration, factories: list[ExtensionFactory]) -> None:
     program = Program(configuration, _configuration, factories)
     gc.freeze()  # what is made at the start stays: collections need not look at it
     with contextlib.suppress(asyncio.CancelledError):
--- a/canvasplank/simulator_adapter.py
+++ b/canvasplank/simulator_adapter.py
@@ -12,7 +12,12 @@
 from typing import Any, TextIO
 
 from canvasplank import interface as api
-from canvasplank.config.settings import Gauges, known, read_gauges, read_settings
+from canvasplank.config.settings import (
+    LoadReportReader,
+    known_or_none,
+    read_load_report_reader,
+    read_settings,
+)
 from canvasplank.policy import Controller
 
 _OUTCOMES = {
@@ -44,13 +49,13 @@
     """The other side broke the framing or named what was never introduced."""
 
 
-class Host:
+class ControllerHost:
     """Many controllers, each with nothing in common with the others, behind one wire."""
 
     def __init__(self) -> None:
         self._controllers: dict[int, Controller] = {}
         self._columns: dict[int, tuple[str, ...]] = {}
-        self._gauges: dict[int, Gauges] = {}
+        self._load_reports: dict[int, LoadReportReader] = {}
         self._lists: dict[int, tuple[api.Server, ...]] = {}
         self._readers: dict[str, Callable[[list[Any]], api.Event | None]] = {
             "update": self._update,
@@ -75,11 +80,11 @@
                 if name == "configure":
                     settings = read_settings(message[3])
                     self._columns[instance] = tuple(message[3]["load_report"]["names"])
-                    self._gauges[instance] = read_gauges(message[3])
+                    self._load_reports[instance] = read_load_report_reader(message[3])
                     self._controllers[instance] = Controller(settings, message[2])
                     continue
                 if name == "shutdown":
-                    del self._controllers[instance], self._columns[instance], self._gauges[instance]
+                    del self._controllers[instance], self._columns[instance], self._load_reports[instance]
                     continue
                 controller = self._controllers[instance]
                 reader = self._readers[name]
@@ -101,7 +106,7 @@
 
     def _entry(self, entry: list[Any]) -> api.Server:
         server, _zone, _kind, pool, phase, _units, born = entry
-        return api.Server(server, pool, _STATES[phase], known(born) or None)
+        return api.Server(server, pool, _STATES[phase], known_or_none(born) or None)
 
     def _update(self, message: list[Any]) -> api.Event | None:
         if message[3] == "failed":
@@ -142,7 +147,7 @@
         report = self._report(instance, row)
         if waited or report is not None or code != "GOOD":
             return api.ProbeAnswered(server, code == "GOOD", report)
-        circuits = self._gauges[instance].circuits(self._reported(instance, row))
+        circuits = self._load_reports[instance].circuits(self._reported(instance, row))
         return None if circuits is None else api.CircuitsReported(server, *circuits)
 
     def _reported(self, instance: int, row: list[float | None] | None) -> dict[str, float | None]:
@@ -151,7 +156,7 @@
     def _report(
         self, instance: int, row: list[float | None] | None, wait_ms: float | None = None
     ) -> api.Report | None:
-        return self._gauges[instance].report(self._reported(instance, row), wait_ms)
+        return self._load_reports[instance].report(self._reported(instance, row), wait_ms)
 
 
 def _encode(instance: int, action: api.Action) -> list[Any]:
@@ -202,7 +207,7 @@
 
 def serve(source: TextIO, sink: TextIO) -> None:
     """Answer batches until the input ends."""
-    host = Host()
+    host = ControllerHost()
     lines = iter(source)
     while (batch := _read_batch(lines)) is not None:
         now_ms, number, messages = batch
--- a/canvasplank/store/config.py
+++ b/canvasplank/store/config.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from canvasplank.config.extension_file import load_part_settings
+from canvasplank.config.extension_file import load_extension_settings
 from canvasplank.database.location import check_where
 from canvasplank.store.backend import Backend
 
@@ -38,7 +38,7 @@
 
 def load_store(path: str) -> Store:
     """Read the file."""
-    return load_part_settings(path, "store", Store, _check)
+    return load_extension_settings(path, "store", Store, _check)
 
 
 def _check(store: Store) -> None:
--- a/canvasplank/store/extension.py
+++ b/canvasplank/store/extension.py
@@ -2,42 +2,42 @@
 
 from __future__ import annotations
 
-from canvasplank.extensions.extension import Host, Part, PartFactory
+from canvasplank.extensions.extension import Extension, ExtensionContext, ExtensionFactory
 from canvasplank.store.config import Store, load_store
 from canvasplank.store.outbox import Outbox
 from canvasplank.store.writer import Writer
 
 
-def load(path: str) -> PartFactory:
+def load(path: str) -> ExtensionFactory:
     """Read its file."""
     settings = load_store(path)
-    return lambda host: StorePart(host, settings)
+    return lambda context: StoreExtension(context, settings)
 
 
-class StorePart(Part):
+class StoreExtension(Extension):
     """Hears of every call's outcome through the exchange and has it written."""
 
-    def __init__(self, host: Host, settings: Store) -> None:
+    def __init__(self, context: ExtensionContext, settings: Store) -> None:
         self._settings = settings
-        seed = int(host.configuration.seed, 16)
+        seed = int(context.configuration.seed, 16)
         outbox = Outbox(settings.queue_most, settings.batch_most, settings.linger_ms, seed)
         self._writer = Writer(
             outbox,
             settings.open_with(),
-            host.configuration.name,
+            context.configuration.name,
             settings.write_timeout_ms / 1000,
-            host.counters,
+            context.counters,
         )
-        host.exchange.recorder = self._writer
+        context.exchange.recorder = self._writer
 
     async def start(self) -> None:
-        """See ``Part``."""
+        """See ``Extension``."""
         self._writer.start()
 
-    def count(self) -> None:
-        """See ``Part``."""
+    def export_metrics(self) -> None:
+        """See ``Extension``."""
         self._writer.count()
 
     async def drain(self, within_s: float) -> None:
-        """See ``Part``; no longer than is set."""
+        """See ``Extension``; no longer than is set."""
         await self._writer.drain(min(self._settings.drain_ms / 1000, within_s))
--- a/canvasplank/store/writer.py
+++ b/canvasplank/store/writer.py
@@ -41,7 +41,7 @@
 
     # ------------------------------------------------------------------------------------ for the exchange
 
-    def answered(self, call: CallRecord, final: str, now_ms: float) -> None:
+    def call_answered(self, call: CallRecord, final: str, now_ms: float) -> None:
         """See ``Recorder``."""
         self._put(
             Outcome(
@@ -50,7 +50,7 @@
                 int(call.taken_ms),
                 call.class_name,
                 final,
-                call.tried,
+                call.last_server_id,
                 call.attempts,
                 int(now_ms),
                 member=call.tenant,
@@ -58,7 +58,7 @@
             )
         )
 
-    def over(self, call: CallRecord, outcome: api.Outcome, now_ms: float) -> None:
+    def call_ended(self, call: CallRecord, outcome: api.Outcome, now_ms: float) -> None:
         """See ``Recorder``."""
         self._put(
             Outcome(
@@ -67,7 +67,7 @@
                 int(call.taken_ms),
                 call.class_name,
                 SERVED,
-                call.established_at,
+                call.established_server_id,
                 call.attempts,
                 int(call.established_ms),
                 int(now_ms),
--- a/canvasplank/warm_start/client.py
+++ b/canvasplank/warm_start/client.py
@@ -14,7 +14,7 @@
 import time
 from collections.abc import Sequence
 
-from canvasplank.config.settings import split_address
+from canvasplank.config.settings import parse_address
 from canvasplank.runtime.streams import close_writer
 from canvasplank.warm_start.peer_snapshot import MOST_BYTES, PeerView, ViewError, decode
 
@@ -58,7 +58,7 @@
 
 
 async def _ask(address: str) -> PeerView:
-    host, port = split_address(address)
+    host, port = parse_address(address)
     reader, writer = await asyncio.open_connection(host, port)
     try:
         writer.write(ASK)
--- a/canvasplank/warm_start/config.py
+++ b/canvasplank/warm_start/config.py
@@ -10,8 +10,8 @@
 
 import msgspec
 
-from canvasplank.config.extension_file import load_part_settings
-from canvasplank.config.settings import split_address
+from canvasplank.config.extension_file import load_extension_settings
+from canvasplank.config.settings import parse_address
 from canvasplank.warm_start.start_hints import HALF_LIFE_MS, MOST_AGE_MS
 
 Positive = Annotated[float, msgspec.Meta(gt=0, le=3_600_000)]
@@ -34,9 +34,9 @@
 
 def load_learning(path: str) -> Learning:
     """Read the file."""
-    return load_part_settings(path, "learning", Learning, _check)
+    return load_extension_settings(path, "learning", Learning, _check)
 
 
 def _check(learning: Learning) -> None:
     for address in (*learning.asked(), *filter(None, [learning.listen])):
-        split_address(address)
+        parse_address(address)
--- a/canvasplank/warm_start/server.py
+++ b/canvasplank/warm_start/server.py
@@ -10,7 +10,7 @@
 import logging
 from collections.abc import Callable
 
-from canvasplank.config.settings import split_address
+from canvasplank.config.settings import parse_address
 from canvasplank.runtime.streams import close_writer
 from canvasplank.warm_start.client import ASK, framed
 from canvasplank.warm_start.peer_snapshot import PeerView, encode
@@ -31,7 +31,7 @@
 
     async def listen(self, address: str) -> None:
         """Open the listener for new instances."""
-        host, port = split_address(address)
+        host, port = parse_address(address)
         self._server = await asyncio.start_server(self._serve, host, port, limit=len(ASK) + 64)
 
     def close(self) -> None:
--- a/canvasplank/warm_start/start_hints.py
+++ b/canvasplank/warm_start/start_hints.py
@@ -102,6 +102,6 @@
     return PeerView(VERSION, peer, now_ms, servers)
 
 
-def told(found: list[Hint]) -> list[api.Hinted]:
+def told(found: list[Hint]) -> list[api.WarmStartHint]:
     """The hints as the module hears them."""
-    return [api.Hinted(hint.server_id, hint.rate_per_s, hint.shun) for hint in found]
+    return [api.WarmStartHint(hint.server_id, hint.rate_per_s, hint.shun) for hint in found]
--- a/canvasplank/worker/config.py
+++ b/canvasplank/worker/config.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from canvasplank.config.extension_file import load_part_settings
+from canvasplank.config.extension_file import load_extension_settings
 
 Milliseconds = Annotated[float, msgspec.Meta(gt=0, le=366 * 24 * 3_600_000)]
 
@@ -25,7 +25,7 @@
 
 def load_work(path: str) -> Work:
     """Read the file."""
-    return load_part_settings(path, "work", Work, _check)
+    return load_extension_settings(path, "work", Work, _check)
 
 
 def _check(work: Work) -> None:
--- a/emulators/callers.py
+++ b/emulators/callers.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass
 
 from canvasplank.codecs import isup
-from canvasplank.config.settings import split_address
+from canvasplank.config.settings import parse_address
 from emulators.tasks import Tasks
 
 REFUSALS = (34, 42, 102)
@@ -69,7 +69,7 @@
 
     async def add_proxy(self, address: str) -> None:
         """Callers come to this proxy too from now on."""
-        reader, writer = await asyncio.open_connection(*split_address(address))
+        reader, writer = await asyncio.open_connection(*parse_address(address))
         self._streams[address] = writer
         self._tasks.keep(self._read(address, reader))
         self.proxies.append(address)
@@ -130,7 +130,7 @@
                 made.outcome, made.answered_s = "lost", time.time()
         if address in self.proxies:  # a proxy ends a connection that says nothing for long
             with contextlib.suppress(OSError):
-                reader, self._streams[address] = await asyncio.open_connection(*split_address(address))
+                reader, self._streams[address] = await asyncio.open_connection(*parse_address(address))
                 self._tasks.keep(self._read(address, reader))
 
     def _hear(self, address: str, message: isup.Message) -> None:
--- a/emulators/front.py
+++ b/emulators/front.py
@@ -5,7 +5,7 @@
 import asyncio
 
 from canvasplank.codecs import isup
-from canvasplank.config.settings import split_address
+from canvasplank.config.settings import parse_address
 
 TEST_ID = "0" * 15 + "1"
 TEST_S = 2.0
@@ -16,7 +16,7 @@
     writer = None
     try:
         async with asyncio.timeout(TEST_S):
-            reader, writer = await asyncio.open_connection(*split_address(address))
+            reader, writer = await asyncio.open_connection(*parse_address(address))
             writer.write(isup.encode(isup.Message(isup.Kind.TEST, TEST_ID, {isup.Parameter.CAUSE: b"\0"})))
             messages = list(isup.Parser().feed(await reader.read(1024)))
     except (OSError, TimeoutError):
--- a/emulators/link.py
+++ b/emulators/link.py
@@ -10,7 +10,7 @@
 import asyncio
 import contextlib
 
-from canvasplank.config.settings import split_address
+from canvasplank.config.settings import parse_address
 from emulators.tasks import Tasks
 
 READ_MOST = 65_536
@@ -63,7 +63,7 @@
         self._writers.add(writer)
         try:
             await self._open["there"].wait()
-            far_reader, far_writer = await asyncio.open_connection(*split_address(self.target))
+            far_reader, far_writer = await asyncio.open_connection(*parse_address(self.target))
         except OSError:
             writer.transport.abort()
             return
--- a/emulators/server.py
+++ b/emulators/server.py
@@ -129,8 +129,8 @@
 
     async def _tell(self, writer: asyncio.StreamWriter) -> None:
         while not writer.is_closing():
-            gauges = {"X-Gauges": f"free:{self.lines - len(self._standing)};size:{self.lines}"}
-            self._say(writer, sip.request("NOTIFY", "exchange", "0" * 16, 1, gauges))
+            load_reports = {"X-Gauges": f"free:{self.lines - len(self._standing)};size:{self.lines}"}
+            self._say(writer, sip.request("NOTIFY", "exchange", "0" * 16, 1, load_reports))
             await asyncio.sleep(TELLS_EVERY_S)
 
     def _take(self, writer: asyncio.StreamWriter, message: sip.Message) -> None:
--- a/examples/toy_caller.py
+++ b/examples/toy_caller.py
@@ -10,7 +10,7 @@
 import sys
 
 from canvasplank.codecs import isup
-from canvasplank.config.settings import split_address
+from canvasplank.config.settings import parse_address
 
 SET_UP = {
     isup.Parameter.CLASS: b"balance-check",
@@ -25,7 +25,7 @@
     """Call, and listen until the call is over."""
     call_id = secrets.token_hex(8)
     parser = isup.Parser()
-    with socket.create_connection(split_address(proxy), timeout=10) as stream:
+    with socket.create_connection(parse_address(proxy), timeout=10) as stream:
         stream.sendall(isup.encode(isup.Message(isup.Kind.SET_UP, call_id, SET_UP)))
         while data := stream.recv(4096):
             for message in parser.feed(data):
--- a/examples/toy_server.py
+++ b/examples/toy_server.py
@@ -57,8 +57,8 @@
 
     async def _tell(self) -> None:
         while True:
-            gauges = {"X-Gauges": f"free:{LINES - len(self._calls)};size:{LINES}"}
-            self._writer.write(sip.request("NOTIFY", "exchange", "0" * 16, 1, gauges))
+            load_reports = {"X-Gauges": f"free:{LINES - len(self._calls)};size:{LINES}"}
+            self._writer.write(sip.request("NOTIFY", "exchange", "0" * 16, 1, load_reports))
             await asyncio.sleep(TELLS_EVERY_S)
 
 
--- a/experiments/plan.py
+++ b/experiments/plan.py
@@ -6,10 +6,10 @@
 
 import msgspec
 
-from canvasplank.config.extension_file import load_part_settings
+from canvasplank.config.extension_file import load_extension_settings
 
 Seconds = Annotated[float, msgspec.Meta(ge=0, le=3600)]
-Part = Annotated[float, msgspec.Meta(gt=0, le=1)]
+Fraction = Annotated[float, msgspec.Meta(gt=0, le=1)]
 Count = Annotated[int, msgspec.Meta(ge=1, le=10_000)]
 What = Literal[
     "board-closes",  # accepts and closes at once
@@ -37,7 +37,7 @@
     what: What
     at_s: Seconds = 0.0
     for_s: Seconds = 0.0
-    part: Part = 1.0  # of the proxies or servers, drawn by the seed
+    part: Fraction = 1.0  # of the proxies or servers, drawn by the seed
     wait_s: Annotated[int, msgspec.Meta(ge=0, le=600)] = 5
 
     @property
@@ -84,7 +84,7 @@
 
 def load_experiment(path: str) -> Experiment:
     """Read the file; whatever is wrong with it is a ``ConfigurationError`` of one line."""
-    return load_part_settings(path, "experiment", Experiment, _check)
+    return load_extension_settings(path, "experiment", Experiment, _check)
 
 
 def _check(experiment: Experiment) -> None:
--- a/experiments/simulation.py
+++ b/experiments/simulation.py
@@ -19,7 +19,7 @@
 from canvasplank.cold_start.extension import Starting
 from canvasplank.cold_start.poll_backoff import FIRST_MS, MOST_MS, PollPace
 from canvasplank.cold_start.rendezvous_subset import Subset
-from canvasplank.config.settings import Instance, read_settings, server_of
+from canvasplank.config.settings import Endpoint, read_settings, to_server
 from canvasplank.policy import Controller
 from emulators.fleet import service_settings
 from experiments.measures import Call, Cold, Observed
@@ -166,10 +166,10 @@
             self._clock.after(spread_ms, lambda name=instance.instance_id: self._connect(name))
         self._tell(api.ServerList(api.ListKind.COMPLETE, tuple(self._entered(i) for i in kept)))
 
-    def _entered(self, instance: Instance) -> api.Server:
-        server = server_of(instance)
+    def _entered(self, instance: Endpoint) -> api.Server:
+        server = to_server(instance)
         senders = self._subset.senders(server.pool, self._count)
-        begin = self._starting.begin_per_s if self._starting else 0.0
+        begin = self._starting.initial_rate_per_s if self._starting else 0.0
         return api.Server(
             server.id,
             server.pool,
@@ -280,14 +280,14 @@
                         rules["overload_for_ms"] / MS,
                     )
 
-    def instances(self) -> list[Instance]:
+    def instances(self) -> list[Endpoint]:
         """The list as the board has it now."""
         told = []
         for cell, processor in enumerate(self.processors.values()):
             cold = processor.cold
             began_ms = 0.0 if cold is None else cold.began_s * MS
             started_ms = began_ms if began_ms <= self.clock.now_ms else 0.0
-            told.append(Instance(processor.name, "127.0.0.1:1", "ready", cell, started_ms))
+            told.append(Endpoint(processor.name, "127.0.0.1:1", "ready", cell, started_ms))
         return told
 
     def end(self, call_id: str, outcome: str) -> None:
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from canvasplank.extensions.extension import TABLE
+from canvasplank.extensions.extension import REGISTRY
 
 ROOT = Path(__file__).parent.parent
 EXAMPLE = (ROOT / "examples" / "config.json").read_text()
@@ -65,7 +65,7 @@
     ["= 1", "unheard_of = 1\n", b"\xff", None],
     ids=["not TOML", "an unknown key", "not UTF-8", "missing"],
 )
-@pytest.mark.parametrize("variable", [entry.variable for entry in TABLE])
+@pytest.mark.parametrize("variable", [entry.variable for entry in REGISTRY])
 def test_a_file_of_a_part(tmp_path, variable, content):
     configuration, path = tmp_path / "config.json", tmp_path / "part.toml"
     configuration.write_text(EXAMPLE)
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -24,7 +24,13 @@
 
 from canvasplank import interface as api
 from canvasplank.codecs import isup, sip
-from canvasplank.config.settings import Ceilings, Figures, Gauges, Instance, load_configuration
+from canvasplank.config.settings import (
+    ConnectionLimits,
+    Endpoint,
+    LoadReportReader,
+    RequestBounds,
+    load_configuration,
+)
 from canvasplank.counters import Counters
 from canvasplank.exchange.exchange import CallRecord, Exchange
 from canvasplank.network.callers import Callers
@@ -85,7 +91,7 @@
             set_up=lambda *_: None,
             cancel=lambda *_: None,
         )
-        figures = Figures(frozenset({"low"}), frozenset(), None, None)
+        figures = RequestBounds(frozenset({"low"}), frozenset(), None, None)
         self.callers = self.exchange.callers = Callers(
             self.exchange, figures, sockets, 1000.0, BufferBudget(1e6)
         )
@@ -171,7 +177,7 @@
         async with asyncio.timeout(WAIT_S):
             await edge.taken()
         next(iter(edge.callers.streams)).end_spoilt("it cannot be read")
-        edge.exchange.established("a", ID, 0, b"v=0 answer")
+        edge.exchange.on_established("a", ID, 0, b"v=0 answer")
         await asyncio.sleep(0.05)
         peer.close()
         edge.callers.stop_listening()
@@ -210,7 +216,7 @@
             peer.sendall(set_up(second))  # in the machine, unread, all the while until the next await
             edge.scheduler.begin_iteration()
             edge.callers.quiesce()
-            edge.exchange.ended("a", ID, 0, api.Outcome.FULL)
+            edge.exchange.on_attempt_ended("a", ID, 0, api.Outcome.FULL)
             came = await loop.run_in_executor(None, read_to_the_end, peer)
         peer.close()
         edge.callers.stop_listening()
@@ -233,7 +239,7 @@
         async with asyncio.timeout(WAIT_S):
             await edge.taken()
             if stands:
-                edge.exchange.established("a", ID, 0, b"v=0 answer")
+                edge.exchange.on_established("a", ID, 0, b"v=0 answer")
                 edge.callers.quiesce()
             else:
                 first.shutdown(socket.SHUT_WR)
@@ -557,11 +563,11 @@
             [api.SetUp(ID, "s-a", 9000)] if isinstance(event, api.ServerList) and exchange.open_calls else []
         )
         exchange = Exchange(scheduler, decide, Counters(), 100, 1e6)
-        ceilings = Ceilings(conn_idle_ms=60_000.0, connect_timeout_ms=15_000.0, max_open=100)
-        exchange.servers = servers = Servers(exchange, ceilings, 500.0, BufferBudget(1e6), Gauges([]))
+        limits = ConnectionLimits(conn_idle_ms=60_000.0, connect_timeout_ms=15_000.0, max_open=100)
+        exchange.servers = servers = Servers(exchange, limits, 500.0, BufferBudget(1e6), LoadReportReader([]))
         with socket.create_server(("127.0.0.1", 0)) as listener:
             listener.settimeout(WAIT_S)
-            entry = Instance("s-a", f"127.0.0.1:{listener.getsockname()[1]}", lifecycle="ready")
+            entry = Endpoint("s-a", f"127.0.0.1:{listener.getsockname()[1]}", lifecycle="ready")
             servers.listed(True, [entry])
             old, _ = await loop.run_in_executor(None, listener.accept)
             while exchange.counters["sockets.servers"] == 0:
@@ -591,7 +597,11 @@
         scheduler = Scheduler(TimerQueue(), clock=lambda: now_ms[0])
         exchange = Exchange(scheduler, lambda _, event: [], Counters(), 100, 1e6)
         exchange.servers = servers = Servers(
-            exchange, Ceilings(15_000.0, 60_000.0, 100), 500.0, BufferBudget(1e6), Gauges(["free", "size"])
+            exchange,
+            ConnectionLimits(15_000.0, 60_000.0, 100),
+            500.0,
+            BufferBudget(1e6),
+            LoadReportReader(["free", "size"]),
         )
         notify = sip.request("NOTIFY", "lines", ID, 1, {"X-Gauges": "free:12;size:40"})
 
@@ -600,7 +610,7 @@
             writer.write(notify)
 
         server = await asyncio.start_server(joined, "127.0.0.1", 0)
-        servers.listed(True, [Instance("s-a", f"127.0.0.1:{server.sockets[0].getsockname()[1]}", "ready")])
+        servers.listed(True, [Endpoint("s-a", f"127.0.0.1:{server.sockets[0].getsockname()[1]}", "ready")])
         async with asyncio.timeout(WAIT_S):
             while not writers:
                 await asyncio.sleep(0.005)
--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -9,9 +9,9 @@
 import pytest
 
 from canvasplank.cold_start.extension import Starting
-from canvasplank.config.extension_file import load_part_settings
+from canvasplank.config.extension_file import load_extension_settings
 from canvasplank.endpoint_cache.config import load_membership
-from canvasplank.extensions.extension import TABLE, enabled_parts
+from canvasplank.extensions.extension import REGISTRY, load_enabled_extensions
 from canvasplank.fleet.config import load_fleet
 from canvasplank.store.config import load_store
 from canvasplank.warm_start.config import load_learning
@@ -24,7 +24,7 @@
     "membership": load_membership,
     "store": load_store,
     "work": load_work,
-    "starting": lambda path: load_part_settings(path, "starting", Starting, lambda _: None),
+    "starting": lambda path: load_extension_settings(path, "starting", Starting, lambda _: None),
 }
 
 
@@ -38,8 +38,8 @@
     run = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["run"]
     named = dict(re.findall(r"export (CANVASPLANK_\w+)=(\S+?);", run))
     assert named == {"CANVASPLANK_STARTING": "deploy/subset.toml"}
-    assert set(named) <= {entry.variable for entry in TABLE}
-    assert len(enabled_parts({name: str(ROOT / path) for name, path in named.items()})) == 1
+    assert set(named) <= {entry.variable for entry in REGISTRY}
+    assert len(load_enabled_extensions({name: str(ROOT / path) for name, path in named.items()})) == 1
     starting = LOADS["starting"](str(ROOT / "deploy" / "subset.toml"))
     assert starting == Starting(
         servers_per_proxy=starting.servers_per_proxy, proxies_per_server=starting.proxies_per_server
--- a/tests/test_endpoint_cache.py
+++ b/tests/test_endpoint_cache.py
@@ -10,7 +10,7 @@
 from conftest import Gateway, ready, settings
 
 from canvasplank import interface as api
-from canvasplank.config.settings import ConfigurationError, DiscoveryEvent, Instance, Pool
+from canvasplank.config.settings import ConfigurationError, DiscoveryEvent, Endpoint, EndpointListUpdate
 from canvasplank.endpoint_cache import writer
 from canvasplank.endpoint_cache.bootstrap import MOST_AGE_MS, TRUSTED_MS, Roster, judge
 from canvasplank.endpoint_cache.cached_list import (
@@ -40,8 +40,8 @@
 
 
 def notice(number: int, reset: bool, **states: str) -> DiscoveryEvent:
-    instances = [Instance(f"s-{name}", f"10.0.0.{name}:1", state) for name, state in states.items()]
-    return DiscoveryEvent(number, Pool(instances, reset))
+    instances = [Endpoint(f"s-{name}", f"10.0.0.{name}:1", state) for name, state in states.items()]
+    return DiscoveryEvent(number, EndpointListUpdate(instances, reset))
 
 
 def test_a_list_goes_and_comes_unchanged():
@@ -82,7 +82,7 @@
     start = judge(kept(age_ms), NOW, gateways=6)
     assert [i.instance_id for i in start.instances] == names
     assert start.careful is careful
-    assert start.hints == [api.Hinted(name, 1.0, shun=False) for name in names if careful]
+    assert start.hints == [api.WarmStartHint(name, 1.0, shun=False) for name in names if careful]
     assert start.instances[0].started_at_ms == A.started_at_ms, "a server is its process"
 
 
@@ -94,7 +94,7 @@
 def test_processors_that_have_just_started_are_not_overwhelmed_by_an_old_list():
     """Four gateways start from a list an hour old, each with ten calls a second for one server."""
 
-    def sent_in_three_seconds(*hints: api.Hinted) -> int:
+    def sent_in_three_seconds(*hints: api.WarmStartHint) -> int:
         sent = 0
         for seed in range(4):
             gateway = Gateway(settings(instances=4), seed)
@@ -131,7 +131,7 @@
     before = path.read_bytes()
 
     async def run():
-        roster = Roster([Instance("s-c", "10.0.0.3:1", "ready")], NOW)
+        roster = Roster([Endpoint("s-c", "10.0.0.3:1", "ready")], NOW)
         made = writer.Keeper(str(path), roster, Scheduler(TimerQueue(), lambda: NOW), lambda: None)
         (tmp_path / "servers.json.new").mkdir()  # in the way of the new file
         await made.close()
--- a/tests/test_exchange.py
+++ b/tests/test_exchange.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from canvasplank.counters import Counters
-from canvasplank.exchange.exchange import CallRecord, Exchange, Final
+from canvasplank.exchange.exchange import CallRecord, Exchange, FinalAnswer
 from canvasplank.runtime.scheduler import Scheduler, TimerQueue
 
 KIB = 1024
@@ -13,12 +13,12 @@
     """Callers that note what is turned away."""
 
     def __init__(self) -> None:
-        self.told: list[tuple[str, Final]] = []
+        self.told: list[tuple[str, FinalAnswer]] = []
 
-    def reject(self, origin: object, call_id: str, final: Final, retry_after_ms: float | None) -> None:
+    def reject(self, origin: object, call_id: str, final: FinalAnswer, retry_after_ms: float | None) -> None:
         self.told.append((call_id, final))
 
-    def forget(self, origin: object, call_id: str) -> None:
+    def remove_call(self, origin: object, call_id: str) -> None:
         """No connection stands behind these."""
 
 
@@ -31,7 +31,7 @@
         exchange.offer(CallRecord(f"{number:016x}", "low", "1", 0, False, 1000.0, bytes(15 * KIB), None))
     assert exchange.open_calls == 4 * KIB // 15
     assert len(callers.told) == 2000 - exchange.open_calls
-    assert {final for _, final in callers.told} == {Final.REFUSED}
-    exchange.released_by_caller(f"{0:016x}", 16)
+    assert {final for _, final in callers.told} == {FinalAnswer.REFUSED}
+    exchange.on_released_by_caller(f"{0:016x}", 16)
     exchange.offer(CallRecord("f" * 16, "low", "1", 0, False, 1000.0, bytes(15 * KIB), None))
     assert exchange.open_calls == 4 * KIB // 15, "what a call held is free again at its end"
--- a/tests/test_rendezvous_subset.py
+++ b/tests/test_rendezvous_subset.py
@@ -14,9 +14,9 @@
 from conftest import Gateway, settings
 
 from canvasplank import interface as api
-from canvasplank.cold_start.extension import Starting, StartingPart
+from canvasplank.cold_start.extension import ColdStartExtension, Starting
 from canvasplank.cold_start.rendezvous_subset import Subset, choose, rank, shared_by
-from canvasplank.config.settings import Instance, server_of
+from canvasplank.config.settings import Endpoint, to_server
 from canvasplank.network.servers import Servers
 from emulators.callers import Callers
 from emulators.fleet import ROOT, fleet
@@ -26,15 +26,15 @@
 ALL = (None,)
 
 
-def instances(count: int, cells: int = 1, lifecycle: str = "ready") -> list[Instance]:
-    return [Instance(f"s-{n}", f"10.0.0.{n}:5060", lifecycle, n % cells) for n in range(count)]
+def instances(count: int, cells: int = 1, lifecycle: str = "ready") -> list[Endpoint]:
+    return [Endpoint(f"s-{n}", f"10.0.0.{n}:5060", lifecycle, n % cells) for n in range(count)]
 
 
 def names(count: int) -> list[str]:
     return [f"proxy-{n}" for n in range(count)]
 
 
-def kept(told: list[Instance]) -> dict[str, str]:
+def kept(told: list[Endpoint]) -> dict[str, str]:
     return {instance.instance_id: instance.lifecycle for instance in told}
 
 
@@ -48,7 +48,7 @@
     def test_every_zone_has_its_part_and_every_server_as_many(self, sizes):
         """Drawn from all at once, one proxy in sixty had no server in its own of three zones."""
         listed = [
-            Instance(f"s-{zone}-{n}", "x:1", "ready", zone=f"z{zone}")
+            Endpoint(f"s-{zone}-{n}", "x:1", "ready", zone=f"z{zone}")
             for zone, size in enumerate(sizes)
             for n in range(size)
         ]
@@ -153,15 +153,15 @@
             subset.narrowed(
                 False,
                 [
-                    Instance(leaves, "10.0.0.9:5060", "draining"),
-                    Instance(
+                    Endpoint(leaves, "10.0.0.9:5060", "draining"),
+                    Endpoint(
                         next(i.instance_id for i in listed if i.instance_id not in mine), "x:1", "draining"
                     ),
                 ],
             )
         )
         assert now[leaves] == "draining" and sorted(now.values()) == ["draining", "ready", "ready"]
-        assert leaves not in kept(subset.narrowed(False, [Instance(leaves, "x:1", "gone")]))
+        assert leaves not in kept(subset.narrowed(False, [Endpoint(leaves, "x:1", "gone")]))
         assert not subset.is_listed(leaves)
 
 
@@ -186,20 +186,22 @@
         assert sent(3) > 1.5 * sent(None)
 
     @pytest.mark.parametrize("class_name", ["low", "high"])
-    @pytest.mark.parametrize("begin_per_s", [None, 30.0 / 300])
-    def test_hundreds_of_fresh_buckets_do_not_run_ahead_of_the_rate_of_all(self, begin_per_s, class_name):
+    @pytest.mark.parametrize("initial_rate_per_s", [None, 30.0 / 300])
+    def test_hundreds_of_fresh_buckets_do_not_run_ahead_of_the_rate_of_all(
+        self, initial_rate_per_s, class_name
+    ):
         """300 gateways, three calls waiting at each when they start, one server."""
         sent = []
         for seed in range(300):
             gateway = Gateway(settings(instances=300), seed)
-            gateway.servers(api.Server("a", 0, api.ServerState.READY, None, None, begin_per_s))
+            gateway.servers(api.Server("a", 0, api.ServerState.READY, None, None, initial_rate_per_s))
             gateway.alive["a"] = 40
             for _ in range(3):
                 gateway.call(expires_ms=9000, class_name=class_name)
             gateway.until(8000)
             sent += [at for at, action in gateway.done if isinstance(action, api.SetUp)]
         first = sum(at < 1000 for at in sent)
-        if begin_per_s is None:
+        if initial_rate_per_s is None:
             assert first > 300, "what this guards against"
         else:
             assert 15 <= first <= 45, "about thirty"
@@ -225,7 +227,7 @@
     assert servers.has_unsettled_releases("s-0") is unsettled and not servers.has_unsettled_releases("s-1")
     host = Fake(100)
     host.servers.has_unsettled_releases = servers.has_unsettled_releases
-    start = StartingPart(host, Starting(servers_per_proxy=1))
+    start = ColdStartExtension(host, Starting(servers_per_proxy=1))
     start.narrowed(True, instances(1))
     kept_on = {i.instance_id: i.lifecycle for i in start.narrowed(False, instances(9)[1:])}
     assert (kept_on.get("s-0") == "draining") is unsettled, "eight better ones have come"
@@ -238,14 +240,14 @@
         example = json.loads((ROOT / "examples" / "config.json").read_text())
         example["settings"]["instances"] = instances
         self.configuration = SimpleNamespace(settings=example["settings"], seed="1", name="proxy-0")
-        self.exchange = SimpleNamespace(carries=lambda _: False)
+        self.exchange = SimpleNamespace(has_calls_at=lambda _: False)
         self.discovery = SimpleNamespace()
         self.servers = SimpleNamespace(processes=list, has_unsettled_releases=lambda _: False)
-        self.count_fleet, self.part_of_fleet = lambda: members, lambda: part
+        self.fleet_size, self.fleet_fraction = lambda: members, lambda: part
 
 
 @pytest.mark.parametrize(
-    ("members", "part", "servers_per_proxy", "begin_per_s"),
+    ("members", "part", "servers_per_proxy", "initial_rate_per_s"),
     [
         (0, None, 0, 30.0 / 100),  # one of those that the settings name
         (60, None, 0, 30.0 / 60),  # of those that the fleet's rows name
@@ -255,21 +257,21 @@
         (60, 0.9, 3, 30.0),  # and no more than all
     ],
 )
-def test_a_start_is_a_part_of_a_whole(members, part, servers_per_proxy, begin_per_s):
-    settings_file = Starting(begin_per_s=30.0, servers_per_proxy=servers_per_proxy)
-    start = StartingPart(Fake(100, members, part), settings_file)
+def test_a_start_is_a_part_of_a_whole(members, part, servers_per_proxy, initial_rate_per_s):
+    settings_file = Starting(initial_rate_per_s=30.0, servers_per_proxy=servers_per_proxy)
+    start = ColdStartExtension(Fake(100, members, part), settings_file)
     start.narrowed(True, instances(12))
     entry = start.entered(api.Server("s-0", 0, api.ServerState.READY))
-    assert entry.begin_per_s == pytest.approx(begin_per_s)
+    assert entry.initial_rate_per_s == pytest.approx(initial_rate_per_s)
 
 
 def test_a_proxy_keeps_to_more_servers_as_its_fleet_gets_smaller():
     """By the settings' number of instances, or the fleet's rows where they are on."""
 
     def kept_by(members: int) -> int:
-        start = StartingPart(Fake(100, members), Starting(servers_per_proxy=3, proxies_per_server=25))
+        start = ColdStartExtension(Fake(100, members), Starting(servers_per_proxy=3, proxies_per_server=25))
         told = start.narrowed(True, instances(24))
-        assert all(start.entered(server_of(i)).senders <= (members or 100) for i in told)
+        assert all(start.entered(to_server(i)).senders <= (members or 100) for i in told)
         return len(told)
 
     assert [kept_by(members) for members in (0, 300, 50, 20)] == [6, 3, 12, 24]
@@ -281,9 +283,9 @@
     for name in names(100):
         fake = Fake(100)
         fake.configuration.name = name
-        start = StartingPart(fake, Starting(begin_per_s=30.0, servers_per_proxy=3))
+        start = ColdStartExtension(fake, Starting(initial_rate_per_s=30.0, servers_per_proxy=3))
         for instance in start.narrowed(True, listed):
-            whole[instance.instance_id] += start.entered(server_of(instance)).begin_per_s
+            whole[instance.instance_id] += start.entered(to_server(instance)).initial_rate_per_s
     assert max(whole.values()) <= 30.0 * 1.05 and min(whole.values()) > 30.0 / 3
 
 
--- a/tests/test_simulator_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -122,7 +122,7 @@
 
 def read(*messages):
     """The events that an adapter's host reads from the messages of one instance."""
-    host = simulator_adapter.Host()
+    host = simulator_adapter.ControllerHost()
     list(host.batch(100.0, [["configure", 0, 7, OPTIONS]]))
     return [host._readers[message[0]](message) for message in messages]
 
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -108,7 +108,7 @@
         None,
         attempts=1,
         taken_ms=1_800_000_000_000.0 + number,
-        tried="s-1",
+        last_server_id="s-1",
     )
 
 
@@ -163,14 +163,14 @@
             if fault == "away":
                 await server.stop()
             made.start()
-            made.answered(call(0), "served", 1_800_000_000_040.0)
+            made.call_answered(call(0), "served", 1_800_000_000_040.0)
             if fault != "away":
                 await written(outbox)
             server.faults.drop_before_commit = 2 * (fault == "before")
             server.faults.drop_after_commit = 2 * (fault == "after")
             server.faults.stalled = fault == "stall"
             for number in range(1, 200):
-                made.answered(call(number), "served", 1_800_000_000_040.0 + number)
+                made.call_answered(call(number), "served", 1_800_000_000_040.0 + number)
                 if number == 100 and fault == "restart":
                     await server.restart()
                 if number % 50 == 0:
@@ -199,7 +199,7 @@
             used.server.faults.refuse_rows = {f"{7:016x}"}
             made, outbox = writer(used.backend)
             for number in range(40):
-                made.answered(call(number), "served", 1_800_000_000_040.0 + number)
+                made.call_answered(call(number), "served", 1_800_000_000_040.0 + number)
             made.start()
             await written(outbox)
             await made.drain(WAIT_S)
@@ -217,7 +217,7 @@
             other.execute("BEGIN IMMEDIATE")
             made, outbox = writer(used.backend, write_s=0.1)
             made.start()
-            made.answered(call(1), "served", 1_800_000_000_041.0)
+            made.call_answered(call(1), "served", 1_800_000_000_041.0)
             async with asyncio.timeout(WAIT_S):
                 while not outbox.counts["retried"]:
                     await asyncio.sleep(0.01)
@@ -235,7 +235,7 @@
         made, _ = writer(Sqlite(str(tmp_path / "no" / "such" / "folder.db")), queue_most=3)
         made.start()
         for number in range(5):
-            made.over(call(number), api.Outcome.RESET, 1_800_000_000_050.0)
+            made.call_ended(call(number), api.Outcome.RESET, 1_800_000_000_050.0)
         await made.drain(0.3)
 
     asyncio.run(run())
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -22,7 +22,7 @@
 from pyarrow import parquet
 
 from canvasplank.cli import cli
-from canvasplank.config.settings import Instance
+from canvasplank.config.settings import Endpoint
 from canvasplank.endpoint_cache import writer
 from canvasplank.endpoint_cache.bootstrap import Roster
 from canvasplank.endpoint_cache.cached_list import KeptList, KeptServer
@@ -135,8 +135,8 @@
 
 def write_endpoint_list(path: Path) -> None:
     instances = [
-        Instance("core-a", "10.0.0.1:5060", "ready", 0, START_MS - 5000.0, "north"),
-        Instance("core-b", "10.0.0.2:5060", "draining", 1),
+        Endpoint("core-a", "10.0.0.1:5060", "ready", 0, START_MS - 5000.0, "north"),
+        Endpoint("core-b", "10.0.0.2:5060", "draining", 1),
     ]
     writer.write(str(path), Roster(instances, float(START_MS)).kept())
 
--- a/tests/test_warm_start.py
+++ b/tests/test_warm_start.py
@@ -184,7 +184,7 @@
 
         new = Gateway()
         new.servers(ready("a", 0), ready("b", 1))
-        new.tell(api.Hinted("a", 50.0, shun=False))
+        new.tell(api.WarmStartHint("a", 50.0, shun=False))
         new.full(new.call(first=0)[0], "a")
         rates = {server_id: rate for server_id, _, rate, *_ in new.controller.learned()}
         assert rates["a"] < 50.0
@@ -195,5 +195,5 @@
         new = Gateway()
         new.servers(ready("a", 0))
         new.steady("a", first=0, count=3)
-        new.tell(api.Hinted("a", None, shun=True))
+        new.tell(api.WarmStartHint("a", None, shun=True))
         assert sent_to(new.call(first=0)[1]) == ["a"]
