--- a/benchmarks/budgets.py
+++ b/benchmarks/budgets.py
@@ -23,7 +23,7 @@
 
 from canvasplank.counters import Counters
 from canvasplank.fleet.config import Budget, Fleet
-from canvasplank.fleet.lease_renewer import Agent
+from canvasplank.fleet.lease_renewer import LeaseRenewer
 from emulators.budgets import BudgetFleet, Plan
 from emulators.callers import Callers
 from emulators.fleet import fleet
@@ -126,7 +126,7 @@
         store = PostgresqlStandIn(Path(folder))
         await store.start()
         settings = Fleet("postgresql", count, [Budget("all", "set-ups", 10.0 * count)], dsn=store.dsn)
-        agents = [Agent(settings, f"n{n}", n, Counters()) for n in range(count)]
+        agents = [LeaseRenewer(settings, f"n{n}", n, Counters()) for n in range(count)]
         for agent in agents:
             agent.start()
         await asyncio.sleep(8.0)
--- a/benchmarks/ownership.py
+++ b/benchmarks/ownership.py
@@ -88,7 +88,7 @@
 
     async def owners(self) -> dict[str, str]:
         """Who owns what, by name."""
-        rows = await self.fleet.look()
+        rows = await self.fleet.read_state()
         return {task: rows.members[t.owner].name for task, t in rows.tasks.items() if t.owner in rows.members}
 
     async def until_owned_by(self, name: str) -> float:
--- a/canvasplank/cli.py
+++ b/canvasplank/cli.py
@@ -17,11 +17,11 @@
 from canvasplank.fleet.backend import Backend
 from canvasplank.fleet.config import Fleet, load_fleet
 from canvasplank.fleet.lease_transaction import leased
-from canvasplank.fleet.state import Holding, Rows
+from canvasplank.fleet.state import Allocation, FleetState
 from canvasplank.store.__main__ import cli as store_cli
 
 THOUSANDTHS = 1000.0
-TOLD_PERIODS = 2.5  # renewals' periods: a member that has not renewed within is told as quiet
+QUIET_AFTER_PERIODS = 2.5  # renewals' periods: a member that has not renewed within is told as quiet
 
 Result = TypeVar("Result")
 
@@ -34,16 +34,16 @@
 )
 
 
-def asked(path: str, ask: Callable[[Fleet, Backend], Awaitable[Result]]) -> Result:
+def query(path: str, read: Callable[[Fleet, Backend], Awaitable[Result]]) -> Result:
     """What the fleet's store says, or an exit with one line."""
 
     async def run() -> Result:
         fleet = load_fleet(path)
-        backend = fleet.open_with()
+        backend = fleet.create_backend()
         async with asyncio.timeout(fleet.request_ms / THOUSANDTHS):
             await backend.open()
         try:
-            return await ask(fleet, backend)
+            return await read(fleet, backend)
         finally:
             await backend.close()
 
@@ -79,12 +79,12 @@
     Takes a little more than two periods of renewals, since that alone tells who is there.
     """
 
-    async def ask(settings: Fleet, backend: Backend) -> tuple[Rows, Rows]:
-        before = await backend.look()
-        await asyncio.sleep(TOLD_PERIODS * settings.renew_ms / THOUSANDTHS)
-        return before, await backend.look()
+    async def read(settings: Fleet, backend: Backend) -> tuple[FleetState, FleetState]:
+        before = await backend.read_state()
+        await asyncio.sleep(QUIET_AFTER_PERIODS * settings.renew_ms / THOUSANDTHS)
+        return before, await backend.read_state()
 
-    before, after = asked(path, ask)
+    before, after = query(path, read)
     for incarnation, member in sorted(after.members.items()):
         old = before.members.get(incarnation)
         renewed = member.seq - old.seq if old else member.seq
@@ -102,10 +102,10 @@
 def forget(path: str, incarnation: int) -> None:
     """Remove a row by hand: one that this version cannot read, of a proxy that is surely no more."""
 
-    async def ask(_: Fleet, backend: Backend) -> bool:
-        return await backend.forget(incarnation)
+    async def read(_: Fleet, backend: Backend) -> bool:
+        return await backend.remove_member(incarnation)
 
-    if not asked(path, ask):
+    if not query(path, read):
         raise click.ClickException(f"there is no {incarnation}")
     click.echo(f"{incarnation} removed")
 
@@ -115,12 +115,12 @@
 def owners(path: str) -> None:
     """Each task of the fleet: who owns it, in which term, how often it failed in a row."""
 
-    async def ask(_: Fleet, backend: Backend) -> Rows:
-        return await backend.look()
+    async def read(_: Fleet, backend: Backend) -> FleetState:
+        return await backend.read_state()
 
-    rows = asked(path, ask)
-    for name, task in sorted(rows.tasks.items()):
-        member = rows.members.get(task.owner)
+    state = query(path, read)
+    for name, task in sorted(state.tasks.items()):
+        member = state.members.get(task.owner)
         owner = "nobody" if member is None else f"{member.name} ({member.incarnation})"
         failed = f"\tfailed {task.failures} times, last at {task.failed_by}" if task.failures else ""
         click.echo(f"{name}\t{owner}\tterm {task.term}{failed}")
@@ -158,27 +158,29 @@
 def show(path: str) -> None:
     """Each budget, and each proxy's share and demand in it, in units a second."""
 
-    async def ask(_: Fleet, backend: Backend) -> Rows:
-        return await backend.look()
+    async def read(_: Fleet, backend: Backend) -> FleetState:
+        return await backend.read_state()
 
-    rows = asked(path, ask)
-    for budget in sorted({name for member in rows.members.values() for name in member.holdings}):
-        parts = [(m, m.holdings[budget]) for _, m in sorted(rows.members.items()) if budget in m.holdings]
-        whole = leased([holding for _, holding in parts])
-        held = sum(holding.held for _, holding in parts)
+    state = query(path, read)
+    for budget in sorted({name for member in state.members.values() for name in member.allocations}):
+        shares = [
+            (m, m.allocations[budget]) for _, m in sorted(state.members.items()) if budget in m.allocations
+        ]
+        total = leased([allocation for _, allocation in shares])
+        held = sum(allocation.held for _, allocation in shares)
         click.echo(
-            f"{budget}\tleased {held / THOUSANDTHS:g} of {whole / THOUSANDTHS:g}/s"
-            f"\tfree {(whole - held) / THOUSANDTHS:g}/s"
+            f"{budget}\tleased {held / THOUSANDTHS:g} of {total / THOUSANDTHS:g}/s"
+            f"\tfree {(total - held) / THOUSANDTHS:g}/s"
         )
-        for member, holding in parts:
+        for member, allocation in shares:
             click.echo(
-                f"  {member.name}\t{member.incarnation}\tholds {holding.held / THOUSANDTHS:g}/s"
-                f"\twants {_wanted(holding)}"
+                f"  {member.name}\t{member.incarnation}\tholds {allocation.held / THOUSANDTHS:g}/s"
+                f"\twants {_demand_of(allocation)}"
             )
 
 
-def _wanted(holding: Holding) -> str:
-    return "-" if holding.demand is None else f"{holding.demand / THOUSANDTHS:g}/s"
+def _demand_of(allocation: Allocation) -> str:
+    return "-" if allocation.demand is None else f"{allocation.demand / THOUSANDTHS:g}/s"
 
 
 cli.add_command(store_cli, "store")
--- a/canvasplank/fleet/backend.py
+++ b/canvasplank/fleet/backend.py
@@ -6,12 +6,12 @@
 from typing import NamedTuple, Protocol
 
 from canvasplank.database.migrations import Schema
-from canvasplank.fleet.state import Answer, Request, Rows
+from canvasplank.fleet.state import FleetState, LeaseRequest, LeaseResponse
 
-Effects = Iterable[tuple[str, tuple]]  # statements with their parameters; what it yields may wait and look
+Statements = Iterable[tuple[str, tuple]]  # statements with their parameters; what it yields may wait and look
 
 
-class Tenure(NamedTuple):
+class FencingToken(NamedTuple):
     """What an owner acts under; every effect of it names all three."""
 
     task: str
@@ -19,11 +19,11 @@
     owner: int
 
 
-class TermOverError(Exception):
+class StaleTermError(Exception):
     """Somebody else owns the task, or nobody: the effect was not done, and nothing of it is there."""
 
-    def __init__(self, tenure: Tenure) -> None:
-        super().__init__(f"term {tenure.term} of {tenure.task} is over")
+    def __init__(self, token: FencingToken) -> None:
+        super().__init__(f"term {token.term} of {token.task} is over")
 
 
 class Backend(Protocol):
@@ -32,22 +32,22 @@
     async def open(self) -> None:
         """Connect and bring the tables up to date."""
 
-    async def transact(self, request: Request) -> Answer:
+    async def transact(self, request: LeaseRequest) -> LeaseResponse:
         """Apply a request to the rows in one transaction (``ledger.apply``), durably."""
 
     async def migrate(self, schema: Schema) -> None:
         """Bring another subsystem's tables in the same database up to date."""
 
-    async def act(self, tenure: Tenure, effects: Effects) -> None:
-        """Carry out an owner's effects in one transaction, or none of them: ``TermOverError``."""
+    async def execute_fenced(self, token: FencingToken, statements: Statements) -> None:
+        """Carry out an owner's effects in one transaction, or none of them: ``StaleTermError``."""
 
     async def read(self, statement: str, values: tuple = ()) -> list[tuple]:
         """Rows of one statement that changes nothing."""
 
-    async def look(self) -> Rows:
+    async def read_state(self) -> FleetState:
         """The rows as they are, for the operators."""
 
-    async def forget(self, incarnation: int) -> bool:
+    async def remove_member(self, incarnation: int) -> bool:
         """Remove a row by hand; whether it was there."""
 
     async def close(self) -> None:
--- a/canvasplank/fleet/budget_limiter.py
+++ b/canvasplank/fleet/budget_limiter.py
@@ -10,21 +10,21 @@
 from dataclasses import dataclass
 from typing import Literal
 
-from canvasplank.fleet.lease_holder import Holder
+from canvasplank.fleet.lease_holder import LeaseHolder
 
 UNIT = 1_000_000.0  # a set-up, in thousandths a second times milliseconds
 Kind = Literal["set-ups", "member", "repeats", "server"]
 BAND_LOW, BAND_HIGH = 0.7, 1.1  # a demand within this of what was reported is no news
 HEADROOM = 1.25  # more than was used is asked for, so that a share is there before it is needed
-PRESSED = 2.0  # times the allowance is asked for where it did not do
+SATURATED_FACTOR = 2.0  # times the allowance is asked for where it did not do
 
 
 @dataclass(frozen=True, slots=True)
-class Scope:
+class BudgetScope:
     """What a budget is spent on."""
 
     kind: Kind
-    of: str = ""  # the member, or the server
+    subject: str = ""  # the member, or the server
 
     def covers(self, tenant: str | None, attempt: int, server_id: str) -> bool:
         """Whether a set-up needs a unit of it; attempts of a call count from 0."""
@@ -32,14 +32,14 @@
             case "set-ups":
                 return True
             case "member":
-                return attempt == 0 and tenant == self.of
+                return attempt == 0 and tenant == self.subject
             case "repeats":
                 return attempt > 0
             case _:
-                return server_id == self.of
+                return server_id == self.subject
 
 
-class Bucket:
+class TokenBucket:
     """Fills at an allowance that ends with a lease, holds ``burst_ms`` of it or a unit, and starts empty."""
 
     def __init__(self, burst_ms: float, now_ms: float) -> None:
@@ -47,16 +47,16 @@
         self._tokens = 0.0
         self._last_ms = now_ms
 
-    def settle(self, now_ms: float, own_part: int, share: int, until_ms: float) -> int:
+    def settle(self, now_ms: float, unleased_quota: int, share: int, until_ms: float) -> int:
         """Bring it up to now, under an allowance that has not changed since; gives the allowance now.
 
         Guards a pause of ours (a stopped process) against what was leased running on past its end.
         """
         if now_ms > self._last_ms:
             leased_ms = max(0.0, min(now_ms, until_ms) - self._last_ms)
-            self._tokens += own_part * (now_ms - self._last_ms) + share * leased_ms
+            self._tokens += unleased_quota * (now_ms - self._last_ms) + share * leased_ms
             self._last_ms = now_ms
-        allowance = own_part + (share if now_ms < until_ms else 0)
+        allowance = unleased_quota + (share if now_ms < until_ms else 0)
         self._tokens = min(self._tokens, max(UNIT, allowance * self._burst_ms))
         return allowance
 
@@ -72,12 +72,12 @@
         self._tokens -= UNIT
 
 
-class Demand:
+class DemandEstimator:
     """What is reported of the use, so that it changes seldom: a report outside the band, or none."""
 
     def __init__(self) -> None:
         self._spent = 0
-        self._pressed = False
+        self._saturated = False
         self._since_ms: float | None = None
         self._reported: int | None = None
 
@@ -85,34 +85,36 @@
         """A unit was used."""
         self._spent += 1
 
-    def pressed(self) -> None:
+    def saturated(self) -> None:
         """A unit was wanted and not there."""
-        self._pressed = True
+        self._saturated = True
 
     def report(self, now_ms: float, allowance: int) -> int | None:
         """What to report now, from the use since the last time; None: nothing is known yet."""
         since_ms, self._since_ms = self._since_ms, now_ms
         spent, self._spent = self._spent, 0
-        pressed, self._pressed = self._pressed, False
+        saturated, self._saturated = self._saturated, False
         if since_ms is None or now_ms <= since_ms:
             return self._reported
-        wanted = int(HEADROOM * spent * UNIT / (now_ms - since_ms))
-        if pressed:
-            wanted = max(wanted, int(PRESSED * allowance))
+        demand = int(HEADROOM * spent * UNIT / (now_ms - since_ms))
+        if saturated:
+            demand = max(demand, int(SATURATED_FACTOR * allowance))
         old = self._reported
-        if old is None or not BAND_LOW * old <= wanted <= BAND_HIGH * old:
+        if old is None or not BAND_LOW * old <= demand <= BAND_HIGH * old:
             # Down by halves, up at once: a lull between two calls is no end of the demand.
-            self._reported = wanted if old is None or wanted > old else (wanted + old) // 2
+            self._reported = demand if old is None or demand > old else (demand + old) // 2
         return self._reported
 
 
-class Spender:
+class BudgetLimiter:
     """All budgets of one proxy: whether a set-up may go, and that it went."""
 
-    def __init__(self, holder: Holder, scopes: Mapping[str, Scope], burst_ms: float, now_ms: float) -> None:
+    def __init__(
+        self, holder: LeaseHolder, scopes: Mapping[str, BudgetScope], burst_ms: float, now_ms: float
+    ) -> None:
         self._holder, self._scopes = holder, dict(scopes)
-        self._buckets = {budget: Bucket(burst_ms, now_ms) for budget in scopes}
-        self._demands = {budget: Demand() for budget in scopes}
+        self._buckets = {budget: TokenBucket(burst_ms, now_ms) for budget in scopes}
+        self._demands = {budget: DemandEstimator() for budget in scopes}
 
     def covering(self, tenant: str | None, attempt: int, server_id: str) -> list[str]:
         """The budgets that a set-up needs a unit of, each."""
@@ -129,7 +131,7 @@
         for budget in budgets:
             wait_ms = self._buckets[budget].wait_ms(self._settle(budget, now_ms))
             if wait_ms > 0:
-                self._demands[budget].pressed()
+                self._demands[budget].saturated()
             longest_ms = max(longest_ms, wait_ms)
         return longest_ms
 
@@ -153,5 +155,5 @@
     def _settle(self, budget: str, now_ms: float) -> int:
         holder = self._holder
         return self._buckets[budget].settle(
-            now_ms, holder.terms[budget].own_part, holder.using(budget), holder.until_ms
+            now_ms, holder.limits[budget].unleased_quota, holder.in_use(budget), holder.until_ms
         )
--- a/canvasplank/fleet/config.py
+++ b/canvasplank/fleet/config.py
@@ -9,8 +9,8 @@
 from canvasplank.config.extension_file import load_extension_settings
 from canvasplank.database.location import check_where
 from canvasplank.fleet.backend import Backend
-from canvasplank.fleet.budget_limiter import Kind, Scope
-from canvasplank.fleet.lease_holder import Lease, Terms
+from canvasplank.fleet.budget_limiter import BudgetScope, Kind
+from canvasplank.fleet.lease_holder import BudgetLimits, Lease
 
 Milliseconds = Annotated[float, msgspec.Meta(gt=0, le=600_000)]
 THOUSANDTHS = 1000
@@ -21,16 +21,20 @@
 
     name: Annotated[str, msgspec.Meta(min_length=1, max_length=64)]
     kind: Kind
-    whole_per_s: Annotated[float, msgspec.Meta(gt=0, le=1_000_000)]
-    of: str = ""  # kind member: which; kind server: its instanceId
-    kept_back: Annotated[float, msgspec.Meta(ge=0, le=1)] = 0.1  # of the whole, for proxies without a lease
+    total_per_s: Annotated[float, msgspec.Meta(gt=0, le=1_000_000)] = msgspec.field(name="whole_per_s")
+    subject: str = msgspec.field(name="of", default="")  # kind member: which; kind server: its instanceId
+    # Of the total, for proxies without a lease.
+    reserve_fraction: Annotated[float, msgspec.Meta(ge=0, le=1)] = msgspec.field(
+        name="kept_back", default=0.1
+    )
 
 
 class Fleet(msgspec.Struct, forbid_unknown_fields=True):
     """The fleet's coordination."""
 
     backend: Literal["sqlite", "postgresql"]
-    proxies_most: Annotated[int, msgspec.Meta(ge=1, le=10_000)]  # processes that may run at once
+    # Processes that may run at once.
+    max_members: Annotated[int, msgspec.Meta(ge=1, le=10_000)] = msgspec.field(name="proxies_most")
     budget: list[Budget]
     path: str = ""  # sqlite: the file
     dsn: str = ""  # postgresql: postgresql://user@host:port/database; the password comes from PGPASSWORD
@@ -46,22 +50,22 @@
         """How long a share may be used."""
         return Lease(self.lease_ms, self.margin_ms, self.drift)
 
-    def terms(self) -> dict[str, Terms]:
+    def budget_limits(self) -> dict[str, BudgetLimits]:
         """The budgets, in thousandths."""
         return {
-            each.name: Terms(
-                int(each.whole_per_s * THOUSANDTHS),
-                int(each.whole_per_s * each.kept_back * THOUSANDTHS),
-                self.proxies_most,
+            each.name: BudgetLimits(
+                int(each.total_per_s * THOUSANDTHS),
+                int(each.total_per_s * each.reserve_fraction * THOUSANDTHS),
+                self.max_members,
             )
             for each in self.budget
         }
 
-    def scopes(self) -> dict[str, Scope]:
+    def scopes(self) -> dict[str, BudgetScope]:
         """What each is spent on."""
-        return {each.name: Scope(each.kind, each.of) for each in self.budget}
+        return {each.name: BudgetScope(each.kind, each.subject) for each in self.budget}
 
-    def open_with(self) -> Backend:
+    def create_backend(self) -> Backend:
         """The backend, not yet opened.  Only the driver that is configured is imported."""
         if self.backend == "sqlite":
             from canvasplank.fleet.sqlite import Sqlite
@@ -84,13 +88,13 @@
     if not fleet.budget:
         raise ValueError("no budget is named")
     for each in fleet.budget:
-        if bool(each.of) != (each.kind in ("member", "server")):
-            raise ValueError(f"budget {each.name}: kind {each.kind} and of {each.of!r} do not fit")
-        if each.whole_per_s < fleet.proxies_most:
+        if bool(each.subject) != (each.kind in ("member", "server")):
+            raise ValueError(f"budget {each.name}: kind {each.kind} and of {each.subject!r} do not fit")
+        if each.total_per_s < fleet.max_members:
             raise ValueError(
-                f"budget {each.name}: a whole of {each.whole_per_s:g} is less than one unit a "
-                f"second for each of {fleet.proxies_most} proxies"
+                f"budget {each.name}: a whole of {each.total_per_s:g} is less than one unit a "
+                f"second for each of {fleet.max_members} proxies"
             )
-    for what in ([each.name for each in fleet.budget], [(each.kind, each.of) for each in fleet.budget]):
+    for what in ([each.name for each in fleet.budget], [(each.kind, each.subject) for each in fleet.budget]):
         if len(set(what)) < len(what):
             raise ValueError("a budget is named twice")
--- a/canvasplank/fleet/extension.py
+++ b/canvasplank/fleet/extension.py
@@ -5,7 +5,7 @@
 from canvasplank import interface as api
 from canvasplank.extensions.extension import Extension, ExtensionContext, ExtensionFactory
 from canvasplank.fleet.config import Fleet, load_fleet
-from canvasplank.fleet.lease_renewer import Agent
+from canvasplank.fleet.lease_renewer import LeaseRenewer
 
 
 def load(path: str) -> ExtensionFactory:
@@ -19,29 +19,31 @@
 
     def __init__(self, context: ExtensionContext, settings: Fleet) -> None:
         configuration = context.configuration
-        self._agent = Agent(settings, configuration.name, int(configuration.seed, 16), context.counters)
+        self._renewer = LeaseRenewer(
+            settings, configuration.name, int(configuration.seed, 16), context.counters
+        )
         context.controller.spend = self._spend
-        context.fleet_size = lambda: len(self._agent.watch)
-        context.fleet_fraction = self._agent.part_of_set_ups
-        self._agent.hears = lambda: context.discovery.heard_ms is not None
-        self._agent.others_hear = self._others_hear
+        context.fleet_size = lambda: len(self._renewer.failure_detector)
+        context.fleet_fraction = self._renewer.set_up_fraction
+        self._renewer.sees_discovery = lambda: context.discovery.heard_ms is not None
+        self._renewer.on_others_see_discovery = self._on_others_see_discovery
         self._context = context
 
     def _spend(self, call: api.Call, attempt: int, server_id: str, take: bool) -> float:
-        return self._agent.spend(call.tenant, attempt, server_id, take)
+        return self._renewer.spend(call.tenant, attempt, server_id, take)
 
-    def _others_hear(self) -> None:
+    def _on_others_see_discovery(self) -> None:
         self._context.scheduler.begin_iteration()
         self._context.discovery.heard_by_others()
 
     async def start(self) -> None:
         """See ``Extension``; until there is a lease the proxy has its part of what is kept back."""
-        self._agent.start()
+        self._renewer.start()
 
     def export_metrics(self) -> None:
         """See ``Extension``."""
-        self._agent.count()
+        self._renewer.export_metrics()
 
     async def drain(self, within_s: float) -> None:
         """See ``Extension``."""
-        await self._agent.close(within_s)
+        await self._renewer.close(within_s)
--- a/canvasplank/fleet/failure_detector.py
+++ b/canvasplank/fleet/failure_detector.py
@@ -9,30 +9,30 @@
 from collections.abc import Iterable
 
 from canvasplank.fleet.lease_holder import Lease
-from canvasplank.fleet.state import Sign
+from canvasplank.fleet.state import Heartbeat
 
 
-class Watch:
+class FailureDetector:
     """The rows as they were last seen, and since when."""
 
     def __init__(self, lease: Lease) -> None:
         self._lease = lease
-        self._since: dict[int, tuple[Sign, float]] = {}  # by incarnation: its row, and when that was new
+        self._since: dict[int, tuple[Heartbeat, float]] = {}  # by incarnation: its row, and when that was new
 
-    def saw(self, signs: Iterable[Sign], now_ms: float) -> None:
+    def observe(self, heartbeats: Iterable[Heartbeat], now_ms: float) -> None:
         """All rows there are, from an answer that is here now."""
-        fresh: dict[int, tuple[Sign, float]] = {}
-        for sign in signs:
-            before, since_ms = self._since.get(sign.incarnation, (None, now_ms))
-            fresh[sign.incarnation] = (sign, since_ms if before == sign else now_ms)
+        fresh: dict[int, tuple[Heartbeat, float]] = {}
+        for heartbeat in heartbeats:
+            before, since_ms = self._since.get(heartbeat.incarnation, (None, now_ms))
+            fresh[heartbeat.incarnation] = (heartbeat, since_ms if before == heartbeat else now_ms)
         self._since = fresh
 
-    def dead(self, now_ms: float) -> tuple[Sign, ...]:
+    def expired(self, now_ms: float) -> tuple[Heartbeat, ...]:
         """Those that a request sent now may have removed."""
         return tuple(
-            sign
-            for sign, since_ms in sorted(self._since.values())
-            if now_ms - since_ms >= self._lease.over_ms(sign.lease_ms)
+            heartbeat
+            for heartbeat, since_ms in sorted(self._since.values())
+            if now_ms - since_ms >= self._lease.expiry_ms(heartbeat.lease_ms)
         )
 
     def __len__(self) -> int:
--- a/canvasplank/fleet/lease_holder.py
+++ b/canvasplank/fleet/lease_holder.py
@@ -9,23 +9,23 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass
 
-from canvasplank.fleet.state import Answer, Holding, Request, Sign
+from canvasplank.fleet.state import Allocation, Heartbeat, LeaseRequest, LeaseResponse
 
 NEVER = float("-inf")
 
 
 @dataclass(frozen=True, slots=True)
-class Terms:
+class BudgetLimits:
     """One budget, as this proxy's file has it; rates in thousandths of a unit a second."""
 
-    whole: int
+    total: int
     reserve: int
-    most: int  # proxies that there may be
+    max_members: int  # proxies that there may be
 
     @property
-    def own_part(self) -> int:
+    def unleased_quota(self) -> int:
         """Of what is kept back, this proxy's: it may use that always."""
-        return self.reserve // self.most
+        return self.reserve // self.max_members
 
 
 @dataclass(frozen=True, slots=True)
@@ -40,7 +40,7 @@
         """After a request was sent: so long its answer may be used."""
         return self.lease_ms * (1 - self.drift) - self.margin_ms
 
-    def over_ms(self, theirs_ms: float) -> float:
+    def expiry_ms(self, theirs_ms: float) -> float:
         """After a row was first seen: unchanged for so long, nobody uses it any more.
 
         Guards, with the lease that the row itself names, a proxy whose file has a longer one than ours.
@@ -48,44 +48,46 @@
         return max(self.lease_ms, theirs_ms) * (1 + self.drift) + self.margin_ms
 
 
-class Holder:
+class LeaseHolder:
     """One proxy's side of all budgets."""
 
-    def __init__(self, name: str, terms: Mapping[str, Terms], lease: Lease, most: int | None = None) -> None:
-        """``most``: proxies that there may be, for one that holds no budgets."""
-        self.name, self.terms, self._lease = name, dict(terms), lease
-        self._most = most or min(each.most for each in terms.values())
+    def __init__(
+        self, name: str, limits: Mapping[str, BudgetLimits], lease: Lease, max_members: int | None = None
+    ) -> None:
+        """``max_members``: proxies that there may be, for one that holds no budgets."""
+        self.name, self.limits, self._lease = name, dict(limits), lease
+        self._max_members = max_members or min(each.max_members for each in limits.values())
         self.incarnation: int | None = None
         self.until_ms = NEVER  # so long the shares may be used
         self._seq = 0
         self._sent_ms = NEVER
-        self._using = dict.fromkeys(terms, 0)
-        self._target = dict.fromkeys(terms, 0)
+        self._in_use = dict.fromkeys(limits, 0)
+        self._target = dict.fromkeys(limits, 0)
 
     def allowance(self, budget: str, now_ms: float) -> int:
         """What it may use now: its part of what is kept back, and its share while the lease runs."""
-        return self.terms[budget].own_part + self.share(budget, now_ms)
+        return self.limits[budget].unleased_quota + self.share(budget, now_ms)
 
     def share(self, budget: str, now_ms: float) -> int:
         """The leased part of that."""
-        return self._using[budget] if now_ms < self.until_ms else 0
+        return self._in_use[budget] if now_ms < self.until_ms else 0
 
-    def using(self, budget: str) -> int:
+    def in_use(self, budget: str) -> int:
         """The leased part as it was granted, whether or not the lease still runs."""
-        return self._using[budget]
+        return self._in_use[budget]
 
-    def short(self) -> bool:
+    def is_below_target(self) -> bool:
         """Whether it should have more, which others are to let go of."""
-        return any(self._using[budget] < self._target[budget] for budget in self.terms)
+        return any(self._in_use[budget] < self._target[budget] for budget in self.limits)
 
-    def request(
+    def next_request(
         self,
         now_ms: float,
         demands: Mapping[str, int | None],
-        dead: Iterable[Sign] = (),
+        expired: Iterable[Heartbeat] = (),
         *,
         leaving: bool = False,
-    ) -> Request:
+    ) -> LeaseRequest:
         """The next one; nothing that was sent before it counts any more.
 
         ``now_ms`` must be read before anything of it is sent: the lease runs from there.
@@ -93,42 +95,42 @@
         self._seq += 1
         self._sent_ms = now_ms
         if leaving:
-            self._let_go()
-        using = {
-            budget: Holding(terms.whole, terms.reserve, self._using[budget], demands.get(budget))
-            for budget, terms in self.terms.items()
+            self._drop_shares()
+        in_use = {
+            budget: Allocation(limits.total, limits.reserve, self._in_use[budget], demands.get(budget))
+            for budget, limits in self.limits.items()
         }
-        return Request(
+        return LeaseRequest(
             self.name,
             self.incarnation,
             self._seq,
-            self._most,
+            self._max_members,
             self._lease.lease_ms,
-            using,
-            tuple(dead),
+            in_use,
+            tuple(expired),
             leaving,
         )
 
-    def answered(self, answer: Answer) -> bool:
+    def on_response(self, response: LeaseResponse) -> bool:
         """Take an answer; False: it is not that of the newest request and tells nothing."""
-        if answer.seq != self._seq:
+        if response.seq != self._seq:
             return False
-        if answer.incarnation is None:
+        if response.incarnation is None:
             self.incarnation = None
-            self._let_go()
+            self._drop_shares()
             return True
-        self.incarnation = answer.incarnation
+        self.incarnation = response.incarnation
         self.until_ms = self._sent_ms + self._lease.usable_ms()
-        for budget, grant in answer.grants.items():
+        for budget, grant in response.grants.items():
             self._target[budget] = grant.target
             # What it should let go of it uses no more from here on, and says so with the next request.
-            self._using[budget] = min(grant.share, grant.target)
+            self._in_use[budget] = min(grant.share, grant.target)
         return True
 
-    def owes(self, answer: Answer) -> bool:
+    def has_excess(self, response: LeaseResponse) -> bool:
         """Whether the answer's shares are more than it uses now: others may be waiting for the rest."""
-        return any(grant.share > grant.target for grant in answer.grants.values())
+        return any(grant.share > grant.target for grant in response.grants.values())
 
-    def _let_go(self) -> None:
+    def _drop_shares(self) -> None:
         self.until_ms = NEVER
-        self._using = dict.fromkeys(self.terms, 0)
+        self._in_use = dict.fromkeys(self.limits, 0)
--- a/canvasplank/fleet/lease_transaction.py
+++ b/canvasplank/fleet/lease_transaction.py
@@ -11,121 +11,147 @@
 import msgspec
 
 from canvasplank.fleet.fair_division import divide
-from canvasplank.fleet.state import Answer, Grant, Holding, Member, Request, Rows, Sign, Task
-
-
-def apply(rows: Rows, request: Request) -> tuple[Rows, Answer]:
+from canvasplank.fleet.state import (
+    Allocation,
+    FleetState,
+    Grant,
+    Heartbeat,
+    LeaseRequest,
+    LeaseResponse,
+    Member,
+    Task,
+)
+
+
+def apply(rows: FleetState, request: LeaseRequest) -> tuple[FleetState, LeaseResponse]:
     """The rows after a request, and its answer; ``rows`` itself is not changed."""
     members = dict(rows.members)
-    for sign in request.dead:
-        known = members.get(sign.incarnation)
+    for heartbeat in request.expired:
+        known = members.get(heartbeat.incarnation)
         # Guards against removing one that has renewed since it was last seen.
-        if known is not None and known.seq == sign.seq and sign.incarnation != request.incarnation:
-            del members[sign.incarnation]
+        if known is not None and known.seq == heartbeat.seq and heartbeat.incarnation != request.incarnation:
+            del members[heartbeat.incarnation]
     after = replace(rows, members=members)
     if request.incarnation is None:
         return _join(after, request)
     known = members.get(request.incarnation)
     if known is None:
-        return after, _none(after, request, "the lease is over")
+        return after, _without_lease(after, request, "the lease is over")
     if request.seq <= known.seq:
         # Guards against a request that comes late, or twice, undoing a newer one.
-        return rows, _none(rows, request, "an old request")
+        return rows, _without_lease(rows, request, "an old request")
     if request.leaving:
         del members[request.incarnation]
-        return after, _none(after, request, "left")
-    if any(_held(known, budget) < holding.held for budget, holding in request.using.items()):
+        return after, _without_lease(after, request, "left")
+    if any(_held(known, budget) < allocation.held for budget, allocation in request.in_use.items()):
         # It believes that it holds what nobody granted it: what it has is not to be built on.
         del members[request.incarnation]
-        return after, _none(after, request, "it uses more than it was granted")
+        return after, _without_lease(after, request, "it uses more than it was granted")
     return _grant(after, request, request.incarnation)
 
 
-def _join(rows: Rows, request: Request) -> tuple[Rows, Answer]:
-    most = min([request.most, *(member.most for member in rows.members.values())])
-    if len(rows.members) + len(rows.unreadable) >= most:
-        return rows, _none(rows, request, f"there are {most} already")
+def _join(rows: FleetState, request: LeaseRequest) -> tuple[FleetState, LeaseResponse]:
+    max_members = min([request.max_members, *(member.max_members for member in rows.members.values())])
+    if len(rows.members) + len(rows.unreadable) >= max_members:
+        return rows, _without_lease(rows, request, f"there are {max_members} already")
     incarnation = rows.next_incarnation
-    fresh = {budget: msgspec.structs.replace(holding, held=0) for budget, holding in request.using.items()}
+    fresh = {
+        budget: msgspec.structs.replace(allocation, held=0) for budget, allocation in request.in_use.items()
+    }
     joined = replace(rows, next_incarnation=incarnation + 1)
-    return _grant(joined, msgspec.structs.replace(request, using=fresh), incarnation)
+    return _grant(joined, msgspec.structs.replace(request, in_use=fresh), incarnation)
 
 
-def _grant(rows: Rows, request: Request, incarnation: int) -> tuple[Rows, Answer]:
+def _grant(rows: FleetState, request: LeaseRequest, incarnation: int) -> tuple[FleetState, LeaseResponse]:
     """Write what it uses, and add to that what it should have and nobody holds."""
     others = {key: member for key, member in rows.members.items() if key != incarnation}
     grants: dict[str, Grant] = {}
-    holdings: dict[str, Holding] = {}
-    for budget, mine in request.using.items():
-        theirs = {key: m.holdings[budget] for key, m in others.items() if budget in m.holdings}
-        whole = leased([mine, *theirs.values()])
-        wants = {key: holding.demand for key, holding in (theirs | {incarnation: mine}).items()}
-        target = divide(whole, dict(sorted(wants.items())))[incarnation]
-        free = whole - mine.held - sum(holding.held for holding in theirs.values())
+    allocations: dict[str, Allocation] = {}
+    for budget, own in request.in_use.items():
+        others_allocations = {
+            key: m.allocations[budget] for key, m in others.items() if budget in m.allocations
+        }
+        total = leased([own, *others_allocations.values()])
+        demands = {
+            key: allocation.demand for key, allocation in (others_allocations | {incarnation: own}).items()
+        }
+        target = divide(total, dict(sorted(demands.items())))[incarnation]
+        free = total - own.held - sum(allocation.held for allocation in others_allocations.values())
         if rows.unreadable:  # whoever they are, they may hold all of the rest
             free = 0
-        share = max(mine.held, min(target, mine.held + free))
+        share = max(own.held, min(target, own.held + free))
         grants[budget] = Grant(share, target)
-        holdings[budget] = msgspec.structs.replace(mine, held=share)
+        allocations[budget] = msgspec.structs.replace(own, held=share)
     member = Member(
         incarnation,
         request.name,
         request.seq,
-        request.most,
+        request.max_members,
         request.lease_ms,
-        holdings,
-        request.able,
-        request.hears,
+        allocations,
+        request.capabilities,
+        request.sees_discovery,
     )
     after = _assign(replace(rows, members=others | {incarnation: member}), request, incarnation)
-    hear = sum(other.hears for other in others.values())
-    return after, Answer(incarnation, request.seq, grants, _signs(after), tasks=after.tasks, hear=hear)
+    members_seeing_discovery = sum(other.sees_discovery for other in others.values())
+    return after, LeaseResponse(
+        incarnation,
+        request.seq,
+        grants,
+        _heartbeats(after),
+        tasks=after.tasks,
+        members_seeing_discovery=members_seeing_discovery,
+    )
 
 
-def _assign(rows: Rows, request: Request, me: int) -> Rows:
+def _assign(rows: FleetState, request: LeaseRequest, incarnation: int) -> FleetState:
     """Take what it gives up, and give it what is free and its turn; each new owner has a term of its own."""
     tasks = dict(rows.tasks)
     for name, task in rows.tasks.items():
-        if task.owner == me and name in request.given_up:
-            tasks[name] = Task(task.term, None, task.failures + 1, me)
-        elif task.owner == me and name not in request.able:
+        if task.owner == incarnation and name in request.given_up:
+            tasks[name] = Task(task.term, None, task.failures + 1, incarnation)
+        elif task.owner == incarnation and name not in request.capabilities:
             tasks[name] = msgspec.structs.replace(task, owner=None)  # handed over
-        elif task.owner == me and name in request.done and task.failures:
+        elif task.owner == incarnation and name in request.done and task.failures:
             tasks[name] = msgspec.structs.replace(task, failures=0, failed_by=None)
     for name, failures in request.ready.items():
         task = tasks.get(name, Task())
         free = task.owner not in rows.members and name not in request.given_up
         # Guards against taking what has just failed elsewhere, without the wait that its failures ask for.
-        if free and task.failures == failures and _turn(rows, tasks, name, me):
-            tasks[name] = msgspec.structs.replace(task, term=task.term + 1, owner=me)
+        if free and task.failures == failures and _is_next_owner(rows, tasks, name, incarnation):
+            tasks[name] = msgspec.structs.replace(task, term=task.term + 1, owner=incarnation)
     return replace(rows, tasks=tasks)
 
 
-def _turn(rows: Rows, tasks: dict[str, Task], name: str, me: int) -> bool:
+def _is_next_owner(rows: FleetState, tasks: dict[str, Task], name: str, incarnation: int) -> bool:
     """Whether nobody else who would do it owns less, or has not just failed at it where this one has."""
     failed_by = tasks.get(name, Task()).failed_by
     others = [
-        key for key, member in rows.members.items() if name in member.able and key not in (me, failed_by)
+        key
+        for key, member in rows.members.items()
+        if name in member.capabilities and key not in (incarnation, failed_by)
     ]
-    if failed_by == me and any(name in m.able for key, m in rows.members.items() if key != me):
+    if failed_by == incarnation and any(
+        name in m.capabilities for key, m in rows.members.items() if key != incarnation
+    ):
         return False
-    owned = {key: sum(task.owner == key for task in tasks.values()) for key in (me, *others)}
-    return all(owned[me] <= owned[key] for key in others)
+    owned = {key: sum(task.owner == key for task in tasks.values()) for key in (incarnation, *others)}
+    return all(owned[incarnation] <= owned[key] for key in others)
 
 
-def leased(holdings: list[Holding]) -> int:
+def leased(allocations: list[Allocation]) -> int:
     """What may be leased of a budget: where files differ, the smallest whole less the largest reserve."""
-    return max(0, min(h.whole for h in holdings) - max(h.reserve for h in holdings))
+    return max(0, min(h.total for h in allocations) - max(h.reserve for h in allocations))
 
 
 def _held(member: Member, budget: str) -> int:
-    holding = member.holdings.get(budget)
-    return 0 if holding is None else holding.held
+    allocation = member.allocations.get(budget)
+    return 0 if allocation is None else allocation.held
 
 
-def _signs(rows: Rows) -> tuple[Sign, ...]:
-    return tuple(Sign(key, member.seq, member.lease_ms) for key, member in sorted(rows.members.items()))
+def _heartbeats(rows: FleetState) -> tuple[Heartbeat, ...]:
+    return tuple(Heartbeat(key, member.seq, member.lease_ms) for key, member in sorted(rows.members.items()))
 
 
-def _none(rows: Rows, request: Request, why: str) -> Answer:
-    return Answer(None, request.seq, {}, _signs(rows), why)
+def _without_lease(rows: FleetState, request: LeaseRequest, reason: str) -> LeaseResponse:
+    return LeaseResponse(None, request.seq, {}, _heartbeats(rows), reason)
--- a/canvasplank/fleet/postgresql.py
+++ b/canvasplank/fleet/postgresql.py
@@ -6,8 +6,8 @@
 
 from canvasplank.database.postgresql import PostgresqlEngine
 from canvasplank.fleet import lease_transaction, schema
-from canvasplank.fleet.backend import Effects, Tenure, TermOverError
-from canvasplank.fleet.state import Answer, Request, Rows
+from canvasplank.fleet.backend import FencingToken, StaleTermError, Statements
+from canvasplank.fleet.state import FleetState, LeaseRequest, LeaseResponse
 
 # Guards the fleet against a proxy that stops within a transaction and would keep the lock for as long.
 IDLE_MS = 500
@@ -24,10 +24,10 @@
         super().__init__(dsn, timeout_s, schema.SCHEMA, limits)
         self._reader = schema.Reader()
 
-    async def transact(self, request: Request) -> Answer:
+    async def transact(self, request: LeaseRequest) -> LeaseResponse:
         """See ``Backend``."""
 
-        async def work(connection: asyncpg.Connection) -> Answer:
+        async def work(connection: asyncpg.Connection) -> LeaseResponse:
             async with connection.transaction():
                 number = await connection.fetchval(schema.LOCK)
                 before = self._reader.rows(
@@ -40,14 +40,14 @@
 
         return await self.do(work)
 
-    async def act(self, tenure: Tenure, effects: Effects) -> None:
+    async def execute_fenced(self, token: FencingToken, statements: Statements) -> None:
         """See ``Backend``."""
 
         async def work(connection: asyncpg.Connection) -> None:
             async with connection.transaction():
-                if await connection.execute(schema.FENCE, *tenure) != "UPDATE 1":
-                    raise TermOverError(tenure)
-                for statement, values in effects:
+                if await connection.execute(schema.FENCE, *token) != "UPDATE 1":
+                    raise StaleTermError(token)
+                for statement, values in statements:
                     await connection.execute(statement, *values)
 
         await self.do(work)
@@ -56,10 +56,10 @@
         """See ``Backend``."""
         return [tuple(row) for row in await self.do(lambda c: c.fetch(statement, *values))]
 
-    async def look(self) -> Rows:
+    async def read_state(self) -> FleetState:
         """See ``Backend``."""
 
-        async def work(connection: asyncpg.Connection) -> Rows:
+        async def work(connection: asyncpg.Connection) -> FleetState:
             number = await connection.fetchval(schema.LOCK.removesuffix(" FOR UPDATE"))
             return self._reader.rows(
                 number, await connection.fetch(schema.MEMBERS), await connection.fetch(schema.TASKS)
@@ -67,7 +67,7 @@
 
         return await self.do(work)
 
-    async def forget(self, incarnation: int) -> bool:
+    async def remove_member(self, incarnation: int) -> bool:
         """See ``Backend``."""
         done = await self.do(lambda connection: connection.execute(schema.DELETE, incarnation))
         return done != "DELETE 0"
--- a/canvasplank/fleet/renewal_schedule.py
+++ b/canvasplank/fleet/renewal_schedule.py
@@ -9,15 +9,15 @@
 
 import random
 
-STEADY_SPREAD = (0.85, 1.0)  # of the period between two renewals
-EAGER_PART = 0.2  # of it
-EAGER_MOST = 6  # eager pauses in a row: past them it is the others' to move
-EAGER_EACH_MS = 5.0  # what a store is given for each proxy where all of them are eager at once
-EACH_MS = 20.0  # what a store is given for each proxy, where all come back to it together
-DOUBLINGS_MOST = 10
+STEADY_JITTER = (0.85, 1.0)  # of the period between two renewals
+EAGER_FRACTION = 0.2  # of it
+MAX_EAGER_PAUSES = 6  # eager pauses in a row: past them it is the others' to move
+EAGER_MS_PER_MEMBER = 5.0  # what a store is given for each proxy where all of them are eager at once
+RETRY_MS_PER_MEMBER = 20.0  # what a store is given for each proxy, where all come back to it together
+MAX_DOUBLINGS = 10
 
 
-class Pace:
+class RenewalSchedule:
     """The pauses of one proxy."""
 
     def __init__(self, renew_ms: float, rng: random.Random) -> None:
@@ -25,7 +25,7 @@
         self._failures = 0
         self._eager = 0
 
-    def after_answer(self, fleet: int, *, eager: bool) -> float:
+    def after_answer(self, members: int, *, eager: bool) -> float:
         """The pause after an answer; ``eager``: somebody waits for what the next request brings.
 
         Guards the store where hundreds join at once: all of them wait for shares that others let go of, and
@@ -33,16 +33,16 @@
         """
         self._failures = 0
         self._eager = self._eager + 1 if eager else 0
-        steady_ms = self._renew_ms * self._rng.uniform(*STEADY_SPREAD)
-        if 0 < self._eager <= EAGER_MOST:
-            eager_ms = max(self._renew_ms * EAGER_PART, EAGER_EACH_MS * fleet)
+        steady_ms = self._renew_ms * self._rng.uniform(*STEADY_JITTER)
+        if 0 < self._eager <= MAX_EAGER_PAUSES:
+            eager_ms = max(self._renew_ms * EAGER_FRACTION, EAGER_MS_PER_MEMBER * members)
             return min(steady_ms, eager_ms * self._rng.uniform(0.5, 1.0))
         return steady_ms
 
-    def after_failure(self, fleet: int) -> float:
+    def after_failure(self, members: int) -> float:
         """The pause after a failure, in a fleet of so many as far as is known."""
         self._eager = 0
-        doubled_ms = self._renew_ms * 2 ** min(self._failures, DOUBLINGS_MOST)
+        doubled_ms = self._renew_ms * 2 ** min(self._failures, MAX_DOUBLINGS)
         self._failures += 1
-        most_ms = max(2 * self._renew_ms, EACH_MS * fleet)
-        return self._rng.uniform(0.0, min(most_ms, max(doubled_ms, EACH_MS * fleet)))
+        max_ms = max(2 * self._renew_ms, RETRY_MS_PER_MEMBER * members)
+        return self._rng.uniform(0.0, min(max_ms, max(doubled_ms, RETRY_MS_PER_MEMBER * members)))
--- a/canvasplank/fleet/schema.py
+++ b/canvasplank/fleet/schema.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from canvasplank.database.migrations import Schema
-from canvasplank.fleet.state import FORM, Holding, Member, Rows, Task
+from canvasplank.fleet.state import FORM, Allocation, FleetState, Member, Task
 
 LOG = logging.getLogger(__name__)
 
@@ -57,11 +57,11 @@
 class Content(msgspec.Struct, frozen=True):
     """What a row holds beside its key, as JSON: a newer version may say more, and this one reads on."""
 
-    most: int
+    max_members: int = msgspec.field(name="most")
     lease_ms: float
-    holdings: dict[str, Holding]
-    able: tuple[str, ...] = ()
-    hears: bool = False
+    allocations: dict[str, Allocation] = msgspec.field(name="holdings")
+    capabilities: tuple[str, ...] = msgspec.field(name="able", default=())
+    sees_discovery: bool = msgspec.field(name="hears", default=False)
 
 
 class Reader:
@@ -72,7 +72,7 @@
 
     def rows(
         self, next_incarnation: int, found: Iterable[Iterable[Any]], tasks: Iterable[Iterable[Any]]
-    ) -> Rows:
+    ) -> FleetState:
         """The rows of one transaction."""
         members: dict[int, Member] = {}
         unreadable: list[int] = []
@@ -89,14 +89,14 @@
                 incarnation,
                 name,
                 seq,
-                content.most,
+                content.max_members,
                 content.lease_ms,
-                content.holdings,
-                content.able,
-                content.hears,
+                content.allocations,
+                content.capabilities,
+                content.sees_discovery,
             )
         owned = {name: Task(*rest) for name, *rest in tasks}
-        return Rows(members, next_incarnation, tuple(unreadable), owned)
+        return FleetState(members, next_incarnation, tuple(unreadable), owned)
 
     def _tell(self, incarnation: int, name: str, error: Exception) -> None:
         if incarnation not in self._told:
@@ -110,7 +110,7 @@
             )
 
 
-def changes(before: Rows, after: Rows) -> Iterator[tuple[str, tuple]]:
+def changes(before: FleetState, after: FleetState) -> Iterator[tuple[str, tuple]]:
     """The statements that make one of the other, with their parameters."""
     if after.next_incarnation != before.next_incarnation:
         yield SET_NEXT, (after.next_incarnation,)
@@ -118,7 +118,13 @@
         yield DELETE, (incarnation,)
     for incarnation, member in after.members.items():
         if before.members.get(incarnation) != member:
-            content = Content(member.most, member.lease_ms, dict(member.holdings), member.able, member.hears)
+            content = Content(
+                member.max_members,
+                member.lease_ms,
+                dict(member.allocations),
+                member.capabilities,
+                member.sees_discovery,
+            )
             yield UPSERT, (incarnation, member.name, member.seq, FORM, msgspec.json.encode(content).decode())
     for name, task in after.tasks.items():
         if before.tasks.get(name) != task:
--- a/canvasplank/fleet/sqlite.py
+++ b/canvasplank/fleet/sqlite.py
@@ -6,8 +6,8 @@
 
 from canvasplank.database.sqlite import SqliteEngine, own, transaction
 from canvasplank.fleet import lease_transaction, schema
-from canvasplank.fleet.backend import Effects, Tenure, TermOverError
-from canvasplank.fleet.state import Answer, Request, Rows
+from canvasplank.fleet.backend import FencingToken, StaleTermError, Statements
+from canvasplank.fleet.state import FleetState, LeaseRequest, LeaseResponse
 
 
 class Sqlite(SqliteEngine):
@@ -17,10 +17,10 @@
         super().__init__(path, schema.SCHEMA, "fleet")
         self._reader = schema.Reader()
 
-    async def transact(self, request: Request) -> Answer:
+    async def transact(self, request: LeaseRequest) -> LeaseResponse:
         """See ``Backend``."""
 
-        def work(connection: sqlite3.Connection) -> Answer:
+        def work(connection: sqlite3.Connection) -> LeaseResponse:
             with transaction(connection):
                 before = self._read(connection)
                 after, answer = lease_transaction.apply(before, request)
@@ -30,14 +30,14 @@
 
         return await self.do(work)
 
-    async def act(self, tenure: Tenure, effects: Effects) -> None:
+    async def execute_fenced(self, token: FencingToken, statements: Statements) -> None:
         """See ``Backend``."""
 
         def work(connection: sqlite3.Connection) -> None:
             with transaction(connection):
-                if connection.execute(own(schema.FENCE), tenure).rowcount != 1:
-                    raise TermOverError(tenure)
-                for statement, values in effects:
+                if connection.execute(own(schema.FENCE), token).rowcount != 1:
+                    raise StaleTermError(token)
+                for statement, values in statements:
                     connection.execute(own(statement), values)
 
         await self.do(work)
@@ -46,15 +46,15 @@
         """See ``Backend``."""
         return await self.do(lambda c: c.execute(own(statement), values).fetchall())
 
-    async def look(self) -> Rows:
+    async def read_state(self) -> FleetState:
         """See ``Backend``."""
         return await self.do(self._read)
 
-    async def forget(self, incarnation: int) -> bool:
+    async def remove_member(self, incarnation: int) -> bool:
         """See ``Backend``."""
         return await self.do(lambda c: c.execute(own(schema.DELETE), (incarnation,)).rowcount > 0)
 
-    def _read(self, connection: sqlite3.Connection) -> Rows:
+    def _read(self, connection: sqlite3.Connection) -> FleetState:
         [number] = connection.execute(own(schema.LOCK)).fetchone()
         return self._reader.rows(
             number, connection.execute(schema.MEMBERS).fetchall(), connection.execute(schema.TASKS).fetchall()
--- a/canvasplank/fleet/state.py
+++ b/canvasplank/fleet/state.py
@@ -13,10 +13,10 @@
 FORM = 1  # of a row; a row of another form is left alone
 
 
-class Holding(msgspec.Struct, frozen=True):
+class Allocation(msgspec.Struct, frozen=True):
     """One proxy's part in one budget."""
 
-    whole: int  # what its file says that the fleet may use
+    total: int = msgspec.field(name="whole")  # what its file says that the fleet may use
     reserve: int  # of that, kept back for proxies without a lease
     held: int  # the most that it may be using of the rest
     demand: int | None = None  # what it would use; None: not known yet
@@ -37,14 +37,14 @@
     incarnation: int
     name: str
     seq: int  # grows with each request that counted
-    most: int  # what its file says that there may be of proxies
+    max_members: int  # what its file says that there may be of proxies
     lease_ms: float  # and how long its leases run
-    holdings: Mapping[str, Holding]
-    able: tuple[str, ...] = ()  # tasks that it would do
-    hears: bool = False  # the notice board tells it things
+    allocations: Mapping[str, Allocation]
+    capabilities: tuple[str, ...] = ()  # tasks that it would do
+    sees_discovery: bool = False  # the notice board tells it things
 
 
-class Sign(msgspec.Struct, frozen=True, order=True):
+class Heartbeat(msgspec.Struct, frozen=True, order=True):
     """That a row was there with this number, and how long its lease runs."""
 
     incarnation: int
@@ -53,7 +53,7 @@
 
 
 @dataclass(slots=True)
-class Rows:
+class FleetState:
     """The fleet as one transaction sees it."""
 
     members: dict[int, Member] = field(default_factory=dict)
@@ -62,22 +62,22 @@
     tasks: dict[str, Task] = field(default_factory=dict)
 
 
-class Request(msgspec.Struct, frozen=True):
+class LeaseRequest(msgspec.Struct, frozen=True):
     """What a proxy asks of the store; ``incarnation`` is None for one that has no row."""
 
     name: str
     incarnation: int | None
     seq: int
-    most: int
+    max_members: int
     lease_ms: float
-    using: Mapping[str, Holding]  # ``held``: what it uses from now on at most
-    dead: tuple[Sign, ...] = ()  # whom it has not heard of for a lease
+    in_use: Mapping[str, Allocation]  # ``held``: what it uses from now on at most
+    expired: tuple[Heartbeat, ...] = ()  # whom it has not heard of for a lease
     leaving: bool = False
-    able: tuple[str, ...] = ()  # tasks that it would do
+    capabilities: tuple[str, ...] = ()  # tasks that it would do
     ready: Mapping[str, int] = {}  # those that it would take over, by failures it knows of
     given_up: tuple[str, ...] = ()  # tasks that it owned and failed at
     done: tuple[str, ...] = ()  # tasks that it owns and did well at since the last request
-    hears: bool = False  # the notice board tells it things
+    sees_discovery: bool = False  # the notice board tells it things
 
 
 class Grant(msgspec.Struct, frozen=True):
@@ -87,13 +87,13 @@
     target: int  # below the share: let go of the rest
 
 
-class Answer(msgspec.Struct, frozen=True):
+class LeaseResponse(msgspec.Struct, frozen=True):
     """What a transaction came to."""
 
     incarnation: int | None  # None: there is no row for it (any more)
     seq: int
     grants: Mapping[str, Grant] = {}
-    seen: tuple[Sign, ...] = ()  # all rows there are now
-    why: str = ""  # where there is no row, why
+    heartbeats: tuple[Heartbeat, ...] = ()  # all rows there are now
+    reason: str = ""  # where there is no row, why
     tasks: Mapping[str, Task] = {}  # all there are
-    hear: int = 0  # how many of the others the notice board tells things
+    members_seeing_discovery: int = 0  # how many of the others the notice board tells things
--- a/canvasplank/store/__main__.py
+++ b/canvasplank/store/__main__.py
@@ -33,7 +33,7 @@
 
 async def _count(path: str, since: datetime | None, instance: str) -> list[Count]:
     store = load_store(path)
-    backend = store.open_with()
+    backend = store.create_backend()
     async with asyncio.timeout(store.write_timeout_ms / 1000):
         await backend.open()
         try:
--- a/canvasplank/store/config.py
+++ b/canvasplank/store/config.py
@@ -25,7 +25,7 @@
     write_timeout_ms: Milliseconds = 2_000.0
     drain_ms: Milliseconds = 1_500.0
 
-    def open_with(self) -> Backend:
+    def create_backend(self) -> Backend:
         """The backend, not yet opened.  Only the driver that is configured is imported."""
         if self.backend == "sqlite":
             from canvasplank.store.sqlite import Sqlite
--- a/canvasplank/store/extension.py
+++ b/canvasplank/store/extension.py
@@ -23,7 +23,7 @@
         outbox = Outbox(settings.queue_most, settings.batch_most, settings.linger_ms, seed)
         self._writer = Writer(
             outbox,
-            settings.open_with(),
+            settings.create_backend(),
             context.configuration.name,
             settings.write_timeout_ms / 1000,
             context.counters,
--- a/canvasplank/worker/usage_ledger.py
+++ b/canvasplank/worker/usage_ledger.py
@@ -93,7 +93,7 @@
 _RETAIN = f"DELETE {_OLD}"
 NONE_CLOSED = -1
 
-Effect = tuple[str, tuple]
+Statement = tuple[str, tuple]
 
 
 class Sum(msgspec.Struct, frozen=True):
@@ -137,7 +137,7 @@
 
 def closing(
     made: Closing, period_ms: int, repeat_ms: int, last_closed: int | None, term: int
-) -> Iterator[Effect]:
+) -> Iterator[Statement]:
     """Closes a period; one that is closed already fails by its key, and changes nothing."""
     yield _CLOSE, (made.number, term)
     yield _LOOK_AT, (made.number, made.before_ms, repeat_ms)
@@ -146,11 +146,11 @@
     yield _BOOK, (made.number, period_ms, NONE_CLOSED if last_closed is None else last_closed)
 
 
-def exported(period: int, term: int) -> Iterator[Effect]:
+def exported(period: int, term: int) -> Iterator[Statement]:
     """Notes that a closing's file is there."""
     yield _EXPORTED, (term, period)
 
 
-def retention(before_ms: int) -> Iterator[Effect]:
+def retention(before_ms: int) -> Iterator[Statement]:
     """Removes records that have been counted and exported, and are older than is kept."""
     yield _RETAIN, (before_ms,)
--- a/experiments/experiment_run.py
+++ b/experiments/experiment_run.py
@@ -254,9 +254,9 @@
         began_ms = steady_ms() - self.now_s() * MS
         for each in settings.budget:
             traces = [read_trace(proxy.log, each.name) for proxy in self.fleet.proxies]
-            leased_per_s = each.whole_per_s * (1 - each.kept_back)
+            leased_per_s = each.total_per_s * (1 - each.reserve_fraction)
             self.seen.budgets[each.name] = Budget(
-                each.whole_per_s, leased_per_s, settings.burst_ms, traces, began_ms
+                each.total_per_s, leased_per_s, settings.burst_ms, traces, began_ms
             )
 
 
--- a/tests/test_budgets.py
+++ b/tests/test_budgets.py
@@ -12,18 +12,18 @@
 
 from canvasplank.config.settings import ConfigurationError
 from canvasplank.fleet import lease_transaction
-from canvasplank.fleet.budget_limiter import Bucket, Demand, Scope, Spender
+from canvasplank.fleet.budget_limiter import BudgetLimiter, BudgetScope, DemandEstimator, TokenBucket
 from canvasplank.fleet.config import load_fleet
-from canvasplank.fleet.failure_detector import Watch
+from canvasplank.fleet.failure_detector import FailureDetector
 from canvasplank.fleet.fair_division import divide
-from canvasplank.fleet.lease_holder import Holder, Lease, Terms
-from canvasplank.fleet.renewal_schedule import Pace
-from canvasplank.fleet.state import Grant, Member, Rows
+from canvasplank.fleet.lease_holder import BudgetLimits, Lease, LeaseHolder
+from canvasplank.fleet.renewal_schedule import RenewalSchedule
+from canvasplank.fleet.state import FleetState, Grant, Member
 from verification.leases import WHOLE, Bounds, Explorer
 from verification.spending import Trace, most_shared, worst_window
 
 LEASE = Lease(3000.0, 100.0, 0.001)
-TERMS = {"b": Terms(whole=80_000, reserve=16_000, most=8)}
+TERMS = {"b": BudgetLimits(total=80_000, reserve=16_000, max_members=8)}
 wants = st.dictionaries(st.integers(1, 999), st.none() | st.integers(0, 10**6), max_size=40)
 
 
@@ -61,24 +61,24 @@
 
 def joined(*names, rows=None):
     """Rows with these members, and their holders, each having heard its answer."""
-    rows = rows or Rows()
+    rows = rows or FleetState()
     holders = []
     for name in names:
-        holder = Holder(name, TERMS, LEASE)
-        rows, answer = lease_transaction.apply(rows, holder.request(0.0, {}))
-        holder.answered(answer)
+        holder = LeaseHolder(name, TERMS, LEASE)
+        rows, answer = lease_transaction.apply(rows, holder.next_request(0.0, {}))
+        holder.on_response(answer)
         holders.append(holder)
     return rows, holders
 
 
 def ask(rows, holder, now_ms=0.0, dead=(), **demand):
-    rows, answer = lease_transaction.apply(rows, holder.request(now_ms, demand, dead))
-    holder.answered(answer)
+    rows, answer = lease_transaction.apply(rows, holder.next_request(now_ms, demand, dead))
+    holder.on_response(answer)
     return rows, answer
 
 
 def held(rows):
-    return sum(member.holdings["b"].held for member in rows.members.values())
+    return sum(member.allocations["b"].held for member in rows.members.values())
 
 
 class TestLedger:
@@ -98,21 +98,21 @@
 
     def test_a_request_that_comes_late_changes_nothing(self):
         rows, [holder] = joined("a")
-        late = holder.request(0.0, {})
+        late = holder.next_request(0.0, {})
         rows, _ = ask(rows, holder)
         after, answer = lease_transaction.apply(rows, late)
         assert after == rows and answer.incarnation is None
 
     def test_one_that_renewed_meanwhile_is_not_removed(self):
         rows, [first, second] = joined("a", "b")
-        [sign, _] = ask(rows, second)[1].seen
+        [sign, _] = ask(rows, second)[1].heartbeats
         rows, _ = ask(rows, first)
         rows, _ = ask(rows, second, dead=[sign])
         assert first.incarnation in rows.members
 
     def test_a_row_that_is_gone_ends_the_share_and_the_next_request_joins_anew(self):
         rows, [first, second] = joined("a", "b")
-        [sign, _] = ask(rows, second)[1].seen
+        [sign, _] = ask(rows, second)[1].heartbeats
         rows, _ = ask(rows, second, dead=[sign])
         old = first.incarnation
         rows, _ = ask(rows, first)
@@ -127,26 +127,26 @@
 
     def test_the_smallest_whole_and_the_largest_reserve_count_while_files_differ(self):
         rows, [first] = joined("a")
-        other = Holder("b", {"b": Terms(40_000, 8_000, 8)}, LEASE)
-        rows, answer = lease_transaction.apply(rows, other.request(0.0, {}))
+        other = LeaseHolder("b", {"b": BudgetLimits(40_000, 8_000, 8)}, LEASE)
+        rows, answer = lease_transaction.apply(rows, other.next_request(0.0, {}))
         assert answer.grants["b"].target == (40_000 - 16_000) // 2
         rows, _ = ask(rows, first)
         assert first.share("b", 0) == 12_000
 
     def test_one_that_uses_more_than_it_was_granted_is_put_out(self):
         rows, [holder] = joined("a")
-        request = holder.request(0.0, {})
-        more = {"b": msgspec.structs.replace(request.using["b"], held=70_000)}
-        after, answer = lease_transaction.apply(rows, msgspec.structs.replace(request, using=more))
-        assert not after.members and answer.why == "it uses more than it was granted"
+        request = holder.next_request(0.0, {})
+        more = {"b": msgspec.structs.replace(request.in_use["b"], held=70_000)}
+        after, answer = lease_transaction.apply(rows, msgspec.structs.replace(request, in_use=more))
+        assert not after.members and answer.reason == "it uses more than it was granted"
 
     def test_no_share_grows_beside_a_row_that_cannot_be_read(self):
-        _rows, [holder] = joined("a", rows=Rows(unreadable=(7,)))
+        _rows, [holder] = joined("a", rows=FleetState(unreadable=(7,)))
         assert holder.incarnation and holder.share("b", 0) == 0
 
     def test_leaving_frees_the_share_at_once(self):
         rows, [first, second] = joined("a", "b")
-        rows, _ = lease_transaction.apply(rows, first.request(0.0, {}, leaving=True))
+        rows, _ = lease_transaction.apply(rows, first.next_request(0.0, {}, leaving=True))
         assert first.share("b", 0) == 0
         rows, _ = ask(rows, second)
         assert second.share("b", 0) == 64_000
@@ -157,43 +157,43 @@
 
     def test_it_ends_earlier_at_its_holder_than_for_anybody_else(self):
         _rows, [holder] = joined("a")
-        usable_ms, over_ms = LEASE.usable_ms(), LEASE.over_ms(3000.0)
+        usable_ms, expiry_ms = LEASE.usable_ms(), LEASE.expiry_ms(3000.0)
         assert holder.share("b", usable_ms - 1) > 0 == holder.share("b", usable_ms)
-        assert usable_ms < 3000.0 < over_ms
-        assert LEASE.over_ms(5000.0) > 5000.0, "a longer lease in its own file counts"
+        assert usable_ms < 3000.0 < expiry_ms
+        assert LEASE.expiry_ms(5000.0) > 5000.0, "a longer lease in its own file counts"
 
     def test_it_runs_from_when_the_request_was_sent(self):
         rows, [holder] = joined("a")
-        request = holder.request(1000.0, {})
+        request = holder.next_request(1000.0, {})
         rows, answer = lease_transaction.apply(rows, request)  # however late that is, and the answer
-        holder.answered(answer)
+        holder.on_response(answer)
         assert holder.until_ms == 1000.0 + LEASE.usable_ms()
 
     def test_an_answer_to_an_older_request_tells_nothing(self):
         rows, [holder] = joined("a")
-        rows, answer = lease_transaction.apply(rows, holder.request(500.0, {}))
-        holder.request(2000.0, {})
-        assert not holder.answered(answer) and holder.until_ms == LEASE.usable_ms()
+        rows, answer = lease_transaction.apply(rows, holder.next_request(500.0, {}))
+        holder.next_request(2000.0, {})
+        assert not holder.on_response(answer) and holder.until_ms == LEASE.usable_ms()
 
     def test_whoever_has_not_renewed_for_a_lease_since_it_was_seen_is_dead(self):
-        watch, over_ms = Watch(LEASE), LEASE.over_ms(3000.0)
+        watch, expiry_ms = FailureDetector(LEASE), LEASE.expiry_ms(3000.0)
         rows, [holder] = joined("a")
-        [sign] = ask(rows, holder)[1].seen
-        watch.saw([sign], 100.0)
-        watch.saw([sign], 2000.0)
-        assert not watch.dead(99.0 + over_ms) and watch.dead(100.0 + over_ms) == (sign,)
-        watch.saw([msgspec.structs.replace(sign, seq=9)], 2500.0)
-        assert not watch.dead(100.0 + over_ms)
-        watch.saw([], 2600.0)
-        assert not watch.dead(9e9)
+        [sign] = ask(rows, holder)[1].heartbeats
+        watch.observe([sign], 100.0)
+        watch.observe([sign], 2000.0)
+        assert not watch.expired(99.0 + expiry_ms) and watch.expired(100.0 + expiry_ms) == (sign,)
+        watch.observe([msgspec.structs.replace(sign, seq=9)], 2500.0)
+        assert not watch.expired(100.0 + expiry_ms)
+        watch.observe([], 2600.0)
+        assert not watch.expired(9e9)
 
 
 class TestSpending:
     """Buckets over allowances."""
 
     def test_a_pause_past_the_lease_saves_up_nothing_of_what_was_leased(self):
-        bucket = Bucket(250.0, 0.0)
-        bucket.settle(10_000.0, own_part=2_000, share=40_000, until_ms=200.0)
+        bucket = TokenBucket(250.0, 0.0)
+        bucket.settle(10_000.0, unleased_quota=2_000, share=40_000, until_ms=200.0)
         spent = 0
         while bucket.wait_ms(2_000) == 0:
             bucket.spend()
@@ -201,7 +201,7 @@
         assert spent == 1, "a unit; a quarter second of two a second is less"
 
     def test_a_rate_is_kept_and_a_burst_is_bounded(self):
-        bucket, spent = Bucket(250.0, 0.0), 0
+        bucket, spent = TokenBucket(250.0, 0.0), 0
         for now in range(0, 4000, 5):
             allowance = bucket.settle(float(now), 0, 40_000, 1e9)
             while bucket.wait_ms(allowance) == 0:
@@ -215,7 +215,7 @@
         assert bucket.wait_ms(40_000) == pytest.approx(25.0), "ten units: a quarter of a second"
 
     def test_without_an_allowance_it_waits_for_ever(self):
-        assert Bucket(250.0, 0.0).wait_ms(0) == float("inf")
+        assert TokenBucket(250.0, 0.0).wait_ms(0) == float("inf")
 
     @pytest.mark.parametrize(
         ("kind", "of", "tenant", "attempt", "server", "covered"),
@@ -232,16 +232,16 @@
         ],
     )
     def test_what_a_budget_covers(self, kind, of, tenant, attempt, server, covered):
-        assert Scope(kind, of).covers(tenant, attempt, server) is covered
+        assert BudgetScope(kind, of).covers(tenant, attempt, server) is covered
 
     def test_a_unit_of_each_or_none(self):
         _, [holder] = joined("a")
-        spender = Spender(holder, {"b": Scope("set-ups")}, 250.0, 0.0)
-        assert not spender.spend(["b"], 0.0) and spender.spend(["b"], 100.0)
-        assert spender.spend([], 100.0), "what no budget covers is free"
+        limiter = BudgetLimiter(holder, {"b": BudgetScope("set-ups")}, 250.0, 0.0)
+        assert not limiter.spend(["b"], 0.0) and limiter.spend(["b"], 100.0)
+        assert limiter.spend([], 100.0), "what no budget covers is free"
 
     def test_demand_is_reported_in_steps_and_grows_where_it_is_held_back(self):
-        demand = Demand()
+        demand = DemandEstimator()
         assert demand.report(0.0, 10_000) is None
 
         def used(count, now_ms):
@@ -251,7 +251,7 @@
 
         assert used(8, 1000.0) == 10_000
         assert used(7, 2000.0) == 10_000, "within the band: no news"
-        demand.pressed()
+        demand.saturated()
         assert used(10, 3000.0) == 20_000
         assert used(0, 4000.0) == 10_000 and used(0, 5000.0) == 5_000, "down by halves"
 
@@ -261,7 +261,7 @@
 
     @pytest.mark.parametrize("fleet", [8, 400])
     def test_a_store_that_comes_back_meets_the_fleet_spread_out(self, fleet):
-        paces = [Pace(1000.0, random.Random(seed)) for seed in range(fleet)]
+        paces = [RenewalSchedule(1000.0, random.Random(seed)) for seed in range(fleet)]
         for pace in paces:
             for _ in range(6):
                 last_ms = pace.after_failure(fleet)
@@ -271,19 +271,19 @@
         assert most_at_once <= max(4, fleet // 8)
 
     def test_it_is_eager_a_few_times_and_then_steady(self):
-        pace = Pace(1000.0, random.Random(1))
+        pace = RenewalSchedule(1000.0, random.Random(1))
         pauses = [pace.after_answer(8, eager=True) for _ in range(9)]
         assert max(pauses[:6]) <= 200.0 and min(pauses[6:]) >= 850.0
 
     def test_hundreds_that_join_at_once_are_not_eager_together(self):
         """300 of them asked 2,000 times a second of a store that does some 300, and each waited 14 s."""
-        paces = [Pace(1000.0, random.Random(seed)) for seed in range(300)]
+        paces = [RenewalSchedule(1000.0, random.Random(seed)) for seed in range(300)]
         pauses = [pace.after_answer(300, eager=True) for pace in paces]
         assert min(pauses) >= 700.0 and max(pauses) <= 1000.0
 
     def test_a_few_tens_are_as_eager_as_one(self):
         """At 20 ms for each, 32 that joined at once took 8 s to have what they may use of the whole."""
-        pace = Pace(1000.0, random.Random(1))
+        pace = RenewalSchedule(1000.0, random.Random(1))
         assert max(pace.after_answer(32, eager=True) for _ in range(6)) <= 200.0
 
 
@@ -295,24 +295,28 @@
     if "incarnation" in drop and request.incarnation is not None and request.incarnation not in members:
         # Whoever says that it was in the fleet is believed, with what it says that it uses.
         members[request.incarnation] = Member(
-            request.incarnation, request.name, -1, request.most, request.lease_ms, request.using
+            request.incarnation, request.name, -1, request.max_members, request.lease_ms, request.in_use
         )
     if "sign" in drop:
         request = msgspec.structs.replace(
             request,
-            dead=tuple(
+            expired=tuple(
                 msgspec.structs.replace(sign, seq=members[sign.incarnation].seq)
-                for sign in request.dead
+                for sign in request.expired
                 if sign.incarnation in members
             ),
         )
-    after, answer = lease_transaction.apply(Rows(members, rows.next_incarnation, rows.unreadable), request)
+    after, answer = lease_transaction.apply(
+        FleetState(members, rows.next_incarnation, rows.unreadable), request
+    )
     if "order" in drop and answer.incarnation is not None:
         # The store lowers a share first, and its holder hears of it.
         member = after.members[answer.incarnation]
         target = answer.grants["b"].target
-        lowered = msgspec.structs.replace(member.holdings["b"], held=min(member.holdings["b"].held, target))
-        after.members[answer.incarnation] = msgspec.structs.replace(member, holdings={"b": lowered})
+        lowered = msgspec.structs.replace(
+            member.allocations["b"], held=min(member.allocations["b"].held, target)
+        )
+        after.members[answer.incarnation] = msgspec.structs.replace(member, allocations={"b": lowered})
         answer = msgspec.structs.replace(answer, grants={"b": Grant(lowered.held, target)})
     return after, answer
 
--- a/tests/test_fleet_store.py
+++ b/tests/test_fleet_store.py
@@ -14,15 +14,15 @@
 from canvasplank.counters import Counters
 from canvasplank.database.errors import StoreUnavailableError
 from canvasplank.fleet.config import Budget, Fleet
-from canvasplank.fleet.lease_holder import Holder
-from canvasplank.fleet.lease_renewer import Agent
+from canvasplank.fleet.lease_holder import LeaseHolder
+from canvasplank.fleet.lease_renewer import LeaseRenewer
 from canvasplank.fleet.postgresql import IDLE_MS, Postgresql
 from canvasplank.fleet.sqlite import Sqlite
 from canvasplank.runtime import structured_logging
 from emulators.postgresql import PostgresqlStandIn
 
 WAIT_S = 20.0
-BUDGETS = [Budget("all", "set-ups", 80.0, kept_back=0.2)]
+BUDGETS = [Budget("all", "set-ups", 80.0, reserve_fraction=0.2)]
 FILE = """backend = "sqlite"
 path = "{path}"
 proxies_most = 8
@@ -37,7 +37,7 @@
 
 
 def fleet(**more) -> Fleet:
-    return Fleet(proxies_most=8, budget=BUDGETS, renew_ms=50.0, lease_ms=400.0, **more)
+    return Fleet(max_members=8, budget=BUDGETS, renew_ms=50.0, lease_ms=400.0, **more)
 
 
 @contextlib.asynccontextmanager
@@ -62,7 +62,7 @@
 
 
 def holder(name):
-    return Holder(name, fleet(backend="sqlite").terms(), fleet(backend="sqlite").lease())
+    return LeaseHolder(name, fleet(backend="sqlite").budget_limits(), fleet(backend="sqlite").lease())
 
 
 @pytest.mark.parametrize("kind", ["sqlite", "postgresql"])
@@ -70,20 +70,22 @@
     async def run():
         async with opened(kind, tmp_path) as (one, other, _):
             first, second = holder("a"), holder("b")
-            first.answered(await one.transact(first.request(0.0, {"all": 7})))
+            first.on_response(await one.transact(first.next_request(0.0, {"all": 7})))
             await asyncio.gather(
-                *(backend.transact(h.request(0.0, {})) for backend, h in [(one, first), (other, second)] * 1)
+                *(backend.transact(h.next_request(0.0, {})) for backend, h in [(one, first), (other, second)])
             )
             for _ in range(50):
                 answers = await asyncio.gather(
-                    one.transact(first.request(0.0, {})), other.transact(second.request(0.0, {}))
+                    one.transact(first.next_request(0.0, {})), other.transact(second.next_request(0.0, {}))
                 )
-                first.answered(answers[0])
-                second.answered(answers[1])
-            rows = await one.look()
+                first.on_response(answers[0])
+                second.on_response(answers[1])
+            rows = await one.read_state()
             assert {member.name for member in rows.members.values()} >= {"a", "b"}
-            assert sum(member.holdings["all"].held for member in rows.members.values()) <= 64_000
-            assert await other.forget(first.incarnation) and not await other.forget(first.incarnation)
+            assert sum(member.allocations["all"].held for member in rows.members.values()) <= 64_000
+            assert await other.remove_member(first.incarnation) and not await other.remove_member(
+                first.incarnation
+            )
 
     asyncio.run(run())
 
@@ -96,9 +98,9 @@
                 database.commit()
             mine = holder("a")
             for _ in range(3):
-                mine.answered(await one.transact(mine.request(0.0, {})))
+                mine.on_response(await one.transact(mine.next_request(0.0, {})))
             assert mine.incarnation == 1 and mine.share("all", 0.0) == 0
-            assert (await one.look()).unreadable == (99,)
+            assert (await one.read_state()).unreadable == (99,)
 
     asyncio.run(run())
     assert sum("cannot be read and is left alone" in r.getMessage() for r in caplog.records) == 1
@@ -114,11 +116,11 @@
             await one._connection.fetchval("SELECT next_incarnation FROM fleet_state WHERE id = 1 FOR UPDATE")
             async with asyncio.timeout(WAIT_S):
                 began = asyncio.get_running_loop().time()
-                answer = await other.transact(holder("b").request(0.0, {}))
+                answer = await other.transact(holder("b").next_request(0.0, {}))
                 waited_s = asyncio.get_running_loop().time() - began
             assert answer.incarnation and waited_s >= 0.9 * IDLE_MS / 1000
             with pytest.raises(StoreUnavailableError):
-                await one.transact(holder("a").request(0.0, {}))
+                await one.transact(holder("a").next_request(0.0, {}))
 
     asyncio.run(run())
 
@@ -126,7 +128,7 @@
 def test_an_agent_has_its_part_of_what_is_kept_back_until_the_store_is_there_and_its_share_then(tmp_path):
     async def run():
         path = tmp_path / "not yet" / "fleet.db"
-        agent = Agent(fleet(backend="sqlite", path=str(path)), "a", 1, Counters())
+        agent = LeaseRenewer(fleet(backend="sqlite", path=str(path)), "a", 1, Counters())
         agent.start()
         await asyncio.sleep(0.3)
         now_ms = agent._clock()
@@ -137,13 +139,13 @@
                 await asyncio.sleep(0.02)
             while (wait_ms := agent.spend(None, 0, "s", True)) > 0:
                 await asyncio.sleep(wait_ms / 1000)
-        agent.count()
+        agent.export_metrics()
         assert agent._counters["fleet.members"] == 1 and agent._counters["fleet.spent"] == 1
         await agent.close(1.0)
         assert agent.holder.share("all", agent._clock()) == 0
         look = Sqlite(str(path))
         await look.open()
-        assert not (await look.look()).members, "it left, and kept nobody waiting for a lease"
+        assert not (await look.read_state()).members, "it left, and kept nobody waiting for a lease"
         await look.close()
 
     asyncio.run(run())
@@ -158,7 +160,7 @@
     async def run():
         async with opened("sqlite", tmp_path) as (one, _, _store):
             mine = holder("n1")
-            mine.answered(await one.transact(mine.request(0.0, {"all": 9_000})))
+            mine.on_response(await one.transact(mine.next_request(0.0, {"all": 9_000})))
 
     asyncio.run(run())
     status, shown = say("fleet", "status"), say("budgets", "show")
--- a/tests/test_ownership.py
+++ b/tests/test_ownership.py
@@ -21,12 +21,12 @@
 from canvasplank.config.settings import ConfigurationError
 from canvasplank.database.errors import StoreRefusedError
 from canvasplank.fleet import lease_transaction
-from canvasplank.fleet.backend import Tenure, TermOverError
-from canvasplank.fleet.lease_holder import Holder, Lease
+from canvasplank.fleet.backend import FencingToken, StaleTermError
+from canvasplank.fleet.lease_holder import Lease, LeaseHolder
 from canvasplank.fleet.postgresql import Postgresql as FleetPostgresql
 from canvasplank.fleet.sqlite import Sqlite as FleetSqlite
-from canvasplank.fleet.state import Rows, Task
-from canvasplank.fleet.task_leadership import BACKOFF_MS, Ownership
+from canvasplank.fleet.state import FleetState, Task
+from canvasplank.fleet.task_leadership import BACKOFF_MS, TaskLeadership
 from canvasplank.store.postgresql import Postgresql
 from canvasplank.store.records import Outcome
 from canvasplank.store.sqlite import Sqlite
@@ -65,20 +65,20 @@
     """One process's belief and its requests, without a store."""
 
     def __init__(self, name, *able):
-        self.holder = Holder(name, {}, LEASE, most=8)
-        self.ownership = Ownership(able, random.Random(1))
+        self.holder = LeaseHolder(name, {}, LEASE, max_members=8)
+        self.leadership = TaskLeadership(able, random.Random(1))
 
     def ask(self, rows, now_ms=0.0, dead=()):
-        request = self.holder.request(now_ms, {}, dead)
-        request = msgspec.structs.replace(request, **self.ownership.says(now_ms))
+        request = self.holder.next_request(now_ms, {}, dead)
+        request = msgspec.structs.replace(request, **self.leadership.request_fields(now_ms))
         rows, answer = lease_transaction.apply(rows, request)
-        if self.holder.answered(answer):
-            self.ownership.heard(answer, now_ms)
+        if self.holder.on_response(answer):
+            self.leadership.on_response(answer, now_ms)
         return rows
 
     @property
     def owns(self):
-        return {tenure.task: tenure.term for tenure in self.ownership.tenures()}
+        return {token.task: token.term for token in self.leadership.tokens()}
 
 
 class TestTerms:
@@ -86,22 +86,22 @@
 
     def test_a_task_has_one_owner_and_tasks_are_spread(self):
         one, other = Candidate("a", "x", "y"), Candidate("b", "x", "y")
-        other.ask(one.ask(Rows()))
+        other.ask(one.ask(FleetState()))
         assert one.owns | other.owns == {"x": 1, "y": 1} and not one.owns.keys() & other.owns.keys()
 
     def test_a_new_owner_has_a_new_term_once_the_old_one_is_dead(self):
         one, other = Candidate("a", "x"), Candidate("b", "x")
-        rows = other.ask(one.ask(Rows()))
-        rows, answer = lease_transaction.apply(rows, other.holder.request(0.0, {}))
-        rows = other.ask(rows, dead=answer.seen[:1])
+        rows = other.ask(one.ask(FleetState()))
+        rows, answer = lease_transaction.apply(rows, other.holder.next_request(0.0, {}))
+        rows = other.ask(rows, dead=answer.heartbeats[:1])
         assert other.owns == {"x": 2} and one.owns == {"x": 1}, "the old one believes it still"
         rows = one.ask(rows)
         assert not one.owns and one.ask(rows).tasks["x"].owner == other.holder.incarnation
 
     def test_one_that_fails_gives_it_up_and_does_not_take_it_back_while_another_can(self):
         one, other = Candidate("a", "x"), Candidate("b", "x")
-        rows = other.ask(one.ask(Rows()))
-        one.ownership.failed(Tenure("x", 1, one.holder.incarnation))
+        rows = other.ask(one.ask(FleetState()))
+        one.leadership.failed(FencingToken("x", 1, one.holder.incarnation))
         assert not one.owns
         rows = one.ask(rows)
         assert rows.tasks["x"] == Task(1, None, 1, one.holder.incarnation)
@@ -111,36 +111,36 @@
         assert not other.owns, "it waits a while from when it saw the failure"
         rows = other.ask(rows, now_ms=10.0 + BACKOFF_MS)
         assert other.owns == {"x": 2}
-        other.ownership.did(Tenure("x", 2, other.holder.incarnation))
+        other.leadership.succeeded(FencingToken("x", 2, other.holder.incarnation))
         assert other.ask(rows, now_ms=20.0 + BACKOFF_MS).tasks["x"].failures == 0
 
     def test_alone_it_takes_back_what_it_failed_at(self):
         one = Candidate("a", "x", "y")  # another task that it owns must not keep it from that
-        rows = one.ask(Rows())
+        rows = one.ask(FleetState())
         for failures in range(1, 5):
-            one.ownership.failed(Tenure("x", failures, one.holder.incarnation))
+            one.leadership.failed(FencingToken("x", failures, one.holder.incarnation))
             rows = one.ask(rows)
             rows = one.ask(rows, now_ms=1e6 * failures)
             assert one.owns == {"x": failures + 1, "y": 1} and rows.tasks["x"].failures == failures
 
     def test_one_that_is_no_more_able_hands_over(self):
         one, other = Candidate("a", "x"), Candidate("b", "x")
-        rows = other.ask(one.ask(Rows()))
-        request = msgspec.structs.replace(one.holder.request(0.0, {}), able=(), ready={})
+        rows = other.ask(one.ask(FleetState()))
+        request = msgspec.structs.replace(one.holder.next_request(0.0, {}), capabilities=(), ready={})
         rows, _ = lease_transaction.apply(rows, request)
         assert other.ask(rows).tasks["x"].owner == other.holder.incarnation
 
     def test_terms_never_fall_and_one_owner_at_a_time_through_any_order_of_events(self):
         """A thousand random plays of three candidates that fail, die, and come back."""
         for seed in range(1000):
-            rng, rows, terms = random.Random(seed), Rows(), {"x": 0, "y": 0}
+            rng, rows, terms = random.Random(seed), FleetState(), {"x": 0, "y": 0}
             all_of_them = [Candidate(name, "x", "y") for name in "abc"]
             for step in range(25):
                 each = rng.choice(all_of_them)
                 if rng.random() < 0.2 and each.owns:
                     task = rng.choice(sorted(each.owns))
-                    each.ownership.failed(Tenure(task, each.owns[task], each.holder.incarnation))
-                victims = [sign for sign in lease_transaction._signs(rows) if rng.random() < 0.1]
+                    each.leadership.failed(FencingToken(task, each.owns[task], each.holder.incarnation))
+                victims = [sign for sign in lease_transaction._heartbeats(rows) if rng.random() < 0.1]
                 rows = each.ask(rows, now_ms=step * 1e5, dead=victims)
                 for name, task in rows.tasks.items():
                     assert task.term >= terms[name]
@@ -166,7 +166,7 @@
     def test_each_call_is_counted_once_and_late_ones_are_corrections(self, tmp_path, kind):
         async def run():
             async with database(kind, tmp_path) as (_, fleet, store, _server):
-                tenure = await own(fleet)
+                token = await own(fleet)
                 await store.write(
                     [self.record(n, 500 + n) for n in range(10)]
                     + [
@@ -175,7 +175,9 @@
                         self.record(77, 995, "served", "n2"),
                     ]
                 )
-                await fleet.act(tenure, usage_ledger.closing(Closing(0, 1000), 1000, 300, None, tenure.term))
+                await fleet.execute_fenced(
+                    token, usage_ledger.closing(Closing(0, 1000), 1000, 300, None, token.term)
+                )
                 assert await sums(fleet, 0) == [Sum(0, "acme", "low", "served", 0, 11)]
                 await store.write(
                     [
@@ -184,17 +186,21 @@
                         self.record(60, 1500, "refused"),
                     ]
                 )
-                await fleet.act(tenure, usage_ledger.closing(Closing(1, 2000), 1000, 300, 0, tenure.term))
+                await fleet.execute_fenced(
+                    token, usage_ledger.closing(Closing(1, 2000), 1000, 300, 0, token.term)
+                )
                 assert await sums(fleet, 1) == [
                     Sum(0, "", "low", "served", 1, 1),
                     Sum(1, "acme", "low", "refused", 0, 1),
                 ]
                 with pytest.raises(StoreRefusedError):
-                    await fleet.act(tenure, usage_ledger.closing(Closing(1, 2000), 1000, 300, 0, tenure.term))
-                await fleet.act(tenure, usage_ledger.retention(10_000))
+                    await fleet.execute_fenced(
+                        token, usage_ledger.closing(Closing(1, 2000), 1000, 300, 0, token.term)
+                    )
+                await fleet.execute_fenced(token, usage_ledger.retention(10_000))
                 assert len(await fleet.read("SELECT call_id FROM call_outcome")) == 16, "nothing is exported"
-                await fleet.act(tenure, usage_ledger.exported(0, tenure.term))
-                await fleet.act(tenure, usage_ledger.retention(10_000))
+                await fleet.execute_fenced(token, usage_ledger.exported(0, token.term))
+                await fleet.execute_fenced(token, usage_ledger.retention(10_000))
                 assert len(await fleet.read("SELECT call_id FROM call_outcome")) == 3
 
         asyncio.run(run())
@@ -206,7 +212,7 @@
 
         async def run():
             async with database(kind, tmp_path) as (_, fleet, store, _server):
-                tenure = await own(fleet)
+                token = await own(fleet)
                 await store.write(
                     [
                         tried(1, 100, "refused", "a"),
@@ -219,13 +225,17 @@
                         self.record(8, 910, "failed"),
                     ]
                 )
-                await fleet.act(tenure, usage_ledger.closing(Closing(0, 1000), 1000, 300, None, tenure.term))
+                await fleet.execute_fenced(
+                    token, usage_ledger.closing(Closing(0, 1000), 1000, 300, None, token.term)
+                )
                 assert await sums(fleet, 0) == [
                     Sum(0, "acme", "low", "failed", 0, 3),
                     Sum(0, "acme", "low", "served", 0, 2),
                 ]
                 await store.write([tried(9, 1100, "served", "c")])  # the repeat of one near the period's end
-                await fleet.act(tenure, usage_ledger.closing(Closing(1, 2000), 1000, 300, 0, tenure.term))
+                await fleet.execute_fenced(
+                    token, usage_ledger.closing(Closing(1, 2000), 1000, 300, 0, token.term)
+                )
                 assert await sums(fleet, 1) == [Sum(1, "acme", "low", "served", 0, 1)]
 
         asyncio.run(run())
@@ -234,11 +244,13 @@
     def test_an_effect_under_an_old_term_is_refused_whole(self, tmp_path, kind):
         async def run():
             async with database(kind, tmp_path) as (_, fleet, store, _server):
-                tenure = await own(fleet)
+                token = await own(fleet)
                 await store.write([self.record(1, 500)])
-                late = tenure._replace(term=tenure.term - 1)
-                with pytest.raises(TermOverError, match="term 0 of close is over"):
-                    await fleet.act(late, usage_ledger.closing(Closing(0, 1000), 1000, 300, None, late.term))
+                late = token._replace(term=token.term - 1)
+                with pytest.raises(StaleTermError, match="term 0 of close is over"):
+                    await fleet.execute_fenced(
+                        late, usage_ledger.closing(Closing(0, 1000), 1000, 300, None, late.term)
+                    )
                 assert await fleet.read(usage_ledger.LAST_CLOSED) == [(None,)]
 
         asyncio.run(run())
@@ -350,9 +362,11 @@
 async def own(fleet):
     """Have somebody own the closing."""
     candidate = Candidate("test", "close")
-    request = candidate.holder.request(0.0, {})
-    answer = await fleet.transact(msgspec.structs.replace(request, **candidate.ownership.says(0.0)))
-    return Tenure("close", answer.tasks["close"].term, answer.incarnation)
+    request = candidate.holder.next_request(0.0, {})
+    answer = await fleet.transact(
+        msgspec.structs.replace(request, **candidate.leadership.request_fields(0.0))
+    )
+    return FencingToken("close", answer.tasks["close"].term, answer.incarnation)
 
 
 async def sums(fleet, period):
@@ -574,16 +588,18 @@
                 one, two = Candidate("a", f"t{number}"), Candidate("b", f"t{number}")
                 answers = []
                 for backend, candidate in ((fleet, one), (other, two)):
-                    request = candidate.holder.request(0.0, {})
+                    request = candidate.holder.next_request(0.0, {})
                     answers.append(
-                        backend.transact(msgspec.structs.replace(request, **candidate.ownership.says(0.0)))
+                        backend.transact(
+                            msgspec.structs.replace(request, **candidate.leadership.request_fields(0.0))
+                        )
                     )
                 for candidate, answer in zip((one, two), await asyncio.gather(*answers), strict=True):
-                    candidate.holder.answered(answer)
-                    candidate.ownership.heard(answer, 0.0)
+                    candidate.holder.on_response(answer)
+                    candidate.leadership.on_response(answer, 0.0)
                 assert sorted(map(len, (one.owns, two.owns))) == [0, 1]
                 for incarnation in (one.holder.incarnation, two.holder.incarnation):
-                    await fleet.forget(incarnation)
+                    await fleet.remove_member(incarnation)
             await other.close()
 
     asyncio.run(run())
@@ -599,7 +615,7 @@
             workers.processes["a"].send_signal(signal.SIGTERM)
             assert await workers.processes["a"].wait() == 0
             # Its row is gone with it; on a slow machine the lease of 0.9 s may have been first.
-            assert {member.name for member in (await fleet.look()).members.values()} == {"b"}
+            assert {member.name for member in (await fleet.read_state()).members.values()} == {"b"}
             await store.write(outcomes(0, 10))
             await all_exported(workers, fleet, 10)
             shown = await asyncio.to_thread(
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -26,9 +26,17 @@
 from canvasplank.endpoint_cache import writer
 from canvasplank.endpoint_cache.bootstrap import Roster
 from canvasplank.endpoint_cache.cached_list import KeptList, KeptServer
-from canvasplank.fleet.backend import Tenure
+from canvasplank.fleet.backend import FencingToken
 from canvasplank.fleet.sqlite import Sqlite as FleetSqlite
-from canvasplank.fleet.state import Answer, Holding, Member, Request, Rows, Sign, Task
+from canvasplank.fleet.state import (
+    Allocation,
+    FleetState,
+    Heartbeat,
+    LeaseRequest,
+    LeaseResponse,
+    Member,
+    Task,
+)
 from canvasplank.store.backend import Count
 from canvasplank.store.records import ANSWERED, OVER, Outcome
 from canvasplank.store.sqlite import Sqlite as StoreSqlite
@@ -85,8 +93,8 @@
 ]
 
 
-def holding(held: int, demand: int | None = None) -> Holding:
-    return Holding(80_000, 16_000, held, demand)
+def holding(held: int, demand: int | None = None) -> Allocation:
+    return Allocation(80_000, 16_000, held, demand)
 
 
 # ------------------------------------------------------------------------------- written by this version
@@ -99,29 +107,35 @@
     await store.open()
     await fleet.migrate(usage_ledger.SCHEMA)
     await store.write(OUTCOMES)
-    await fleet.transact(Request("proxy-1", None, 1, 8, 400.0, {"all": holding(0, 50_000)}, hears=True))
-    await fleet.transact(Request("proxy-2", None, 1, 8, 600.0, {"all": holding(0)}))
-    await fleet.transact(Request("proxy-1", 1, 2, 8, 400.0, {"all": holding(30_000, 50_000)}, hears=True))
-    await fleet.transact(Request("proxy-2", 2, 2, 8, 600.0, {"all": holding(0)}))
     await fleet.transact(
-        Request(
+        LeaseRequest("proxy-1", None, 1, 8, 400.0, {"all": holding(0, 50_000)}, sees_discovery=True)
+    )
+    await fleet.transact(LeaseRequest("proxy-2", None, 1, 8, 600.0, {"all": holding(0)}))
+    await fleet.transact(
+        LeaseRequest("proxy-1", 1, 2, 8, 400.0, {"all": holding(30_000, 50_000)}, sees_discovery=True)
+    )
+    await fleet.transact(LeaseRequest("proxy-2", 2, 2, 8, 600.0, {"all": holding(0)}))
+    await fleet.transact(
+        LeaseRequest(
             "worker-1",
             None,
             1,
             8,
             400.0,
             {},
-            able=("close", "export", "retain"),
+            capabilities=("close", "export", "retain"),
             ready={"close": 0, "export": 0, "retain": 0},
         )
     )
     await fleet.transact(
-        Request("worker-1", 3, 2, 8, 400.0, {}, able=("close", "export", "retain"), given_up=("retain",))
+        LeaseRequest(
+            "worker-1", 3, 2, 8, 400.0, {}, capabilities=("close", "export", "retain"), given_up=("retain",)
+        )
     )
-    closing = Tenure("close", 1, 3)
+    closing = FencingToken("close", 1, 3)
     made = usage_ledger.Closing(PERIOD, (PERIOD + 1) * PERIOD_MS)
-    await fleet.act(closing, usage_ledger.closing(made, PERIOD_MS, REPEAT_MS, None, closing.term))
-    await fleet.act(Tenure("export", 1, 3), usage_ledger.exported(PERIOD, 1))
+    await fleet.execute_fenced(closing, usage_ledger.closing(made, PERIOD_MS, REPEAT_MS, None, closing.term))
+    await fleet.execute_fenced(FencingToken("export", 1, 3), usage_ledger.exported(PERIOD, 1))
     await fleet.close()
     await store.close()
 
@@ -160,20 +174,20 @@
 
 
 def test_the_rows_of_a_fleet_are_read(tmp_path):
-    async def read() -> Rows:
+    async def read() -> FleetState:
         fleet = FleetSqlite(str(restored("fleet.db", tmp_path)))
         await fleet.open()
         try:
-            return await fleet.look()
+            return await fleet.read_state()
         finally:
             await fleet.close()
 
     works = ("close", "export", "retain")
-    assert asyncio.run(read()) == Rows(
+    assert asyncio.run(read()) == FleetState(
         members={
-            1: Member(1, "proxy-1", 2, 8, 400.0, {"all": holding(32_000, 50_000)}, hears=True),
+            1: Member(1, "proxy-1", 2, 8, 400.0, {"all": holding(32_000, 50_000)}, sees_discovery=True),
             2: Member(2, "proxy-2", 2, 8, 600.0, {"all": holding(32_000)}),
-            3: Member(3, "worker-1", 2, 8, 400.0, {}, able=works),
+            3: Member(3, "worker-1", 2, 8, 400.0, {}, capabilities=works),
         },
         next_incarnation=4,
         tasks={"close": Task(1, 3), "export": Task(1, 3), "retain": Task(1, None, 1, 3)},
@@ -181,19 +195,21 @@
 
 
 def test_a_fleet_goes_on_from_the_rows_of_an_earlier_version(tmp_path):
-    async def renew() -> Answer:
+    async def renew() -> LeaseResponse:
         fleet = FleetSqlite(str(restored("fleet.db", tmp_path)))
         await fleet.open()
         try:
             return await fleet.transact(
-                Request("proxy-2", 2, 3, 8, 600.0, {"all": holding(32_000)}, dead=(Sign(1, 2, 400.0),))
+                LeaseRequest(
+                    "proxy-2", 2, 3, 8, 600.0, {"all": holding(32_000)}, expired=(Heartbeat(1, 2, 400.0),)
+                )
             )
         finally:
             await fleet.close()
 
     answer = asyncio.run(renew())
     assert answer.incarnation == 2 and answer.grants["all"].share == 64_000
-    assert answer.seen == (Sign(2, 3, 600.0), Sign(3, 2, 400.0))
+    assert answer.heartbeats == (Heartbeat(2, 3, 600.0), Heartbeat(3, 2, 400.0))
 
 
 def test_the_columns_and_keys_of_a_fleet_stay(tmp_path):
@@ -240,8 +256,8 @@
             first = [Sum(*row) for row in await fleet.read(usage_ledger.SUMS, (PERIOD,))]
             assert await fleet.read(usage_ledger.LAST_CLOSED) == [(PERIOD,)]
             made = usage_ledger.Closing(PERIOD + 1, (PERIOD + 2) * PERIOD_MS)
-            await fleet.act(
-                Tenure("close", 1, 3), usage_ledger.closing(made, PERIOD_MS, REPEAT_MS, PERIOD, 1)
+            await fleet.execute_fenced(
+                FencingToken("close", 1, 3), usage_ledger.closing(made, PERIOD_MS, REPEAT_MS, PERIOD, 1)
             )
             return first, [Sum(*row) for row in await fleet.read(usage_ledger.SUMS, (PERIOD + 1,))]
         finally:
--- a/verification/leases.py
+++ b/verification/leases.py
@@ -1,9 +1,10 @@
 """Explores every interleaving of the lease protocol, in the program's own code, up to bounds.
 
-A state is a few proxies (each the program's own ``Holder`` and ``Watch``), the store's rows, messages on
-their way and the time.  From each state every step is tried: a tick of time, in which each proxy's clock may
-gain or lose one; a request sent, and carried out now, late, twice or never; its answer heard, late or never;
-a proxy started anew under the same name while the old one goes on.  A frozen one takes no step for long.
+A state is a few proxies (each the program's own ``LeaseHolder`` and ``FailureDetector``), the store's rows,
+messages on their way and the time.  From each state every step is tried: a tick of time, in which each
+proxy's clock may gain or lose one; a request sent, and carried out now, late, twice or never; its
+answer heard, late or never; a proxy started anew under the same name while the old one goes on.  A frozen
+one takes no step for long.
 
 Sending a request touches nothing but its sender, so one that is carried out within the same tick is sent and
 carried out in one step; what comes of every other order is the same.
@@ -20,28 +21,28 @@
 from dataclasses import dataclass, field, replace
 
 from canvasplank.fleet import lease_transaction
-from canvasplank.fleet.failure_detector import Watch
-from canvasplank.fleet.lease_holder import NEVER, Holder, Lease, Terms
-from canvasplank.fleet.state import Answer, Request, Rows
+from canvasplank.fleet.failure_detector import FailureDetector
+from canvasplank.fleet.lease_holder import NEVER, BudgetLimits, Lease, LeaseHolder
+from canvasplank.fleet.state import FleetState, LeaseRequest, LeaseResponse
 
 BUDGET = "b"
 WHOLE = 6
-Apply = Callable[[Rows, Request], tuple[Rows, Answer]]
+Apply = Callable[[FleetState, LeaseRequest], tuple[FleetState, LeaseResponse]]
 
 
 @dataclass(slots=True)
 class Proxy:
     """One process, its clock's error, and what is on its way from and to it."""
 
-    holder: Holder
-    watch: Watch
+    holder: LeaseHolder
+    watch: FailureDetector
     gained: int = 0  # its clock is the true time and this
     slips: int = 0  # how often it has gained or lost
     asked: int = 0
-    request: Request | None = None  # the newest, not carried out yet
+    request: LeaseRequest | None = None  # the newest, not carried out yet
     sent: int = 0  # when that was sent
-    late: Request | None = None  # one that its sender has given up, or that comes again
-    answer: Answer | None = None  # on its way
+    late: LeaseRequest | None = None  # one that its sender has given up, or that comes again
+    answer: LeaseResponse | None = None  # on its way
 
 
 @dataclass(slots=True)
@@ -49,7 +50,7 @@
     """Everything there is."""
 
     proxies: list[Proxy]
-    rows: Rows = field(default_factory=Rows)
+    rows: FleetState = field(default_factory=FleetState)
     now: int = 0
 
     def used(self) -> int:
@@ -60,7 +61,7 @@
         """The same for states that go on alike: times count from now, and what is long past is past."""
         return (
             tuple(self._proxy_key(p) for p in self.proxies),
-            tuple(sorted((k, m.seq, m.holdings[BUDGET].held) for k, m in self.rows.members.items())),
+            tuple(sorted((k, m.seq, m.allocations[BUDGET].held) for k, m in self.rows.members.items())),
             self.rows.next_incarnation,
             self.now,
         )
@@ -72,7 +73,7 @@
         return (
             holder.incarnation,
             lasts,
-            holder.using(BUDGET),
+            holder.in_use(BUDGET),
             holder._target[BUDGET],
             sent,
             holder._seq,
@@ -86,12 +87,12 @@
         )
 
 
-def _request_key(request: Request | None) -> tuple | None:
-    return request and (request.incarnation, request.seq, request.using[BUDGET].held, request.dead)
+def _request_key(request: LeaseRequest | None) -> tuple | None:
+    return request and (request.incarnation, request.seq, request.in_use[BUDGET].held, request.expired)
 
 
-def _answer_key(answer: Answer | None) -> tuple | None:
-    return answer and (answer.incarnation, answer.seq, tuple(answer.grants.items()), answer.seen)
+def _answer_key(answer: LeaseResponse | None) -> tuple | None:
+    return answer and (answer.incarnation, answer.seq, tuple(answer.grants.items()), answer.heartbeats)
 
 
 @dataclass(frozen=True, slots=True)
@@ -156,8 +157,8 @@
         return tuple(reversed(steps))
 
     def _proxy(self, name: str) -> Proxy:
-        terms = {BUDGET: Terms(WHOLE, 0, self._bounds.processes + 2)}
-        return Proxy(Holder(name, terms, self._lease), Watch(self._lease))
+        terms = {BUDGET: BudgetLimits(WHOLE, 0, self._bounds.processes + 2)}
+        return Proxy(LeaseHolder(name, terms, self._lease), FailureDetector(self._lease))
 
     def steps(self, state: State) -> Iterator[tuple[str, State]]:
         """Every step that can follow, and what it leads to."""
@@ -194,7 +195,7 @@
         proxy.asked += 1
         proxy.late = proxy.request or proxy.late
         now = state.now + proxy.gained
-        proxy.request = proxy.holder.request(now, {}, proxy.watch.dead(now))
+        proxy.request = proxy.holder.next_request(now, {}, proxy.watch.expired(now))
         proxy.sent = state.now
         return True
 
@@ -228,15 +229,15 @@
     def _hear(self, state: State, proxy: Proxy) -> bool:
         if proxy.answer is None:
             return False
-        proxy.holder.answered(proxy.answer)
-        proxy.watch.saw(proxy.answer.seen, state.now + proxy.gained)
+        proxy.holder.on_response(proxy.answer)
+        proxy.watch.observe(proxy.answer.heartbeats, state.now + proxy.gained)
         proxy.answer = None
         return True
 
 
 def _copy(proxy: Proxy) -> Proxy:
     holder, watch = copy.copy(proxy.holder), copy.copy(proxy.watch)
-    holder._using, holder._target = dict(holder._using), dict(holder._target)
+    holder._in_use, holder._target = dict(holder._in_use), dict(holder._target)
     return replace(proxy, holder=holder, watch=watch)
 
 
