--- a/canvasplank/admin.py
+++ b/canvasplank/admin.py
@@ -10,7 +10,7 @@
 import logging
 from typing import Protocol
 
-from canvasplank.config.settings import parse_address
+from canvasplank.config.addresses import parse_address
 from canvasplank.runtime.streams import close_writer
 
 LOG = logging.getLogger(__name__)
--- a/canvasplank/cli.py
+++ b/canvasplank/cli.py
@@ -12,7 +12,7 @@
 
 import click
 
-from canvasplank.config.settings import ConfigurationError
+from canvasplank.config.configuration import ConfigurationError
 from canvasplank.database.errors import StoreRefusedError, StoreUnavailableError
 from canvasplank.fleet.backend import Backend
 from canvasplank.fleet.config import Fleet, load_fleet
--- a/canvasplank/cold_start/extension.py
+++ b/canvasplank/cold_start/extension.py
@@ -11,8 +11,9 @@
 from canvasplank import interface as api
 from canvasplank.cold_start.poll_backoff import SECOND_MS, PollPace
 from canvasplank.cold_start.rendezvous_subset import Subset
+from canvasplank.config.discovery_events import Endpoint
 from canvasplank.config.extension_file import load_extension_settings
-from canvasplank.config.settings import Endpoint, read_settings
+from canvasplank.config.platform_settings import read_settings
 from canvasplank.extensions.extension import Extension, ExtensionContext, ExtensionFactory
 
 Rate = Annotated[float, msgspec.Meta(ge=0, le=100_000)]
--- a/canvasplank/cold_start/rendezvous_subset.py
+++ b/canvasplank/cold_start/rendezvous_subset.py
@@ -14,7 +14,7 @@
 import msgspec
 import xxhash
 
-from canvasplank.config.settings import DiscoveryEvent, Endpoint, EndpointListUpdate, apply_event
+from canvasplank.config.discovery_events import DiscoveryEvent, Endpoint, EndpointListUpdate, apply_event
 
 READY, DRAINING = "ready", "draining"
 SPREAD = 3.0  # roots of the mean: about one server in a thousand is shared by more than that over the mean
--- a/canvasplank/config/extension_file.py
+++ b/canvasplank/config/extension_file.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from canvasplank.config.settings import ConfigurationError
+from canvasplank.config.configuration import ConfigurationError
 
 Settings = TypeVar("Settings", bound=msgspec.Struct)
 
--- a/canvasplank/config/settings.py
+++ b/canvasplank/config/platform_settings.py
@@ -1,17 +1,14 @@
-"""What the program is told: the configuration, the settings in it, and the list of servers.
-
-The simulator's adapter and the proxy read the same settings; both have ``interface.Settings`` from here.
-Files and lists are decoded with msgspec, which skips keys that this version does not know.
-"""
+"""The platform's settings, as the decision module, the network side and the simulator adapter read them."""
 
 from __future__ import annotations
 
 from collections.abc import Iterable, Mapping
-from typing import Annotated, Any
+from typing import Any
 
 import msgspec
 
 from canvasplank import interface as api
+from canvasplank.config.configuration import ConfigurationError
 
 _SOURCES = {
     "off": api.ReportSource.NONE,
@@ -28,63 +25,6 @@
 }
 
 
-class ConfigurationError(ValueError):
-    """The configuration cannot be used; the message says why, in one line."""
-
-
-class ResourceLimits(msgspec.Struct):
-    """What the platform lets this machine have."""
-
-    sockets: Annotated[int, msgspec.Meta(gt=0)] = 1024
-    memory_mb: Annotated[float, msgspec.Meta(gt=0)] = 192
-    cores: float = 1.0
-
-
-class Endpoint(msgspec.Struct, rename="camel"):
-    """One call server, as a notice names it."""
-
-    instance_id: str
-    host_port: str
-    lifecycle: str
-    cell: int = 0
-    started_at_ms: float = 0
-    zone: str = ""
-
-
-class EndpointListUpdate(msgspec.Struct):
-    """What a notice tells of the list: the whole list when ``reset`` is set, else what has changed."""
-
-    instances: list[Endpoint]
-    reset: bool = False
-
-
-class DiscoveryEvent(msgspec.Struct):
-    """One numbered event of the notice board."""
-
-    rev: int
-    pool: EndpointListUpdate | None = None
-
-
-class BootstrapState(msgspec.Struct):
-    """The notices up to the start."""
-
-    rev: int = 0
-    events: list[DiscoveryEvent] = msgspec.field(name="notices", default_factory=list)
-
-
-class Configuration(msgspec.Struct):
-    """All that the program is told at its start."""
-
-    listen: str
-    seed: str
-    discovery: str = msgspec.field(name="board")  # its address
-    settings: dict[str, Any]
-    name: str = ""
-    admin: str = ""  # the operators' address; none: no such listener
-    known: BootstrapState = msgspec.field(default_factory=BootstrapState)
-    limits: ResourceLimits = msgspec.field(default_factory=ResourceLimits)
-
-
 class ConnectionLimits(msgspec.Struct):
     """The figures in the settings that concern connections and tables, and not the decisions."""
 
@@ -133,49 +73,6 @@
         return api.Report(**values) if values else None
 
 
-DISCOVERY_EVENT_DECODER = msgspec.json.Decoder(DiscoveryEvent)
-
-_STATES = {
-    "ready": api.ServerState.READY,
-    "draining": api.ServerState.DRAINING,
-    "gone": api.ServerState.GONE,
-}
-
-
-def apply_event(instances: dict[str, Endpoint], event: DiscoveryEvent) -> None:
-    """Take one event of the board into the list."""
-    if event.pool is None:
-        return
-    if event.pool.reset:
-        instances.clear()
-    for instance in event.pool.instances:
-        if instance.lifecycle == "gone":
-            instances.pop(instance.instance_id, None)
-        else:
-            instances[instance.instance_id] = instance
-
-
-def endpoints_after(events: Iterable[DiscoveryEvent]) -> list[Endpoint]:
-    """The list as it stands after these events."""
-    instances: dict[str, Endpoint] = {}
-    for event in events:
-        apply_event(instances, event)
-    return list(instances.values())
-
-
-def load_configuration(path: str) -> Configuration:
-    """Read the file; whatever is wrong with it comes out as one line."""
-    try:
-        with open(path, "rb") as file:
-            configuration = msgspec.json.decode(file.read(), type=Configuration)
-        for address in (configuration.listen, configuration.discovery, configuration.admin or "any:0"):
-            parse_address(address)
-        int(configuration.seed, 16)
-    except (OSError, msgspec.MsgspecError, ValueError, RecursionError) as error:  # the last: too deep
-        raise ConfigurationError(f"configuration {path}: {error}") from None
-    return configuration
-
-
 def read_connection_limits(options: dict[str, Any]) -> ConnectionLimits:
     """The part of the settings that the network side goes by."""
     try:
@@ -207,24 +104,6 @@
     )
 
 
-def parse_address(address: str) -> tuple[str, int]:
-    """Host and port of ``host:port``."""
-    host, _, port = address.rpartition(":")
-    if not host or not port.isdigit():
-        raise ValueError(f"{address!r} is not host:port")
-    return host.strip("[]"), int(port)
-
-
-def to_server(instance: Endpoint) -> api.Server:
-    """The entry as the module reads it; an unknown state counts as draining: nothing new goes there."""
-    return api.Server(
-        instance.instance_id,
-        instance.cell,
-        _STATES.get(instance.lifecycle, api.ServerState.DRAINING),
-        instance.started_at_ms or None,
-    )
-
-
 def known_or_none(value: float | None) -> float | None:
     """A figure, or None where the wire leaves it out or says -1."""
     return None if value is None or value < 0 else value
--- a/canvasplank/endpoint_cache/bootstrap.py
+++ b/canvasplank/endpoint_cache/bootstrap.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass
 
 from canvasplank import interface as api
-from canvasplank.config.settings import DiscoveryEvent, Endpoint, apply_event
+from canvasplank.config.discovery_events import DiscoveryEvent, Endpoint, apply_event
 from canvasplank.endpoint_cache.cached_list import VERSION, KeptList, KeptServer
 
 READY = "ready"
--- a/canvasplank/endpoint_cache/cached_list.py
+++ b/canvasplank/endpoint_cache/cached_list.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from canvasplank.config.settings import Endpoint
+from canvasplank.config.discovery_events import Endpoint
 
 VERSION = 1
 MOST_BYTES = 8 * 1024 * 1024
--- a/canvasplank/endpoint_cache/extension.py
+++ b/canvasplank/endpoint_cache/extension.py
@@ -4,7 +4,8 @@
 
 import logging
 
-from canvasplank.config.settings import DiscoveryEvent, endpoints_after, read_settings
+from canvasplank.config.discovery_events import DiscoveryEvent, endpoints_after
+from canvasplank.config.platform_settings import read_settings
 from canvasplank.endpoint_cache.bootstrap import Roster, judge
 from canvasplank.endpoint_cache.config import Membership, load_membership
 from canvasplank.endpoint_cache.writer import Keeper, read
--- a/canvasplank/endpoint_cache/writer.py
+++ b/canvasplank/endpoint_cache/writer.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable
 from pathlib import Path
 
-from canvasplank.config.settings import DiscoveryEvent
+from canvasplank.config.discovery_events import DiscoveryEvent
 from canvasplank.endpoint_cache.bootstrap import Roster
 from canvasplank.endpoint_cache.cached_list import MOST_BYTES, KeptError, KeptList, decode, encode
 from canvasplank.runtime.scheduler import Scheduler
--- a/canvasplank/exchange/exchange.py
+++ b/canvasplank/exchange/exchange.py
@@ -8,16 +8,15 @@
 
 from __future__ import annotations
 
-import enum
 import logging
 from collections import OrderedDict, deque
 from collections.abc import Callable, Hashable
-from dataclasses import dataclass, field
-from typing import Protocol
 
 from canvasplank import interface as api
 from canvasplank.counters import Counters
-from canvasplank.runtime.scheduler import Scheduler, Timer
+from canvasplank.exchange.call_records import NO_DETAILS, Attempt, CallRecord, FinalAnswer, RefusalDetails
+from canvasplank.exchange.ports import CallerSide, Recorder, ServerSide
+from canvasplank.runtime.scheduler import Scheduler
 
 LOG = logging.getLogger(__name__)
 NORMAL_CLEARING = 16  # Q.850: the cause of a call's ordinary end
@@ -29,116 +28,6 @@
 DESCRIPTIONS_FRACTION = 1 / 8  # of the memory: the most that descriptions of calls without an answer may take
 
 
-class FinalAnswer(enum.Enum):
-    """The final answers other than 'established'."""
-
-    REFUSED = "refused"
-    FAILED = "failed"
-    INVALID = "invalid"  # the set-up asks for what the settings do not know
-
-
-class CallerSide(Protocol):
-    """What the exchange asks of the callers' component; ``origin`` is whatever that component gave."""
-
-    def is_reachable(self, origin: Hashable) -> bool:
-        """Whether an answer can still be written there."""
-
-    def answer(self, origin: Hashable, call_id: str, description: bytes) -> None:
-        """Tell that the call is established."""
-
-    def reject(
-        self, origin: Hashable, call_id: str, final: FinalAnswer, retry_after_ms: float | None
-    ) -> None:
-        """Tell that the call was refused or has failed."""
-
-    def release(self, origin: Hashable | None, call_id: str, cause: int) -> None:
-        """Tell that an established call is over, on any connection."""
-
-    def remove_call(self, origin: Hashable, call_id: str) -> None:
-        """Nothing of it is to come there: its caller gave it up, released it, or sent it again elsewhere."""
-
-
-class ServerSide(Protocol):
-    """What the exchange asks of the call servers' component."""
-
-    def set_up(self, server_id: str, call: CallRecord, attempt: int, wait_ms: float) -> None:
-        """Send a set-up."""
-
-    def cancel(self, server_id: str, call_id: str) -> None:
-        """Give an unanswered set-up up."""
-
-    def release(self, server_id: str | None, call_id: str, cause: int) -> None:
-        """End an established call; without a server, wherever it may be."""
-
-    def probe(self, server_id: str) -> None:
-        """Ask a server for its load."""
-
-
-class Recorder(Protocol):
-    """Who keeps calls' outcomes, where somebody does; what it is told must cost no wait."""
-
-    def call_answered(self, call: CallRecord, final: str, now_ms: float) -> None:
-        """A call got its final answer, or its caller gave it up."""
-
-    def call_ended(self, call: CallRecord, outcome: api.Outcome, now_ms: float) -> None:
-        """An established call has ended."""
-
-
-@dataclass(frozen=True, slots=True)
-class RefusalDetails:
-    """What a server said with a refusal, beside its outcome."""
-
-    processor_full: bool = False
-    number_busy: bool = False
-    report: api.Report | None = None
-
-
-NO_DETAILS = RefusalDetails()
-
-
-@dataclass(slots=True)
-class Attempt:
-    """The one set-up of a call that is out."""
-
-    number: int
-    server_id: str
-    sent_ms: float
-    timer: Timer | None = None
-
-
-@dataclass(slots=True)
-class CallRecord:
-    """One call: its caller, its attempt, and whether it is still unanswered."""
-
-    id: str
-    class_name: str
-    number: str
-    preferred_pool: int
-    was_cut: bool
-    expires_ms: float
-    description: bytes
-    origin: Hashable
-    tenant: str | None = None  # None: the settings name no tenants
-    taken_ms: float = 0.0
-    attempts: int = 0
-    last_server_id: str | None = None  # the server of its latest attempt
-    in_flight: Attempt | None = None
-    unanswered: bool = True
-    established_server_id: str | None = None  # the server, once the call is established
-    established_ms: float = 0.0
-    timer: Timer | None = field(default=None, repr=False)
-
-    def is_retransmission_of(self, other: CallRecord) -> bool:
-        """Whether the other is the same set-up, sent once more."""
-        return (self.class_name, self.tenant, self.number, self.preferred_pool, self.description) == (
-            other.class_name,
-            other.tenant,
-            other.number,
-            other.preferred_pool,
-            other.description,
-        )
-
-
 class Exchange:
     """Callers on one side, call servers on the other, the decisions between them."""
 
--- a/canvasplank/extensions/extension.py
+++ b/canvasplank/extensions/extension.py
@@ -1,16 +1,12 @@
-"""Parts of the program that files of their own switch on: one life cycle, one table.
-
-A part is named by an environment variable that holds the path of its file.  One that is off is not even
-imported: off, it costs nothing.  ``__main__`` runs whatever is on and knows none of them.
-"""
+"""What an extension is: its life cycle, and what it may use of the program."""
 
 from __future__ import annotations
 
-import importlib
-from collections.abc import Callable, Mapping
-from typing import NamedTuple, Protocol
+from collections.abc import Callable
+from typing import Protocol
 
-from canvasplank.config.settings import Configuration, DiscoveryEvent
+from canvasplank.config.configuration import Configuration
+from canvasplank.config.discovery_events import DiscoveryEvent
 from canvasplank.counters import Counters
 from canvasplank.exchange.exchange import Exchange
 from canvasplank.network.discovery import Discovery
@@ -57,29 +53,3 @@
 
 
 ExtensionFactory = Callable[[ExtensionContext], Extension]
-
-
-class ExtensionEntry(NamedTuple):
-    """One kind of part: the variable that names its file, and the module whose ``load`` reads that."""
-
-    variable: str
-    module: str
-
-
-# In the order of their starts: the kept list before whoever asks what servers there are.
-REGISTRY = (
-    ExtensionEntry("CANVASPLANK_MEMBERSHIP", "canvasplank.endpoint_cache.extension"),
-    ExtensionEntry("CANVASPLANK_STORE", "canvasplank.store.extension"),
-    ExtensionEntry("CANVASPLANK_STARTING", "canvasplank.cold_start.extension"),
-    ExtensionEntry("CANVASPLANK_FLEET", "canvasplank.fleet.extension"),
-    ExtensionEntry("CANVASPLANK_LEARNING", "canvasplank.warm_start.extension"),
-)
-
-
-def load_enabled_extensions(environment: Mapping[str, str]) -> list[ExtensionFactory]:
-    """What the environment names files for, its files read; a bad one is a ``ConfigurationError``."""
-    return [
-        importlib.import_module(entry.module).load(path)
-        for entry in REGISTRY
-        if (path := environment.get(entry.variable))
-    ]
--- a/canvasplank/network/callers.py
+++ b/canvasplank/network/callers.py
@@ -6,8 +6,9 @@
 
 from canvasplank.codecs import isup
 from canvasplank.codecs.errors import BadMessageError
-from canvasplank.config.settings import RequestBounds
-from canvasplank.exchange.exchange import Exchange, FinalAnswer
+from canvasplank.config.platform_settings import RequestBounds
+from canvasplank.exchange.call_records import FinalAnswer
+from canvasplank.exchange.exchange import Exchange
 from canvasplank.network.caller_stream import SILENT_MS, CallerStream
 from canvasplank.network.listening import Listener
 from canvasplank.network.set_ups import call_of, is_possible
--- a/canvasplank/network/connecting.py
+++ b/canvasplank/network/connecting.py
@@ -6,7 +6,7 @@
 import socket
 from collections.abc import Callable
 
-from canvasplank.config.settings import parse_address
+from canvasplank.config.addresses import parse_address
 from canvasplank.network.stream import Stream
 from canvasplank.runtime.scheduler import Scheduler, Timer
 
--- a/canvasplank/network/server_messages.py
+++ b/canvasplank/network/server_messages.py
@@ -6,8 +6,8 @@
 
 from canvasplank import interface as api
 from canvasplank.codecs import sip
-from canvasplank.config.settings import LoadReportReader
-from canvasplank.exchange.exchange import RefusalDetails
+from canvasplank.config.platform_settings import LoadReportReader
+from canvasplank.exchange.call_records import RefusalDetails
 
 OUTCOMES = {
     480: api.Outcome.NOT_SENT,
--- a/canvasplank/network/server_stream.py
+++ b/canvasplank/network/server_stream.py
@@ -7,7 +7,8 @@
 
 from canvasplank import interface as api
 from canvasplank.codecs import sip
-from canvasplank.exchange.exchange import CallRecord, Exchange
+from canvasplank.exchange.call_records import CallRecord
+from canvasplank.exchange.exchange import Exchange
 from canvasplank.network.connecting import Backoff, Connecting
 from canvasplank.network.stream import BufferBudget, Stream
 
--- a/canvasplank/network/servers.py
+++ b/canvasplank/network/servers.py
@@ -13,8 +13,10 @@
 from canvasplank import interface as api
 from canvasplank.codecs import sip
 from canvasplank.codecs.errors import BadMessageError
-from canvasplank.config.settings import ConnectionLimits, Endpoint, LoadReportReader, to_server
-from canvasplank.exchange.exchange import UNWANTED_ANSWER_CAUSE, CallRecord, Exchange
+from canvasplank.config.discovery_events import Endpoint, to_server
+from canvasplank.config.platform_settings import ConnectionLimits, LoadReportReader
+from canvasplank.exchange.call_records import CallRecord
+from canvasplank.exchange.exchange import UNWANTED_ANSWER_CAUSE, Exchange
 from canvasplank.network.connecting import Backoff, Connecting
 from canvasplank.network.server_messages import figures, refusal
 from canvasplank.network.server_stream import QUIET_MS, Peer, ServerStream, WaitingSetUp
--- a/canvasplank/network/set_ups.py
+++ b/canvasplank/network/set_ups.py
@@ -6,8 +6,8 @@
 
 from canvasplank.codecs import isup
 from canvasplank.codecs.errors import BadMessageError
-from canvasplank.config.settings import RequestBounds
-from canvasplank.exchange.exchange import CallRecord
+from canvasplank.config.platform_settings import RequestBounds
+from canvasplank.exchange.call_records import CallRecord
 from canvasplank.network.caller_stream import CallerStream
 from canvasplank.runtime.scheduler import Scheduler
 
--- a/canvasplank/program.py
+++ b/canvasplank/program.py
@@ -14,13 +14,10 @@
 
 from canvasplank import interface as api
 from canvasplank.admin import Admin
-from canvasplank.config.settings import (
-    Configuration,
-    ConfigurationError,
-    DiscoveryEvent,
-    endpoints_after,
-    load_configuration,
-    parse_address,
+from canvasplank.config.addresses import parse_address
+from canvasplank.config.configuration import Configuration, ConfigurationError, load_configuration
+from canvasplank.config.discovery_events import DiscoveryEvent, endpoints_after
+from canvasplank.config.platform_settings import (
     read_connection_limits,
     read_load_report_reader,
     read_request_bounds,
@@ -28,7 +25,8 @@
 )
 from canvasplank.counters import Counters
 from canvasplank.exchange.exchange import Exchange
-from canvasplank.extensions.extension import ExtensionFactory, load_enabled_extensions
+from canvasplank.extensions.extension import ExtensionFactory
+from canvasplank.extensions.registry import load_enabled_extensions
 from canvasplank.network.callers import Callers
 from canvasplank.network.discovery import Discovery
 from canvasplank.network.servers import Servers
--- a/canvasplank/simulator_adapter.py
+++ b/canvasplank/simulator_adapter.py
@@ -12,7 +12,7 @@
 from typing import Any, TextIO
 
 from canvasplank import interface as api
-from canvasplank.config.settings import (
+from canvasplank.config.platform_settings import (
     LoadReportReader,
     known_or_none,
     read_load_report_reader,
--- a/canvasplank/store/__main__.py
+++ b/canvasplank/store/__main__.py
@@ -11,7 +11,7 @@
 
 import click
 
-from canvasplank.config.settings import ConfigurationError
+from canvasplank.config.configuration import ConfigurationError
 from canvasplank.database.errors import StoreRefusedError, StoreUnavailableError
 from canvasplank.store.backend import Count
 from canvasplank.store.config import load_store
--- a/canvasplank/store/writer.py
+++ b/canvasplank/store/writer.py
@@ -14,7 +14,7 @@
 from canvasplank.counters import Counters
 from canvasplank.database.errors import StoreRefusedError, StoreUnavailableError
 from canvasplank.database.location import let_go
-from canvasplank.exchange.exchange import CallRecord
+from canvasplank.exchange.call_records import CallRecord
 from canvasplank.store.backend import Backend
 from canvasplank.store.outbox import Outbox
 from canvasplank.store.records import ENDINGS, OVER, SERVED, Outcome
--- a/canvasplank/warm_start/client.py
+++ b/canvasplank/warm_start/client.py
@@ -14,7 +14,7 @@
 import time
 from collections.abc import Sequence
 
-from canvasplank.config.settings import parse_address
+from canvasplank.config.addresses import parse_address
 from canvasplank.runtime.streams import close_writer
 from canvasplank.warm_start.peer_snapshot import MOST_BYTES, PeerView, ViewError, decode
 
--- a/canvasplank/warm_start/config.py
+++ b/canvasplank/warm_start/config.py
@@ -10,8 +10,8 @@
 
 import msgspec
 
+from canvasplank.config.addresses import parse_address
 from canvasplank.config.extension_file import load_extension_settings
-from canvasplank.config.settings import parse_address
 from canvasplank.warm_start.start_hints import HALF_LIFE_MS, MOST_AGE_MS
 
 Positive = Annotated[float, msgspec.Meta(gt=0, le=3_600_000)]
--- a/canvasplank/warm_start/server.py
+++ b/canvasplank/warm_start/server.py
@@ -10,7 +10,7 @@
 import logging
 from collections.abc import Callable
 
-from canvasplank.config.settings import parse_address
+from canvasplank.config.addresses import parse_address
 from canvasplank.runtime.streams import close_writer
 from canvasplank.warm_start.client import ASK, framed
 from canvasplank.warm_start.peer_snapshot import PeerView, encode
--- a/emulators/callers.py
+++ b/emulators/callers.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass
 
 from canvasplank.codecs import isup
-from canvasplank.config.settings import parse_address
+from canvasplank.config.addresses import parse_address
 from emulators.tasks import Tasks
 
 REFUSALS = (34, 42, 102)
--- a/emulators/front.py
+++ b/emulators/front.py
@@ -5,7 +5,7 @@
 import asyncio
 
 from canvasplank.codecs import isup
-from canvasplank.config.settings import parse_address
+from canvasplank.config.addresses import parse_address
 
 TEST_ID = "0" * 15 + "1"
 TEST_S = 2.0
--- a/emulators/link.py
+++ b/emulators/link.py
@@ -10,7 +10,7 @@
 import asyncio
 import contextlib
 
-from canvasplank.config.settings import parse_address
+from canvasplank.config.addresses import parse_address
 from emulators.tasks import Tasks
 
 READ_MOST = 65_536
--- a/examples/toy_caller.py
+++ b/examples/toy_caller.py
@@ -10,7 +10,7 @@
 import sys
 
 from canvasplank.codecs import isup
-from canvasplank.config.settings import parse_address
+from canvasplank.config.addresses import parse_address
 
 SET_UP = {
     isup.Parameter.CLASS: b"balance-check",
--- a/experiments/__main__.py
+++ b/experiments/__main__.py
@@ -8,7 +8,7 @@
 
 import click
 
-from canvasplank.config.settings import ConfigurationError
+from canvasplank.config.configuration import ConfigurationError
 from experiments import experiment_run, report, simulation
 from experiments.measures import Observed, figures
 from experiments.plan import Experiment, Variant, load_experiment
--- a/experiments/simulation.py
+++ b/experiments/simulation.py
@@ -19,7 +19,8 @@
 from canvasplank.cold_start.extension import Starting
 from canvasplank.cold_start.poll_backoff import FIRST_MS, MOST_MS, PollPace
 from canvasplank.cold_start.rendezvous_subset import Subset
-from canvasplank.config.settings import Endpoint, read_settings, to_server
+from canvasplank.config.discovery_events import Endpoint, to_server
+from canvasplank.config.platform_settings import read_settings
 from canvasplank.policy import Controller
 from emulators.fleet import service_settings
 from experiments.measures import Call, Cold, Observed
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from canvasplank.extensions.extension import REGISTRY
+from canvasplank.extensions.registry import REGISTRY
 
 ROOT = Path(__file__).parent.parent
 EXAMPLE = (ROOT / "examples" / "config.json").read_text()
--- a/tests/test_budgets.py
+++ b/tests/test_budgets.py
@@ -10,7 +10,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from canvasplank.config.settings import ConfigurationError
+from canvasplank.config.configuration import ConfigurationError
 from canvasplank.fleet import lease_transaction
 from canvasplank.fleet.budget_limiter import BudgetLimiter, BudgetScope, DemandEstimator, TokenBucket
 from canvasplank.fleet.config import load_fleet
--- a/tests/test_cold_start.py
+++ b/tests/test_cold_start.py
@@ -14,7 +14,7 @@
 from canvasplank.codecs.errors import BadMessageError
 from canvasplank.cold_start.extension import load
 from canvasplank.cold_start.poll_backoff import MOST_MS, NAMED_MOST_MS, PollPace
-from canvasplank.config.settings import ConfigurationError
+from canvasplank.config.configuration import ConfigurationError
 from emulators.callers import Callers
 from emulators.fleet import fleet
 from emulators.front import passes_test
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -24,15 +24,12 @@
 
 from canvasplank import interface as api
 from canvasplank.codecs import isup, sip
-from canvasplank.config.settings import (
-    ConnectionLimits,
-    Endpoint,
-    LoadReportReader,
-    RequestBounds,
-    load_configuration,
-)
+from canvasplank.config.configuration import load_configuration
+from canvasplank.config.discovery_events import Endpoint
+from canvasplank.config.platform_settings import ConnectionLimits, LoadReportReader, RequestBounds
 from canvasplank.counters import Counters
-from canvasplank.exchange.exchange import CallRecord, Exchange
+from canvasplank.exchange.call_records import CallRecord
+from canvasplank.exchange.exchange import Exchange
 from canvasplank.network.callers import Callers
 from canvasplank.network.servers import Servers
 from canvasplank.network.stream import BufferBudget
--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -11,7 +11,7 @@
 from canvasplank.cold_start.extension import Starting
 from canvasplank.config.extension_file import load_extension_settings
 from canvasplank.endpoint_cache.config import load_membership
-from canvasplank.extensions.extension import REGISTRY, load_enabled_extensions
+from canvasplank.extensions.registry import REGISTRY, load_enabled_extensions
 from canvasplank.fleet.config import load_fleet
 from canvasplank.store.config import load_store
 from canvasplank.warm_start.config import load_learning
--- a/tests/test_endpoint_cache.py
+++ b/tests/test_endpoint_cache.py
@@ -10,7 +10,8 @@
 from conftest import Gateway, ready, settings
 
 from canvasplank import interface as api
-from canvasplank.config.settings import ConfigurationError, DiscoveryEvent, Endpoint, EndpointListUpdate
+from canvasplank.config.configuration import ConfigurationError
+from canvasplank.config.discovery_events import DiscoveryEvent, Endpoint, EndpointListUpdate
 from canvasplank.endpoint_cache import writer
 from canvasplank.endpoint_cache.bootstrap import MOST_AGE_MS, TRUSTED_MS, Roster, judge
 from canvasplank.endpoint_cache.cached_list import (
--- a/tests/test_exchange.py
+++ b/tests/test_exchange.py
@@ -3,7 +3,8 @@
 from __future__ import annotations
 
 from canvasplank.counters import Counters
-from canvasplank.exchange.exchange import CallRecord, Exchange, FinalAnswer
+from canvasplank.exchange.call_records import CallRecord, FinalAnswer
+from canvasplank.exchange.exchange import Exchange
 from canvasplank.runtime.scheduler import Scheduler, TimerQueue
 
 KIB = 1024
--- a/tests/test_experiments.py
+++ b/tests/test_experiments.py
@@ -9,7 +9,7 @@
 import pytest
 from click.testing import CliRunner
 
-from canvasplank.config.settings import ConfigurationError
+from canvasplank.config.configuration import ConfigurationError
 from experiments import experiment_run, measures, report, simulation
 from experiments.__main__ import cli
 from experiments.measures import Budget, Call, Cold, Figure, Observed
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -152,7 +152,7 @@
     """A set-up written to a connection that nobody reads any more was lost on an upgrade day."""
     import asyncio
 
-    from canvasplank.config.settings import load_configuration
+    from canvasplank.config.configuration import load_configuration
     from canvasplank.program import Program
     from canvasplank.runtime.event_loop import PipeEventLoop
 
--- a/tests/test_ownership.py
+++ b/tests/test_ownership.py
@@ -18,7 +18,7 @@
 from pyarrow import parquet
 
 from canvasplank.cli import cli
-from canvasplank.config.settings import ConfigurationError
+from canvasplank.config.configuration import ConfigurationError
 from canvasplank.database.errors import StoreRefusedError
 from canvasplank.fleet import lease_transaction
 from canvasplank.fleet.backend import FencingToken, StaleTermError
--- a/tests/test_rendezvous_subset.py
+++ b/tests/test_rendezvous_subset.py
@@ -16,7 +16,7 @@
 from canvasplank import interface as api
 from canvasplank.cold_start.extension import ColdStartExtension, Starting
 from canvasplank.cold_start.rendezvous_subset import Subset, choose, rank, shared_by
-from canvasplank.config.settings import Endpoint, to_server
+from canvasplank.config.discovery_events import Endpoint, to_server
 from canvasplank.network.servers import Servers
 from emulators.callers import Callers
 from emulators.fleet import ROOT, fleet
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -11,10 +11,10 @@
 from click.testing import CliRunner
 
 from canvasplank import interface as api
-from canvasplank.config.settings import ConfigurationError
+from canvasplank.config.configuration import ConfigurationError
 from canvasplank.counters import Counters
 from canvasplank.database.errors import StoreUnavailableError
-from canvasplank.exchange.exchange import CallRecord
+from canvasplank.exchange.call_records import CallRecord
 from canvasplank.store import schema
 from canvasplank.store.__main__ import cli
 from canvasplank.store.backend import Count
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -22,7 +22,7 @@
 from pyarrow import parquet
 
 from canvasplank.cli import cli
-from canvasplank.config.settings import Endpoint
+from canvasplank.config.discovery_events import Endpoint
 from canvasplank.endpoint_cache import writer
 from canvasplank.endpoint_cache.bootstrap import Roster
 from canvasplank.endpoint_cache.cached_list import KeptList, KeptServer
