--- a/canvasplank/codecs/sse.py
+++ b/canvasplank/codecs/sse.py
@@ -36,7 +36,7 @@
     def __init__(self) -> None:
         self._raw = bytearray()  # as it came
         self._text = bytearray()  # the body, freed of its chunks
-        self.named_wait_ms = 0.0  # a refusal asks to be left alone for so long
+        self.retry_after_ms = 0.0  # a refusal asks to be left alone for so long
         self._in_body = False
         self._chunked = False
         self._chunk_left = 0
@@ -84,7 +84,7 @@
         fields = (line.partition(":") for line in lines)
         headers = {name.strip().lower(): value.strip() for name, _, value in fields}
         if len(parts) < _STATUS_PARTS or not parts[0].startswith("HTTP/1.") or parts[1] != "200":
-            self.named_wait_ms = _named_wait_ms(headers)
+            self.retry_after_ms = _named_wait_ms(headers)
             raise BadMessageError(f"not a success: {status[:80]!r}")
         self._chunked = headers.get("transfer-encoding", "").lower() == "chunked"
         self._in_body = True
--- a/canvasplank/cold_start/extension.py
+++ b/canvasplank/cold_start/extension.py
@@ -9,8 +9,8 @@
 import msgspec
 
 from canvasplank import interface as api
-from canvasplank.cold_start.poll_backoff import SECOND_MS, PollPace
-from canvasplank.cold_start.rendezvous_subset import Subset
+from canvasplank.cold_start.poll_backoff import SECOND_MS, PollBackoff
+from canvasplank.cold_start.rendezvous_subset import RendezvousSubset
 from canvasplank.config.discovery_events import Endpoint
 from canvasplank.config.extension_file import load_extension_settings
 from canvasplank.config.platform_settings import read_settings
@@ -41,7 +41,7 @@
 
 
 class ColdStartExtension(Extension):
-    """Has the board asked, and call servers come to, at the fleet's pace; see ``network.servers.Opening``."""
+    """Polls service discovery and opens connections at the fleet's pace; see ``EndpointFilter``."""
 
     def __init__(self, context: ExtensionContext, settings: Starting) -> None:
         self._context, self._settings = context, settings
@@ -49,7 +49,7 @@
         self._instances = configured.instances
         self._rng = random.Random(int(context.configuration.seed, 16))
         groups = (None if c.pools is None else frozenset(c.pools) for c in configured.classes)
-        self._subset = Subset(
+        self._subset = RendezvousSubset(
             context.configuration.name,
             groups,
             settings.servers_per_proxy,
@@ -59,8 +59,8 @@
         self._told_of = 0  # proxies, when the module last heard how many share a server
         if (polls_per_s := settings.polls_per_s) > 0:
             first_per_s = settings.first_per_s or polls_per_s
-            context.discovery.pace = PollPace(self._fleet, polls_per_s, first_per_s, self._rng)
-        context.servers.opening = self
+            context.discovery.poll_backoff = PollBackoff(self._fleet, polls_per_s, first_per_s, self._rng)
+        context.servers.endpoint_filter = self
 
     async def start(self) -> None:
         """See ``Extension``."""
@@ -77,13 +77,13 @@
 
     # ------------------------------------------------------------------------------------ for the servers
 
-    def narrowed(self, complete: bool, instances: list[Endpoint]) -> list[Endpoint]:
-        """See ``Opening``."""
+    def select(self, complete: bool, instances: list[Endpoint]) -> list[Endpoint]:
+        """See ``EndpointFilter``."""
         self._told_of = self._fleet()
-        return self._subset.narrowed(complete, instances)
+        return self._subset.select(complete, instances)
 
-    def entered(self, server: api.Server) -> api.Server:
-        """See ``Opening``; a lease of the fleet's set-ups is divided among the servers that they go to."""
+    def annotate(self, server: api.Server) -> api.Server:
+        """See ``EndpointFilter``; a lease of the fleet's set-ups is divided among this proxy's servers."""
         senders = self._subset.senders(server.pool, self._told_of)
         if not (whole_per_s := self._settings.initial_rate_per_s):
             return replace(server, senders=senders)
@@ -91,14 +91,14 @@
         part = 1.0 / (senders or self._told_of) if part is None else min(1.0, part * self._subset.spread())
         return replace(server, senders=senders, initial_rate_per_s=whole_per_s * part)
 
-    def first_ms(self) -> float:
-        """See ``Opening``."""
+    def initial_delay_ms(self) -> float:
+        """See ``EndpointFilter``."""
         if not (per_s := self._settings.connections_per_s):
             return 0.0
         return self._rng.uniform(0.0, SECOND_MS * self._fleet() / per_s)
 
-    def let_go(self, server_id: str) -> bool:
-        """See ``Opening``."""
+    def is_still_listed(self, server_id: str) -> bool:
+        """See ``EndpointFilter``."""
         return self._subset.is_listed(server_id)
 
     # ------------------------------------------------------------------------------------
--- a/canvasplank/cold_start/rendezvous_subset.py
+++ b/canvasplank/cold_start/rendezvous_subset.py
@@ -91,7 +91,7 @@
     return min(proxies, math.ceil(mean + SPREAD * math.sqrt(mean)))
 
 
-class Subset:
+class RendezvousSubset:
     """One proxy's servers as they come and go."""
 
     def __init__(
@@ -111,7 +111,7 @@
         self._listed: dict[str, Endpoint] = {}
         self._kept: set[str] = set()
 
-    def narrowed(self, complete: bool, instances: list[Endpoint]) -> list[Endpoint]:
+    def select(self, complete: bool, instances: list[Endpoint]) -> list[Endpoint]:
         """The whole of what this proxy keeps to after this news of the list, which may be none.
 
         One that is no longer among them drains: nothing new goes there, and it is kept until no call stands
--- a/canvasplank/endpoint_cache/extension.py
+++ b/canvasplank/endpoint_cache/extension.py
@@ -30,7 +30,7 @@
             settings.path,
             Roster(self._known, context.scheduler.now_ms),
             context.scheduler,
-            lambda: context.discovery.heard_ms,
+            lambda: context.discovery.last_received_ms,
         )
 
     async def start(self) -> None:
--- a/canvasplank/fleet/extension.py
+++ b/canvasplank/fleet/extension.py
@@ -25,7 +25,7 @@
         context.controller.spend = self._spend
         context.fleet_size = lambda: len(self._renewer.failure_detector)
         context.fleet_fraction = self._renewer.set_up_fraction
-        self._renewer.sees_discovery = lambda: context.discovery.heard_ms is not None
+        self._renewer.sees_discovery = lambda: context.discovery.last_received_ms is not None
         self._renewer.on_others_see_discovery = self._on_others_see_discovery
         self._context = context
 
@@ -34,7 +34,7 @@
 
     def _on_others_see_discovery(self) -> None:
         self._context.scheduler.begin_iteration()
-        self._context.discovery.heard_by_others()
+        self._context.discovery.on_others_see_discovery()
 
     async def start(self) -> None:
         """See ``Extension``; until there is a lease the proxy has its part of what is kept back."""
--- a/canvasplank/network/discovery.py
+++ b/canvasplank/network/discovery.py
@@ -19,16 +19,17 @@
 
 LOG = logging.getLogger(__name__)
 PATH = "/board/poll"
-CONNECT_MS = 1000.0
-SILENCE_MS = 1500.0  # a comment is due every second; what a silent service holds back is not known here
-LOOK_MS = 100.0
+CONNECT_TIMEOUT_MS = 1000.0
+# A comment is due every second; what a silent service holds back is not known here.
+SILENCE_TIMEOUT_MS = 1500.0
+CHECK_INTERVAL_MS = 100.0
 # What a service has to tell counts as told 4 s after it moved, and 7 s after it came.  Where one that has
 # moved is up and has told no event yet, it is asked again after so long, then after doubling times.
-UNTOLD_MS, UNTOLD_MOST_MS = 3500.0, 60_000.0
-UNTOLD_SPREAD = (0.75, 1.0)  # of that, drawn each time: proxies that moved in one instant ask apart
-BACKOFF_MS, BACKOFF_MOST_MS = 50.0, 800.0
+UNCONFIRMED_MOVE_MS, MAX_UNCONFIRMED_MOVE_MS = 3500.0, 60_000.0
+UNCONFIRMED_MOVE_JITTER = (0.75, 1.0)  # of that, drawn each time: proxies that moved in one instant ask apart
+BACKOFF_MS, MAX_BACKOFF_MS = 50.0, 800.0
 EVENT_ID = re.compile(r"[0-9]{1,18}")
-READS_MOST = 3  # of one event that cannot be read; it may have come torn
+MAX_READS = 3  # of one event that cannot be read; it may have come torn
 
 
 class DiscoveryWatch(Stream):
@@ -56,19 +57,19 @@
         self._discovery.left(self)
 
 
-class Pace(Protocol):
+class PollBackoff(Protocol):
     """When to ask a service that a whole fleet asks; waits in milliseconds."""
 
-    def first(self) -> float:
+    def initial_delay(self) -> float:
         """Before the first poll of all."""
 
-    def again(self, now_ms: float, named_ms: float) -> float:
-        """After a failure or a break; ``named_ms``: so long the service itself wants to be left alone."""
+    def retry_delay(self, now_ms: float, retry_after_ms: float) -> float:
+        """After a failure or a break; ``retry_after_ms``: the service's own Retry-After."""
 
-    def well(self) -> None:
+    def reset(self) -> None:
         """It has told something."""
 
-    def hinted(self, now_ms: float) -> float | None:
+    def early_poll_delay(self, now_ms: float) -> float | None:
         """Somebody else hears it and we do not; None: no need to hurry."""
 
 
@@ -80,7 +81,7 @@
         scheduler: Scheduler,
         address: str,
         last_id: int,
-        told: Callable[[DiscoveryEvent], None],
+        on_event: Callable[[DiscoveryEvent], None],
         budget: BufferBudget,
         rng: random.Random | None = None,
     ) -> None:
@@ -89,17 +90,18 @@
         self._rng = rng or random.Random()
         self.address = address
         self.last_id = last_id
-        self._told = told
+        self._on_event = on_event
         self._stream: DiscoveryWatch | None = None
         self._connecting: Connecting | None = None
-        self._backoff = Backoff(scheduler, BACKOFF_MS, BACKOFF_MOST_MS)
-        self.pace: Pace | None = None  # None: by the doubling waits alone
-        self._untold_ms: float | None = None  # after a move and until the first event: the next such time
-        self._asks_ms = float("inf")  # when the watch is given up for another
+        self._backoff = Backoff(scheduler, BACKOFF_MS, MAX_BACKOFF_MS)
+        self.poll_backoff: PollBackoff | None = None  # None: by the doubling waits alone
+        # After a move and until the first event: the next such time.
+        self._unconfirmed_move_ms: float | None = None
+        self._rewatch_at_ms = float("inf")  # when the watch is given up for another
         self._unread = 0  # times in a row that the next event could not be read
 
     @property
-    def heard_ms(self) -> float | None:
+    def last_received_ms(self) -> float | None:
         """When it last spoke on the connection that is open; None: none is, or it has told nothing yet."""
         stream = self._stream
         return stream.heard_ms if stream is not None and stream.is_open and self.last_id else None
@@ -107,23 +109,23 @@
     def start(self) -> None:
         """Connect, and keep looking whether it still speaks."""
         self._connect_first()
-        self._look()
+        self._check_connection()
 
     def _connect_first(self) -> None:
         """At once, or where a whole fleet asks at the same time, in this proxy's place."""
-        if self.pace is None:
+        if self.poll_backoff is None:
             self._connect()
         else:
-            self.scheduler.call_later(self.pace.first(), self._connect)
+            self.scheduler.call_later(self.poll_backoff.initial_delay(), self._connect)
 
-    def heard_by_others(self) -> None:
+    def on_others_see_discovery(self) -> None:
         """Another proxy hears it; where we do not, ask sooner than we would."""
-        if self.heard_ms is None and self.pace is not None:
-            wait_ms = self.pace.hinted(self.scheduler.now_ms)
+        if self.last_received_ms is None and self.poll_backoff is not None:
+            wait_ms = self.poll_backoff.early_poll_delay(self.scheduler.now_ms)
             if wait_ms is not None:
                 self.scheduler.call_later(wait_ms, self._connect)
 
-    def move(self, address: str) -> None:
+    def move_to(self, address: str) -> None:
         """The service is elsewhere now: ask there at once, from the last event known.
 
         Guards against waiting for the old address to close, or to be found silent: it tells nothing more.
@@ -138,14 +140,16 @@
         if stream is not None and stream.is_open:
             stream.transport.abort()
         self._backoff.reset()
-        self._untold_ms = UNTOLD_MS
+        self._unconfirmed_move_ms = UNCONFIRMED_MOVE_MS
         self._connect_first()
 
     def _connect(self) -> None:
         if self._stream is not None:  # a wait from before the service moved
             return
         stream = self._stream = DiscoveryWatch(self)
-        self._connecting = Connecting(stream, self.address, CONNECT_MS, lambda why: self._failed(stream, why))
+        self._connecting = Connecting(
+            stream, self.address, CONNECT_TIMEOUT_MS, lambda why: self._failed(stream, why)
+        )
 
     def _failed(self, stream: DiscoveryWatch, why: str) -> None:
         if self._backoff.failures == 0:
@@ -159,8 +163,8 @@
             self._backoff.then(
                 self._connect,
                 None
-                if self.pace is None
-                else self.pace.again(self.scheduler.now_ms, stream.parser.named_wait_ms),
+                if self.poll_backoff is None
+                else self.poll_backoff.retry_delay(self.scheduler.now_ms, stream.parser.retry_after_ms),
             )
 
     def spoke(self, stream: DiscoveryWatch) -> None:
@@ -168,7 +172,7 @@
 
         Guards against asking a service that answers with errors over and over at the shortest wait.
         """
-        if self.scheduler.now_ms - stream.made_ms > BACKOFF_MOST_MS:
+        if self.scheduler.now_ms - stream.made_ms > MAX_BACKOFF_MS:
             self._backoff.succeeded()
 
     def watches(self) -> None:
@@ -176,9 +180,11 @@
 
         One that has told an event is known to be well: asking that again would only be load.
         """
-        if self._untold_ms is not None:
-            self._asks_ms = self.scheduler.now_ms + self._untold_ms * self._rng.uniform(*UNTOLD_SPREAD)
-            self._untold_ms = min(UNTOLD_MOST_MS, 2 * self._untold_ms)
+        if self._unconfirmed_move_ms is not None:
+            self._rewatch_at_ms = self.scheduler.now_ms + self._unconfirmed_move_ms * self._rng.uniform(
+                *UNCONFIRMED_MOVE_JITTER
+            )
+            self._unconfirmed_move_ms = min(MAX_UNCONFIRMED_MOVE_MS, 2 * self._unconfirmed_move_ms)
 
     def event(self, event: sse.Event) -> None:
         """One event; what was told before a break is not taken twice."""
@@ -188,32 +194,36 @@
         if number <= self.last_id:
             return
         try:
-            notice = DISCOVERY_EVENT_DECODER.decode(event.data)
+            discovery_event = DISCOVERY_EVENT_DECODER.decode(event.data)
         except (ValueError, RecursionError, msgspec.MsgspecError) as error:
             self._unread += 1
             # Guards against an event that can never be read keeping all later ones from us.
-            if self._unread < READS_MOST:
+            if self._unread < MAX_READS:
                 raise BadMessageError(f"event {number}: {error}") from None
             LOG.warning("notice board: event %d is passed over, unread: %s", number, error)
-            notice = None
+            discovery_event = None
         self._unread = 0
         self._backoff.succeeded()
-        self._untold_ms, self._asks_ms = None, float("inf")
-        if self.pace is not None:
-            self.pace.well()
+        self._unconfirmed_move_ms, self._rewatch_at_ms = None, float("inf")
+        if self.poll_backoff is not None:
+            self.poll_backoff.reset()
         self.last_id = number
-        if notice is not None:
-            self._told(notice)
+        if discovery_event is not None:
+            self._on_event(discovery_event)
 
-    def _look(self) -> None:
+    def _check_connection(self) -> None:
         """Guards against a connection that is open and dead."""
         stream = self._stream
-        if stream is not None and stream.is_open and self.scheduler.now_ms - stream.heard_ms > SILENCE_MS:
+        if (
+            stream is not None
+            and stream.is_open
+            and self.scheduler.now_ms - stream.heard_ms > SILENCE_TIMEOUT_MS
+        ):
             LOG.info("notice board: silent, connecting again")
             stream.transport.abort()
             self.left(stream)
-        elif stream is not None and stream.is_open and self.scheduler.now_ms >= self._asks_ms:
+        elif stream is not None and stream.is_open and self.scheduler.now_ms >= self._rewatch_at_ms:
             stream.transport.abort()
             self._stream = None
             self._connect()
-        self.scheduler.call_later(LOOK_MS, self._look)
+        self.scheduler.call_later(CHECK_INTERVAL_MS, self._check_connection)
--- a/canvasplank/network/servers.py
+++ b/canvasplank/network/servers.py
@@ -39,19 +39,19 @@
 CALL_ID = re.compile(r"[0-9a-f]{16}")
 
 
-class Opening(Protocol):
+class EndpointFilter(Protocol):
     """How one of many proxies comes to its servers, where a file says so (``starting``)."""
 
-    def narrowed(self, complete: bool, instances: list[Endpoint]) -> list[Endpoint]:
+    def select(self, complete: bool, instances: list[Endpoint]) -> list[Endpoint]:
         """The whole of what this proxy keeps to after this news of the list."""
 
-    def entered(self, server: api.Server) -> api.Server:
+    def annotate(self, server: api.Server) -> api.Server:
         """An entry with what the module is to know of it besides."""
 
-    def first_ms(self) -> float:
+    def initial_delay_ms(self) -> float:
         """How long the first connection to a server waits."""
 
-    def let_go(self, server_id: str) -> bool:
+    def is_still_listed(self, server_id: str) -> bool:
         """Whether one that is in the list no more is so by our choice alone, with nothing of ours there."""
 
 
@@ -74,7 +74,7 @@
         self._peers: dict[str, Peer] = {}
         self._probes: dict[str, str] = {}
         self._probe_count = 0
-        self.opening: Opening | None = None  # None: all servers, all at once
+        self.endpoint_filter: EndpointFilter | None = None  # None: all servers, all at once
         self.disconnecting = False  # the program ends
         self._resend_ms = resend_ms or FIRST_RESEND_MS
         self.scheduler.call_later(LOOK_SHARE * self._resend_ms, self._look)
@@ -117,8 +117,8 @@
         guards against a new server passing for unreachable on the very news of it.  The rest follows after,
         so that it meets the module's new view.
         """
-        if self.opening is not None:
-            complete, instances = True, self.opening.narrowed(complete, instances)
+        if self.endpoint_filter is not None:
+            complete, instances = True, self.endpoint_filter.select(complete, instances)
         entries = {instance.instance_id: instance for instance in instances}
         kind = api.ListKind.COMPLETE if complete else api.ListKind.CHANGES
         missing = [p for p in self._peers.values() if complete and p.server_id not in entries]
@@ -126,7 +126,7 @@
             self._admit(entry)
         self.exchange.endpoints_changed(kind, tuple(self._told(entry) for entry in entries.values()))
         for peer in missing:
-            if self.opening is not None and self.opening.let_go(peer.server_id):
+            if self.endpoint_filter is not None and self.endpoint_filter.is_still_listed(peer.server_id):
                 self._let_go(peer)
             else:
                 self._gone(peer)
@@ -134,7 +134,11 @@
             self._entry(entry)
 
     def _told(self, entry: Endpoint) -> api.Server:
-        return to_server(entry) if self.opening is None else self.opening.entered(to_server(entry))
+        return (
+            to_server(entry)
+            if self.endpoint_filter is None
+            else self.endpoint_filter.annotate(to_server(entry))
+        )
 
     def _let_go(self, peer: Peer) -> None:
         """It goes on without us: we have nothing there, and say no more."""
@@ -153,8 +157,8 @@
             backoff = Backoff(self.scheduler, BACKOFF_MS, BACKOFF_MOST_MS)
             peer = Peer(server.id, entry.host_port, server.state, server.started_ms, backoff)
             peer.heard_ms = self.scheduler.now_ms
-            if self.opening is not None:
-                peer.opens_ms = self.scheduler.now_ms + self.opening.first_ms()
+            if self.endpoint_filter is not None:
+                peer.opens_ms = self.scheduler.now_ms + self.endpoint_filter.initial_delay_ms()
             self._peers[server.id] = peer
         elif entry.host_port != peer.address:
             peer.address = entry.host_port
--- a/canvasplank/policy/servers.py
+++ b/canvasplank/policy/servers.py
@@ -136,7 +136,7 @@
         holds = [c.hold_ms for c in settings.classes if c.hold_ms is not None]
         self._hold_ms = sum(holds) / len(holds) if holds else None
 
-    def learned(self) -> list[tuple[str, float | None, float | None, bool, bool, float]]:
+    def learned_servers(self) -> list[tuple[str, float | None, float | None, bool, bool, float]]:
         """For a new instance: each server's id, start, rate (None: open), whether slow, silent, last word."""
         return [view.learned(self._silent_ms) for view in self._servers.values()]
 
--- a/canvasplank/program.py
+++ b/canvasplank/program.py
@@ -179,7 +179,7 @@
         self._callers.limit(fresh.limits.sockets)
         self.exchange.set_memory_limit(fresh.limits.memory_mb * MIB)
         self._budget.limit(fresh.limits.memory_mb * MIB)
-        self.discovery.move(fresh.discovery)
+        self.discovery.move_to(fresh.discovery)
         for extension in self._extensions:
             extension.on_configuration_reloaded()
 
--- a/canvasplank/warm_start/extension.py
+++ b/canvasplank/warm_start/extension.py
@@ -32,7 +32,7 @@
         if settings.listen:
             name = context.configuration.name
             exporter = Exporter(
-                lambda: exported(name, context.controller.learned(), context.scheduler.now_ms)
+                lambda: exported(name, context.controller.learned_servers(), context.scheduler.now_ms)
             )
             await exporter.listen(settings.listen)
             LOG.info("views for new instances at %s", settings.listen)
--- a/experiments/simulation.py
+++ b/experiments/simulation.py
@@ -1,7 +1,7 @@
 """The same decisions without processes, for thousands of proxies: a heap of events on a clock of its own.
 
-Every proxy here has the module's ``Controller``, the ``PollPace`` and the ``Subset`` of the program itself;
-what is made up is the board, the servers' processors, the callers and the way between them.
+Every proxy here has the module's ``Controller``, the ``PollBackoff`` and the ``RendezvousSubset`` of the
+program itself; what is made up is the board, the servers' processors, the callers and the way between them.
 """
 
 from __future__ import annotations
@@ -17,8 +17,8 @@
 
 from canvasplank import interface as api
 from canvasplank.cold_start.extension import Starting
-from canvasplank.cold_start.poll_backoff import FIRST_MS, MOST_MS, PollPace
-from canvasplank.cold_start.rendezvous_subset import Subset
+from canvasplank.cold_start.poll_backoff import FIRST_MS, MOST_MS, PollBackoff
+from canvasplank.cold_start.rendezvous_subset import RendezvousSubset
 from canvasplank.config.discovery_events import Endpoint, to_server
 from canvasplank.config.platform_settings import read_settings
 from canvasplank.policy import Controller
@@ -108,12 +108,12 @@
     def __init__(self) -> None:
         self._next_ms = FIRST_MS
 
-    def first(self) -> float:
-        """See ``PollPace``."""
+    def initial_delay(self) -> float:
+        """See ``PollBackoff``."""
         return 0.0
 
-    def again(self, now_ms: float = 0.0, named_ms: float = 0.0) -> float:
-        """See ``PollPace``."""
+    def retry_delay(self, now_ms: float = 0.0, retry_after_ms: float = 0.0) -> float:
+        """See ``PollBackoff``."""
         wait_ms, self._next_ms = self._next_ms, min(MOST_MS, 2 * self._next_ms)
         return wait_ms
 
@@ -131,11 +131,11 @@
         self._attempts: dict[str, int] = {}
         self._out: dict[str, int] = {}  # attempts that nobody has ended, by call
         if starting is None or not starting.polls_per_s:
-            self._pace: PollPace | DoublingWaits = DoublingWaits()
+            self._backoff: PollBackoff | DoublingWaits = DoublingWaits()
         else:
             first_per_s = starting.first_per_s or starting.polls_per_s
-            self._pace = PollPace(lambda: self._count, starting.polls_per_s, first_per_s, self._rng)
-        self._subset = Subset(
+            self._backoff = PollBackoff(lambda: self._count, starting.polls_per_s, first_per_s, self._rng)
+        self._subset = RendezvousSubset(
             f"n{number}", (None,), starting.servers_per_proxy if starting else 0, lambda _: False
         )
         self._connected: set[str] = set()
@@ -146,19 +146,21 @@
         self._world.seen.up.append(self._clock.now_ms / MS)
         if self._starting is None or not self._starting.ready_with_list:
             self._world.ready.append(self)
-        self._clock.after(self._pace.first(), self._poll)
+        self._clock.after(self._backoff.initial_delay(), self._poll)
 
     def _poll(self) -> None:
         trouble = self._world.discovery.asked(self._clock.now_ms / MS)
         if trouble is None:
             self._clock.after(2 * WAY_MS, self._told)
             return
-        named_ms = trouble.wait_s * MS if trouble.what == "board-busy" else 0.0
+        retry_after_ms = trouble.wait_s * MS if trouble.what == "board-busy" else 0.0
         hangs_ms = HANGS_MS if trouble.what == "board-stalls" else 0.0
-        self._clock.after(hangs_ms + self._pace.again(self._clock.now_ms, named_ms), self._poll)
+        self._clock.after(
+            hangs_ms + self._backoff.retry_delay(self._clock.now_ms, retry_after_ms), self._poll
+        )
 
     def _told(self) -> None:
-        kept = self._subset.narrowed(True, self._world.instances())
+        kept = self._subset.select(True, self._world.instances())
         if self._starting is not None and self._starting.ready_with_list:
             self._world.ready.append(self)
         for instance in kept:
--- a/tests/test_cold_start.py
+++ b/tests/test_cold_start.py
@@ -13,7 +13,7 @@
 from canvasplank.codecs import sse
 from canvasplank.codecs.errors import BadMessageError
 from canvasplank.cold_start.extension import load
-from canvasplank.cold_start.poll_backoff import MOST_MS, NAMED_MOST_MS, PollPace
+from canvasplank.cold_start.poll_backoff import MAX_RETRY_AFTER_MS, MOST_MS, PollBackoff
 from canvasplank.config.configuration import ConfigurationError
 from emulators.callers import Callers
 from emulators.fleet import fleet
@@ -35,19 +35,19 @@
 WAIT_S = 30.0
 
 
-def paces(count, **rates):
+def backoffs(count, **rates):
     rates = {"polls_per_s": 30.0, "first_per_s": 75.0} | rates
-    return [PollPace(lambda: count, rng=random.Random(seed), **rates) for seed in range(count)]
+    return [PollBackoff(lambda: count, rng=random.Random(seed), **rates) for seed in range(count)]
 
 
 def polled(all_of_them, for_ms):
     """When a board that is in trouble is asked, by proxies that start at once."""
     times = []
-    for pace in all_of_them:
-        at = pace.first()
+    for backoff in all_of_them:
+        at = backoff.initial_delay()
         while at < for_ms:
             times.append(at)
-            at += pace.again()
+            at += backoff.retry_delay()
     return sorted(times)
 
 
@@ -58,7 +58,7 @@
     def test_what_a_board_bears_does_not_grow_with_the_fleet(self, count):
         turn_ms = 1000 * count / 30
         first_ms, lasts_ms = 4 * turn_ms, 10 * turn_ms  # until nobody is in step, and long enough to tell
-        times = polled(paces(count), first_ms + lasts_ms)
+        times = polled(backoffs(count), first_ms + lasts_ms)
         lasting = [at for at in times if at > first_ms]
         assert 0.85 * 30 <= 1000 * len(lasting) / lasts_ms <= 1.15 * 30
         assert most_in(times, 100.0) <= 26 and most_in(times, 1000.0) <= 140  # 75 first ones and 30 others
@@ -69,41 +69,43 @@
     def test_nobody_waits_for_much_longer_than_its_turn(self, count):
         """Drawn from nothing to two turns each time, the unluckiest heard of the board's return 20 s late."""
         turn_ms = 1000 * count / 30
-        for pace in paces(count)[:100]:
-            pace.first()
-            waits = [pace.again() for _ in range(20)]
+        for backoff in backoffs(count)[:100]:
+            backoff.initial_delay()
+            waits = [backoff.retry_delay() for _ in range(20)]
             assert max(waits) <= 1.25 * turn_ms and min(waits[1:]) >= 0.75 * turn_ms
 
     def test_after_a_break_that_all_have_met_nobody_is_in_step(self):
-        all_of_them = paces(300)
-        for pace in all_of_them:
-            pace.first()
-            pace.again()
-            pace.well()
-        waits = sorted(pace.again() for pace in all_of_them)
+        all_of_them = backoffs(300)
+        for backoff in all_of_them:
+            backoff.initial_delay()
+            backoff.retry_delay()
+            backoff.reset()
+        waits = sorted(backoff.retry_delay() for backoff in all_of_them)
         assert most_in(waits, 1000.0) <= 45 and waits[-1] <= 10_000.0
 
     def test_a_small_fleet_waits_as_it_did_but_not_in_step(self):
-        [pace] = paces(1)
-        waits = [pace.again() for _ in range(40)]
+        [backoff] = backoffs(1)
+        waits = [backoff.retry_delay() for _ in range(40)]
         assert max(waits) <= MOST_MS and min(waits[5:]) >= MOST_MS / 2 and len(set(waits)) == 40
-        pace.well()
-        assert pace.again() <= 100.0
+        backoff.reset()
+        assert backoff.retry_delay() <= 100.0
 
     def test_a_hint_hurries_once_a_turn(self):
-        [pace] = paces(300)[:1]
-        assert pace.hinted(0.0) <= 4000.0
-        assert pace.hinted(9_000.0) is None and pace.hinted(10_001.0) is not None
+        [backoff] = backoffs(300)[:1]
+        assert backoff.early_poll_delay(0.0) <= 4000.0
+        assert backoff.early_poll_delay(9_000.0) is None and backoff.early_poll_delay(10_001.0) is not None
 
     def test_a_wait_that_the_board_names_is_kept_and_nobody_comes_back_in_step(self):
-        waits = sorted(pace.again(0.0, named_ms=4000.0) for pace in paces(300))
+        waits = sorted(backoff.retry_delay(0.0, retry_after_ms=4000.0) for backoff in backoffs(300))
         assert waits[0] >= 4000.0 and most_in(waits, 100.0) <= 24
-        assert paces(300)[0].again(0.0, named_ms=1e9) <= NAMED_MOST_MS + 20_000.0, "within bounds"
+        assert backoffs(300)[0].retry_delay(0.0, retry_after_ms=1e9) <= MAX_RETRY_AFTER_MS + 20_000.0, (
+            "within bounds"
+        )
 
     def test_a_hint_does_not_hurry_past_a_wait_that_the_board_names(self):
-        [pace] = paces(1)
-        pace.again(1000.0, named_ms=4000.0)
-        assert pace.hinted(4999.0) is None and pace.hinted(5000.0) is not None
+        [backoff] = backoffs(1)
+        backoff.retry_delay(1000.0, retry_after_ms=4000.0)
+        assert backoff.early_poll_delay(4999.0) is None and backoff.early_poll_delay(5000.0) is not None
 
 
 @pytest.mark.parametrize(
@@ -125,7 +127,7 @@
     parser = sse.Parser()
     with pytest.raises(BadMessageError, match="not a success"):
         list(parser.feed(f"HTTP/1.1 503 Busy\r\n{headers}\r\n\r\n".encode("latin-1", "replace")))
-    assert parser.named_wait_ms == wait_ms
+    assert parser.retry_after_ms == wait_ms
 
 
 def test_first_connections_come_in_turn_and_at_once_where_a_call_wants_one(tmp_path):
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -89,7 +89,7 @@
             random.Random(1),
         )
         discovery.start()
-        discovery.move(address)
+        discovery.move_to(address)
         async with asyncio.timeout(60):
             while not watched.asked_ms:
                 await asyncio.sleep(0.005)
@@ -127,17 +127,17 @@
 def test_a_board_that_has_moved_is_asked_whatever_wait_the_last_one_named():
     """Guards a move while a retry is pending: the new board was asked after the old one's minute."""
 
-    class Pace:
-        def first(self) -> float:
+    class FixedBackoff:
+        def initial_delay(self) -> float:
             return 0.0
 
-        def again(self, now_ms: float, named_ms: float) -> float:
-            return named_ms or 100.0
+        def retry_delay(self, now_ms: float, retry_after_ms: float) -> float:
+            return retry_after_ms or 100.0
 
-        def well(self) -> None:
+        def reset(self) -> None:
             pass
 
-        def hinted(self, now_ms: float) -> float | None:
+        def early_poll_delay(self, now_ms: float) -> float | None:
             return None
 
     async def refuse(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -152,7 +152,7 @@
         discovery = Discovery(
             watched.scheduler, f"{host}:{port}", 1, lambda notice: None, BufferBudget(1e6), random.Random(1)
         )
-        discovery.pace = Pace()
+        discovery.poll_backoff = FixedBackoff()
         discovery.start()
         new = await watched.listen()
         async with asyncio.timeout(60):
@@ -161,7 +161,7 @@
                 await asyncio.sleep(0.005)
             watched.server.close()  # nobody is there yet when it moves
             await watched.server.wait_closed()
-            discovery.move(new)
+            discovery.move_to(new)
             await watched.go(1_000, 100.0)
             watched.server = await asyncio.start_server(watched._serve, *new.split(":"))
             await watched.go(2_000, 100.0)
--- a/tests/test_rendezvous_subset.py
+++ b/tests/test_rendezvous_subset.py
@@ -15,7 +15,7 @@
 
 from canvasplank import interface as api
 from canvasplank.cold_start.extension import ColdStartExtension, Starting
-from canvasplank.cold_start.rendezvous_subset import Subset, choose, rank, shared_by
+from canvasplank.cold_start.rendezvous_subset import RendezvousSubset, choose, rank, shared_by
 from canvasplank.config.discovery_events import Endpoint, to_server
 from canvasplank.network.servers import Servers
 from emulators.callers import Callers
@@ -121,19 +121,19 @@
 class TestComingAndGoing:
     """A proxy's subset as the list changes."""
 
-    def subset(self, carrying: set[str], most: int = 2) -> Subset:
-        return Subset("proxy-0", ALL, most, carrying.__contains__)
+    def subset(self, carrying: set[str], most: int = 2) -> RendezvousSubset:
+        return RendezvousSubset("proxy-0", ALL, most, carrying.__contains__)
 
     def test_without_a_figure_all_are_kept(self):
-        assert len(self.subset(set(), most=0).narrowed(True, instances(9))) == 9
+        assert len(self.subset(set(), most=0).select(True, instances(9))) == 9
 
     def test_one_that_a_better_takes_the_place_of_drains_until_it_carries_nothing(self):
         first, second, third = rank("proxy-0", instances(3))
         by_id = {instance.instance_id: instance for instance in instances(3)}
         carrying = {third}
         subset = self.subset(carrying)
-        assert kept(subset.narrowed(True, [by_id[second], by_id[third]])) == {second: "ready", third: "ready"}
-        assert kept(subset.narrowed(False, [by_id[first]])) == {
+        assert kept(subset.select(True, [by_id[second], by_id[third]])) == {second: "ready", third: "ready"}
+        assert kept(subset.select(False, [by_id[first]])) == {
             first: "ready",
             second: "ready",
             third: "draining",
@@ -141,16 +141,16 @@
         assert not subset.may_let_go()
         carrying.clear()
         assert subset.may_let_go()
-        assert kept(subset.narrowed(False, [])) == {first: "ready", second: "ready"}
+        assert kept(subset.select(False, [])) == {first: "ready", second: "ready"}
         assert subset.is_listed(third) and not subset.may_let_go()
 
     def test_one_that_drains_is_kept_where_it_was_held_and_another_takes_its_place(self):
         listed = instances(6)
         subset = self.subset(set())
-        mine = kept(subset.narrowed(True, listed))
+        mine = kept(subset.select(True, listed))
         leaves = min(mine)
         now = kept(
-            subset.narrowed(
+            subset.select(
                 False,
                 [
                     Endpoint(leaves, "10.0.0.9:5060", "draining"),
@@ -161,7 +161,7 @@
             )
         )
         assert now[leaves] == "draining" and sorted(now.values()) == ["draining", "ready", "ready"]
-        assert leaves not in kept(subset.narrowed(False, [Endpoint(leaves, "x:1", "gone")]))
+        assert leaves not in kept(subset.select(False, [Endpoint(leaves, "x:1", "gone")]))
         assert not subset.is_listed(leaves)
 
 
@@ -228,8 +228,8 @@
     host = Fake(100)
     host.servers.has_unsettled_releases = servers.has_unsettled_releases
     start = ColdStartExtension(host, Starting(servers_per_proxy=1))
-    start.narrowed(True, instances(1))
-    kept_on = {i.instance_id: i.lifecycle for i in start.narrowed(False, instances(9)[1:])}
+    start.select(True, instances(1))
+    kept_on = {i.instance_id: i.lifecycle for i in start.select(False, instances(9)[1:])}
     assert (kept_on.get("s-0") == "draining") is unsettled, "eight better ones have come"
 
 
@@ -260,8 +260,8 @@
 def test_a_start_is_a_part_of_a_whole(members, part, servers_per_proxy, initial_rate_per_s):
     settings_file = Starting(initial_rate_per_s=30.0, servers_per_proxy=servers_per_proxy)
     start = ColdStartExtension(Fake(100, members, part), settings_file)
-    start.narrowed(True, instances(12))
-    entry = start.entered(api.Server("s-0", 0, api.ServerState.READY))
+    start.select(True, instances(12))
+    entry = start.annotate(api.Server("s-0", 0, api.ServerState.READY))
     assert entry.initial_rate_per_s == pytest.approx(initial_rate_per_s)
 
 
@@ -270,8 +270,8 @@
 
     def kept_by(members: int) -> int:
         start = ColdStartExtension(Fake(100, members), Starting(servers_per_proxy=3, proxies_per_server=25))
-        told = start.narrowed(True, instances(24))
-        assert all(start.entered(to_server(i)).senders <= (members or 100) for i in told)
+        told = start.select(True, instances(24))
+        assert all(start.annotate(to_server(i)).senders <= (members or 100) for i in told)
         return len(told)
 
     assert [kept_by(members) for members in (0, 300, 50, 20)] == [6, 3, 12, 24]
@@ -284,8 +284,8 @@
         fake = Fake(100)
         fake.configuration.name = name
         start = ColdStartExtension(fake, Starting(initial_rate_per_s=30.0, servers_per_proxy=3))
-        for instance in start.narrowed(True, listed):
-            whole[instance.instance_id] += start.entered(to_server(instance)).initial_rate_per_s
+        for instance in start.select(True, listed):
+            whole[instance.instance_id] += start.annotate(to_server(instance)).initial_rate_per_s
     assert max(whole.values()) <= 30.0 * 1.05 and min(whole.values()) > 30.0 / 3
 
 
--- a/tests/test_warm_start.py
+++ b/tests/test_warm_start.py
@@ -114,7 +114,7 @@
             peer.call(first=0)
             peer.until(peer.now + 300)
         return peer_snapshot.decode(
-            peer_snapshot.encode(start_hints.exported("n1", peer.controller.learned(), peer.now))
+            peer_snapshot.encode(start_hints.exported("n1", peer.controller.learned_servers(), peer.now))
         )
 
     @staticmethod
@@ -156,7 +156,7 @@
             peer.until(peer.now + 250)
         [seen] = [
             s
-            for s in start_hints.exported("n1", peer.controller.learned(), peer.now).servers
+            for s in start_hints.exported("n1", peer.controller.learned_servers(), peer.now).servers
             if s.instance_id == "a"
         ]
         assert seen.silent and peer.now - seen.learned_ms < 5_000
@@ -175,7 +175,7 @@
         peer.servers(ready("a", 0))
         peer.steady("a", first=0, count=10)
         peer.steady("a", first=0, count=late, gap_ms=1500, waited_ms=900)
-        [word] = start_hints.exported("n1", peer.controller.learned(), peer.now).servers
+        [word] = start_hints.exported("n1", peer.controller.learned_servers(), peer.now).servers
         assert word.slow is slow
 
     def test_a_hinted_rate_may_be_cut_at_once(self):
@@ -186,7 +186,7 @@
         new.servers(ready("a", 0), ready("b", 1))
         new.tell(api.WarmStartHint("a", 50.0, shun=False))
         new.full(new.call(first=0)[0], "a")
-        rates = {server_id: rate for server_id, _, rate, *_ in new.controller.learned()}
+        rates = {server_id: rate for server_id, _, rate, *_ in new.controller.learned_servers()}
         assert rates["a"] < 50.0
 
     def test_our_own_answers_come_before_a_peer_word(self):
