--- a/canvasplank/cold_start/extension.py
+++ b/canvasplank/cold_start/extension.py
@@ -59,8 +59,8 @@
         self._told_of = 0  # proxies, when the module last heard how many share a server
         if (polls_per_s := settings.polls_per_s) > 0:
             first_per_s = settings.first_per_s or polls_per_s
-            context.discovery.poll_backoff = PollBackoff(self._fleet, polls_per_s, first_per_s, self._rng)
-        context.servers.endpoint_filter = self
+            context.discovery.use_poll_backoff(PollBackoff(self._fleet, polls_per_s, first_per_s, self._rng))
+        context.servers.use_endpoint_filter(self)
 
     async def start(self) -> None:
         """See ``Extension``."""
@@ -87,7 +87,7 @@
         senders = self._subset.senders(server.pool, self._told_of)
         if not (whole_per_s := self._settings.initial_rate_per_s):
             return replace(server, senders=senders)
-        part = self._context.fleet_fraction()
+        part = self._context.fleet_set_up_fraction()
         part = 1.0 / (senders or self._told_of) if part is None else min(1.0, part * self._subset.spread())
         return replace(server, senders=senders, initial_rate_per_s=whole_per_s * part)
 
--- a/canvasplank/exchange/exchange.py
+++ b/canvasplank/exchange/exchange.py
@@ -41,9 +41,9 @@
     ) -> None:
         self.scheduler = scheduler
         self.counters = counters
-        self.callers: CallerSide
-        self.servers: ServerSide
-        self.recorder: Recorder | None = None
+        self._callers: CallerSide
+        self._servers: ServerSide
+        self._recorder: Recorder | None = None
         self._decide = controller
         self._max_open = max_open
         self.set_memory_limit(memory_bytes)
@@ -64,6 +64,18 @@
         """Calls that are established."""
         return len(self._established)
 
+    def attach_callers(self, callers: CallerSide) -> None:
+        """Give final answers and releases to this component; once, before the first call."""
+        self._callers = callers
+
+    def attach_servers(self, servers: ServerSide) -> None:
+        """Send attempts and releases by this component; once, before the first call."""
+        self._servers = servers
+
+    def attach_recorder(self, recorder: Recorder) -> None:
+        """Tell this component of each call's outcome."""
+        self._recorder = recorder
+
     def set_memory_limit(self, memory_bytes: float) -> None:
         """Hold no more than the configuration has room for."""
         self._max_description_bytes = DESCRIPTIONS_FRACTION * memory_bytes
@@ -83,7 +95,7 @@
             ):  # an established one has had its answer
                 return False
             if known.origin != call.origin:
-                self.callers.remove_call(known.origin, call.id)
+                self._callers.remove_call(known.origin, call.id)
                 known.origin = call.origin
             return True
         description_bytes = self._description_bytes + len(call.description)
@@ -117,7 +129,7 @@
     def _reject_untracked(self, call: CallRecord, final: FinalAnswer) -> None:
         """Answer a call that was never entered in the table."""
         self._count_final(call, final)
-        self.callers.reject(call.origin, call.id, final, None)
+        self._callers.reject(call.origin, call.id, final, None)
 
     def on_released_by_caller(self, call_id: str, cause: int) -> None:
         """A release from a caller: of a set-up that it abandons, or of an established call."""
@@ -128,14 +140,14 @@
         call = self._established.get(call_id)
         if call is not None:
             self.counters.add("taken.releases")
-            self.servers.release(call.established_server_id, call_id, cause)
-            self.callers.remove_call(call.origin, call_id)
+            self._servers.release(call.established_server_id, call_id, cause)
+            self._callers.remove_call(call.origin, call_id)
             self._end_established(call, api.Outcome.CANCELLED)
         elif call_id not in self._ended:
             # Guards against losing a release after a restart of ours: the call may be at any server.
             self.counters.add("taken.releases_unknown")
             self._remember(call_id)
-            self.servers.release(None, call_id, cause)
+            self._servers.release(None, call_id, cause)
 
     def on_caller_disconnected(self, call_id: str, origin: Hashable) -> None:
         """The connection of an unanswered set-up has ended."""
@@ -148,9 +160,9 @@
             return
         self.counters.add("taken.given_up")
         call.unanswered = False
-        self.callers.remove_call(call.origin, call.id)  # the word of it may have come on another connection
-        if self.recorder is not None:
-            self.recorder.call_answered(call, "given_up", self.scheduler.now_ms)
+        self._callers.remove_call(call.origin, call.id)  # the word of it may have come on another connection
+        if self._recorder is not None:
+            self._recorder.call_answered(call, "given_up", self.scheduler.now_ms)
         self._dispatch(api.CallAbandoned(call.id))
         if call.in_flight is not None:
             self._end_attempt(call, api.Outcome.CANCELLED, cancel=True)
@@ -174,7 +186,7 @@
         if (
             call is not None
             and self._is_in_flight(call, server_id, attempt)
-            and not self.callers.is_reachable(call.origin)
+            and not self._callers.is_reachable(call.origin)
         ):
             # Guards against a call established for nobody: its caller's connection ends in this very turn.
             self._abandon(call)
@@ -183,7 +195,7 @@
             known = self._established.get(call_id)
             if known is None or known.established_server_id != server_id:
                 self.counters.add("sent.taken_back")
-                self.servers.release(server_id, call_id, UNWANTED_ANSWER_CAUSE)
+                self._servers.release(server_id, call_id, UNWANTED_ANSWER_CAUSE)
             return
         in_flight = call.in_flight
         self.scheduler.timers.cancel(in_flight.timer)
@@ -193,9 +205,9 @@
         self._established[call_id] = call
         self.counters.add("answered.stands")
         self.counters.by_class("served", call.class_name)
-        if self.recorder is not None:
-            self.recorder.call_answered(call, "served", self.scheduler.now_ms)
-        self.callers.answer(call.origin, call_id, description)
+        if self._recorder is not None:
+            self._recorder.call_answered(call, "served", self.scheduler.now_ms)
+        self._callers.answer(call.origin, call_id, description)
         waited_ms = self.scheduler.now_ms - in_flight.sent_ms
         self._dispatch(api.Established(call_id, in_flight.number, server_id, waited_ms))
 
@@ -221,14 +233,14 @@
             if call.established_server_id != server_id:
                 return  # guards against the end of an attempt that was taken back there
             self.counters.add("taken.ends")
-            self.callers.release(call.origin, call_id, cause)
+            self._callers.release(call.origin, call_id, cause)
             outcome = api.Outcome.ENDED if cause == NORMAL_CLEARING else api.Outcome.RESET
             self._end_established(call, outcome, report)
         elif call_id not in self._ended and call_id not in self._open:
             # Guards against losing a release after a restart of ours: the caller still counts on the call.
             self.counters.add("taken.ends_unknown")
             self._remember(call_id)
-            self.callers.release(None, call_id, cause)
+            self._callers.release(None, call_id, cause)
 
     def on_circuits_reported(self, server_id: str, free: float, circuits: float) -> None:
         """A server told its free lines."""
@@ -259,9 +271,9 @@
         ]
         for call in ended_calls:
             self.counters.add("sent.ends_for_servers")
-            self.callers.release(call.origin, call.id, CUT_CAUSE)
+            self._callers.release(call.origin, call.id, CUT_CAUSE)
             if notify_server:
-                self.servers.release(server_id, call.id, CUT_CAUSE)
+                self._servers.release(server_id, call.id, CUT_CAUSE)
             self._end_established(call, api.Outcome.RESET)
 
     # ------------------------------------------------------------------------------------ from the board
@@ -321,7 +333,7 @@
                 self.scheduler.call_later(after_ms, lambda: self._dispatch(api.TimerFired(token)))
             case api.Probe(server_id):
                 self.counters.add("sent.probes")
-                self.servers.probe(server_id)
+                self._servers.probe(server_id)
             case api.Log(text):
                 LOG.info("%s", text)
 
@@ -337,7 +349,7 @@
             timeout_ms, lambda: self._on_attempt_timeout(call, in_flight)
         )
         self.counters.add("sent.set_ups")
-        self.servers.set_up(server_id, call, in_flight.number, timeout_ms)
+        self._servers.set_up(server_id, call, in_flight.number, timeout_ms)
 
     def _on_attempt_timeout(self, call: CallRecord, in_flight: Attempt) -> None:
         if call.in_flight is in_flight:
@@ -358,14 +370,14 @@
         call.unanswered = False
         self.counters.add(f"answered.{final.value}")
         self._count_final(call, final)
-        self.callers.reject(call.origin, call.id, final, retry_after_ms)
+        self._callers.reject(call.origin, call.id, final, retry_after_ms)
         if call.in_flight is None:
             self._close(call)
 
     def _count_final(self, call: CallRecord, final: FinalAnswer) -> None:
         self.counters.by_class("refused" if final is FinalAnswer.REFUSED else "failed", call.class_name)
-        if self.recorder is not None:
-            self.recorder.call_answered(call, final.value, self.scheduler.now_ms)
+        if self._recorder is not None:
+            self._recorder.call_answered(call, final.value, self.scheduler.now_ms)
 
     def _end_attempt(
         self,
@@ -379,7 +391,7 @@
         self.scheduler.timers.cancel(in_flight.timer)
         self.counters.add(f"ended.{outcome.name.lower()}")
         if cancel:
-            self.servers.cancel(in_flight.server_id, call.id)
+            self._servers.cancel(in_flight.server_id, call.id)
         if not call.unanswered:
             self._close(call)
         self._dispatch(
@@ -410,8 +422,8 @@
     ) -> None:
         del self._established[call.id]
         self._remember(call.id)
-        if self.recorder is not None:
-            self.recorder.call_ended(call, outcome, self.scheduler.now_ms)
+        if self._recorder is not None:
+            self._recorder.call_ended(call, outcome, self.scheduler.now_ms)
         self.counters.add(f"ended.{outcome.name.lower()}")
         self._dispatch(
             api.AttemptEnded(
--- a/canvasplank/extensions/registry.py
+++ b/canvasplank/extensions/registry.py
@@ -14,13 +14,13 @@
 
 
 class ExtensionEntry(NamedTuple):
-    """One kind of part: the variable that names its file, and the module whose ``load`` reads that."""
+    """One extension: the environment variable that names its file, and the module whose ``load`` reads it."""
 
     variable: str
     module: str
 
 
-# In the order of their starts: the kept list before whoever asks what servers there are.
+# In the order of their starts: the endpoint cache before those that need the endpoints.
 REGISTRY = (
     ExtensionEntry("CANVASPLANK_MEMBERSHIP", "canvasplank.endpoint_cache.extension"),
     ExtensionEntry("CANVASPLANK_STORE", "canvasplank.store.extension"),
@@ -31,7 +31,10 @@
 
 
 def load_enabled_extensions(environment: Mapping[str, str]) -> list[ExtensionFactory]:
-    """What the environment names files for, its files read; a bad one is a ``ConfigurationError``."""
+    """Load each extension that the environment names a file for.
+
+    Raises ``ConfigurationError`` for a file that cannot be used.
+    """
     return [
         importlib.import_module(entry.module).load(path)
         for entry in REGISTRY
--- a/canvasplank/fleet/extension.py
+++ b/canvasplank/fleet/extension.py
@@ -20,16 +20,26 @@
     def __init__(self, context: ExtensionContext, settings: Fleet) -> None:
         configuration = context.configuration
         self._renewer = LeaseRenewer(
-            settings, configuration.name, int(configuration.seed, 16), context.counters
+            settings,
+            configuration.name,
+            int(configuration.seed, 16),
+            context.counters,
+            sees_discovery=lambda: context.discovery.last_received_ms is not None,
+            on_others_see_discovery=self._on_others_see_discovery,
         )
-        context.controller.spend = self._spend
-        context.fleet_size = lambda: len(self._renewer.failure_detector)
-        context.fleet_fraction = self._renewer.set_up_fraction
-        self._renewer.sees_discovery = lambda: context.discovery.last_received_ms is not None
-        self._renewer.on_others_see_discovery = self._on_others_see_discovery
+        context.use_fleet_view(self)
         self._context = context
 
-    def _spend(self, call: api.Call, attempt: int, server_id: str, take: bool) -> float:
+    def size(self) -> int:
+        """See ``FleetView``."""
+        return len(self._renewer.failure_detector)
+
+    def set_up_fraction(self) -> float | None:
+        """See ``FleetView``."""
+        return self._renewer.set_up_fraction()
+
+    def budget_delay(self, call: api.Call, attempt: int, server_id: str, take: bool) -> float:
+        """See ``FleetView``."""
         return self._renewer.spend(call.tenant, attempt, server_id, take)
 
     def _on_others_see_discovery(self) -> None:
--- a/canvasplank/fleet/lease_renewer.py
+++ b/canvasplank/fleet/lease_renewer.py
@@ -47,8 +47,14 @@
         clock: Callable[[], float] = steady_ms,
         *,
         works: Iterable[str] = (),
+        sees_discovery: Callable[[], bool] = lambda: False,
+        on_others_see_discovery: Callable[[], None] = lambda: None,
     ) -> None:
-        """``works``: tasks of the fleet that this process does, and then it holds no budgets."""
+        """``works``: tasks of the fleet that this process does, and then it holds no budgets.
+
+        ``sees_discovery``: whether service discovery sends events to this proxy; ``on_others_see_discovery``
+        is called when a response says that it sends them to others.
+        """
         self._fleet, self._counters, self._clock = fleet, counters, clock
         self._backend: Backend = fleet.create_backend()
         self.leadership = TaskLeadership(works, random.Random(seed))
@@ -61,8 +67,8 @@
         self._schedule = RenewalSchedule(fleet.renew_ms, random.Random(seed))
         self._open = False
         self._failing = False
-        self.sees_discovery: Callable[[], bool] = bool  # whether the notice board tells this proxy things
-        self.on_others_see_discovery: Callable[[], None] = bool  # told when it tells others things
+        self._sees_discovery = sees_discovery
+        self._on_others_see_discovery = on_others_see_discovery
         self._logged_shares: dict[str, int] = {}  # the share last told of, by budget
         self._task: asyncio.Task | None = None
 
@@ -123,7 +129,7 @@
             sent_ms, self.limiter.demands(sent_ms), self.failure_detector.expired(sent_ms)
         )
         request = msgspec.structs.replace(
-            request, sees_discovery=self.sees_discovery(), **self.leadership.request_fields(sent_ms)
+            request, sees_discovery=self._sees_discovery(), **self.leadership.request_fields(sent_ms)
         )
         response = await self._carry(request, self._fleet.request_ms / MS)
         if response is None:
@@ -135,7 +141,7 @@
             self.leadership.on_response(response, now_ms)
         self.failure_detector.observe(response.heartbeats, now_ms)
         if response.members_seeing_discovery:
-            self.on_others_see_discovery()
+            self._on_others_see_discovery()
         self._log_response(known, request, response)
         if response.incarnation is None:  # the next request joins anew, at once unless there are too many
             return self._schedule.after_answer(len(self.failure_detector), eager=known is not None)
--- a/canvasplank/interface.py
+++ b/canvasplank/interface.py
@@ -283,6 +283,18 @@
     shun: bool
 
 
+@dataclass(frozen=True, slots=True)
+class LearnedServer:
+    """What a controller has learned of a server, for the start of another instance."""
+
+    server_id: str
+    started_ms: float | None
+    rate_per_s: float | None  # None: not bounded
+    slow: bool  # its usual answer takes as long as waiting does harm
+    silent: bool
+    observed_ms: float  # the latest observation behind these
+
+
 # Asks fleet-wide budgets about a call's attempt of this number at a server: how long until it may go, in ms.
 # 0: now, and where the last argument says so its units are taken.
 BudgetDelay = Callable[[Call, int, str, bool], float]
--- a/canvasplank/network/callers.py
+++ b/canvasplank/network/callers.py
@@ -33,14 +33,21 @@
     """All connections from callers."""
 
     def __init__(
-        self, exchange: Exchange, figures: RequestBounds, sockets: int, idle_ms: float, budget: BufferBudget
+        self,
+        exchange: Exchange,
+        figures: RequestBounds,
+        sockets: int,
+        idle_ms: float,
+        budget: BufferBudget,
+        is_ready: Callable[[], bool] = lambda: True,
     ) -> None:
+        """``is_ready``: whether new callers are to come here at all."""
         self.exchange = exchange
         self.budget = budget
         self._figures = figures
         self.streams: dict[CallerStream, None] = {}  # in the order of their coming
         self.quiesced = False  # the operators send callers away: connections go as soon as nothing is open
-        self.is_ready: Callable[[], bool] = lambda: True  # whether new callers are to come here at all
+        self._is_ready = is_ready
         self._pending_releases: dict[str, int] = {}  # releases that wait for a connection, with their causes
         self._listener: Listener | None = None
         self.limit(sockets)
@@ -81,7 +88,7 @@
     @property
     def takes_callers(self) -> bool:
         """Whether a test is passed: new callers may be sent here."""
-        return not self.quiesced and self.is_ready()
+        return not self.quiesced and self._is_ready()
 
     def quiesce(self) -> None:
         """Send callers away: each connection is closed once it has no open set-up, from now on."""
--- a/canvasplank/network/discovery.py
+++ b/canvasplank/network/discovery.py
@@ -94,12 +94,16 @@
         self._stream: DiscoveryWatch | None = None
         self._connecting: Connecting | None = None
         self._backoff = Backoff(scheduler, BACKOFF_MS, MAX_BACKOFF_MS)
-        self.poll_backoff: PollBackoff | None = None  # None: by the doubling waits alone
+        self._poll_backoff: PollBackoff | None = None  # None: by the doubling waits alone
         # After a move and until the first event: the next such time.
         self._unconfirmed_move_ms: float | None = None
         self._rewatch_at_ms = float("inf")  # when the watch is given up for another
         self._unread = 0  # times in a row that the next event could not be read
 
+    def use_poll_backoff(self, poll_backoff: PollBackoff) -> None:
+        """Poll after this backoff's delays instead of the doubling ones; before ``start``."""
+        self._poll_backoff = poll_backoff
+
     @property
     def last_received_ms(self) -> float | None:
         """When it last spoke on the connection that is open; None: none is, or it has told nothing yet."""
@@ -113,15 +117,15 @@
 
     def _connect_first(self) -> None:
         """At once, or where a whole fleet asks at the same time, in this proxy's place."""
-        if self.poll_backoff is None:
+        if self._poll_backoff is None:
             self._connect()
         else:
-            self.scheduler.call_later(self.poll_backoff.initial_delay(), self._connect)
+            self.scheduler.call_later(self._poll_backoff.initial_delay(), self._connect)
 
     def on_others_see_discovery(self) -> None:
         """Another proxy hears it; where we do not, ask sooner than we would."""
-        if self.last_received_ms is None and self.poll_backoff is not None:
-            wait_ms = self.poll_backoff.early_poll_delay(self.scheduler.now_ms)
+        if self.last_received_ms is None and self._poll_backoff is not None:
+            wait_ms = self._poll_backoff.early_poll_delay(self.scheduler.now_ms)
             if wait_ms is not None:
                 self.scheduler.call_later(wait_ms, self._connect)
 
@@ -163,8 +167,8 @@
             self._backoff.then(
                 self._connect,
                 None
-                if self.poll_backoff is None
-                else self.poll_backoff.retry_delay(self.scheduler.now_ms, stream.parser.retry_after_ms),
+                if self._poll_backoff is None
+                else self._poll_backoff.retry_delay(self.scheduler.now_ms, stream.parser.retry_after_ms),
             )
 
     def spoke(self, stream: DiscoveryWatch) -> None:
@@ -205,8 +209,8 @@
         self._unread = 0
         self._backoff.succeeded()
         self._unconfirmed_move_ms, self._rewatch_at_ms = None, float("inf")
-        if self.poll_backoff is not None:
-            self.poll_backoff.reset()
+        if self._poll_backoff is not None:
+            self._poll_backoff.reset()
         self.last_id = number
         if discovery_event is not None:
             self._on_event(discovery_event)
--- a/canvasplank/network/servers.py
+++ b/canvasplank/network/servers.py
@@ -74,11 +74,15 @@
         self._peers: dict[str, Peer] = {}
         self._probes: dict[str, str] = {}
         self._probe_count = 0
-        self.endpoint_filter: EndpointFilter | None = None  # None: all servers, all at once
+        self._endpoint_filter: EndpointFilter | None = None  # None: all servers, all at once
         self.disconnecting = False  # the program ends
         self._resend_ms = resend_ms or FIRST_RESEND_MS
         self.scheduler.call_later(LOOK_SHARE * self._resend_ms, self._look)
 
+    def use_endpoint_filter(self, endpoint_filter: EndpointFilter) -> None:
+        """Connect to those servers alone that the filter selects; before the first list."""
+        self._endpoint_filter = endpoint_filter
+
     def known_and_excluded(self) -> tuple[int, int]:
         """Servers in the list, and those of them that nothing new goes to: draining, or not reachable now."""
         listed = [p for p in self._peers.values() if p.state is not api.ServerState.GONE]
@@ -117,8 +121,8 @@
         guards against a new server passing for unreachable on the very news of it.  The rest follows after,
         so that it meets the module's new view.
         """
-        if self.endpoint_filter is not None:
-            complete, instances = True, self.endpoint_filter.select(complete, instances)
+        if self._endpoint_filter is not None:
+            complete, instances = True, self._endpoint_filter.select(complete, instances)
         entries = {instance.instance_id: instance for instance in instances}
         kind = api.ListKind.COMPLETE if complete else api.ListKind.CHANGES
         missing = [p for p in self._peers.values() if complete and p.server_id not in entries]
@@ -126,7 +130,7 @@
             self._admit(entry)
         self.exchange.endpoints_changed(kind, tuple(self._told(entry) for entry in entries.values()))
         for peer in missing:
-            if self.endpoint_filter is not None and self.endpoint_filter.is_still_listed(peer.server_id):
+            if self._endpoint_filter is not None and self._endpoint_filter.is_still_listed(peer.server_id):
                 self._let_go(peer)
             else:
                 self._gone(peer)
@@ -136,8 +140,8 @@
     def _told(self, entry: Endpoint) -> api.Server:
         return (
             to_server(entry)
-            if self.endpoint_filter is None
-            else self.endpoint_filter.annotate(to_server(entry))
+            if self._endpoint_filter is None
+            else self._endpoint_filter.annotate(to_server(entry))
         )
 
     def _let_go(self, peer: Peer) -> None:
@@ -157,8 +161,8 @@
             backoff = Backoff(self.scheduler, BACKOFF_MS, BACKOFF_MOST_MS)
             peer = Peer(server.id, entry.host_port, server.state, server.started_ms, backoff)
             peer.heard_ms = self.scheduler.now_ms
-            if self.endpoint_filter is not None:
-                peer.opens_ms = self.scheduler.now_ms + self.endpoint_filter.initial_delay_ms()
+            if self._endpoint_filter is not None:
+                peer.opens_ms = self.scheduler.now_ms + self._endpoint_filter.initial_delay_ms()
             self._peers[server.id] = peer
         elif entry.host_port != peer.address:
             peer.address = entry.host_port
--- a/canvasplank/policy/controller.py
+++ b/canvasplank/policy/controller.py
@@ -46,9 +46,9 @@
 class Controller(ServerControl):
     """The decisions of one gateway."""
 
-    def __init__(self, settings: api.Settings, seed: int) -> None:
+    def __init__(self, settings: api.Settings, seed: int, budgets: api.BudgetDelay | None = None) -> None:
         super().__init__(settings, seed)
-        self.spend: api.BudgetDelay | None = None  # fleet-wide budgets, where there are any
+        self._budgets = budgets  # fleet-wide, where there are any
         self._classes = {c.name: c for c in settings.classes}
         self._calls: dict[str, CallState] = {}  # those that still lack their final answer
         self._queued: dict[str, CallState] = {}  # those of them that have no attempt out
@@ -359,7 +359,8 @@
         return admits and self._budget_at(view, call) <= self._now
 
     def _budget_at(self, view: ServerView, call: CallState, *, take: bool = False) -> float:
-        return self._now + (self.spend(call.call, call.attempts, view.server_id, take) if self.spend else 0.0)
+        delay = self._budgets
+        return self._now + (delay(call.call, call.attempts, view.server_id, take) if delay else 0.0)
 
     def _gate(self, call: CallState, view: ServerView) -> bool:
         """The one way out for a set-up; keeps the five rules whatever came before."""
--- a/canvasplank/policy/servers.py
+++ b/canvasplank/policy/servers.py
@@ -110,11 +110,11 @@
             count += 1
         return count * SECOND_MS / (span_ms if count >= ENOUGH_ANSWERS else LOOK_BACK_MS)
 
-    def learned(self, slow_ms: float) -> tuple[str, float | None, float | None, bool, bool, float]:
+    def learned(self, slow_ms: float) -> api.LearnedServer:
         rate = self.bucket.rate if self.bucket.rate < NEVER else None
         heard_ms = max(self.heard_ms, self.silent_ms, self.tried_ms) if self.silent else self.heard_ms
         slow = (self.delay_ms or 0.0) >= slow_ms
-        return self.server_id, self.started_ms, rate, slow, self.silent, heard_ms
+        return api.LearnedServer(self.server_id, self.started_ms, rate, slow, self.silent, heard_ms)
 
 
 class ServerControl:
@@ -136,8 +136,8 @@
         holds = [c.hold_ms for c in settings.classes if c.hold_ms is not None]
         self._hold_ms = sum(holds) / len(holds) if holds else None
 
-    def learned_servers(self) -> list[tuple[str, float | None, float | None, bool, bool, float]]:
-        """For a new instance: each server's id, start, rate (None: open), whether slow, silent, last word."""
+    def learned_servers(self) -> list[api.LearnedServer]:
+        """What a new instance may start from."""
         return [view.learned(self._silent_ms) for view in self._servers.values()]
 
     def _on_hint(self, hint: api.WarmStartHint) -> None:
@@ -315,8 +315,7 @@
         # to an even share.
         if not full and self._now < view.met_ms + LOOK_BACK_MS:
             rate = max(rate, self._fair(view) or 0.0)
-        if view.spared is None:
-            view.spared = view.bucket.rate
+        view.spared = view.bucket.rate if view.spared is None else view.spared
         view.bucket.rate = min(rate, view.bucket.rate)
         if self._now - view.logged_ms >= LOG_EVERY_MS:
             view.logged_ms = self._now
--- a/canvasplank/program.py
+++ b/canvasplank/program.py
@@ -25,7 +25,7 @@
 )
 from canvasplank.counters import Counters
 from canvasplank.exchange.exchange import Exchange
-from canvasplank.extensions.extension import ExtensionFactory
+from canvasplank.extensions.extension import Extension, ExtensionFactory, FleetView
 from canvasplank.extensions.registry import load_enabled_extensions
 from canvasplank.network.callers import Callers
 from canvasplank.network.discovery import Discovery
@@ -44,7 +44,7 @@
 
 
 class Program:
-    """One signalling proxy; what it is made of stands open to its parts (``parts.Host``)."""
+    """One signalling proxy; its components are open to its extensions (``ExtensionContext``)."""
 
     def __init__(
         self,
@@ -58,18 +58,23 @@
         limits = read_connection_limits(configuration.settings)
         self.counters = Counters()
         self.scheduler = Scheduler(TimerQueue())
-        controller = self.controller = Controller(settings, int(configuration.seed, 16))
+        controller = self.controller = Controller(settings, int(configuration.seed, 16), self._budget_delay)
         memory = configuration.limits.memory_mb * MIB
         self.exchange = Exchange(self.scheduler, controller.handle, self.counters, limits.max_open, memory)
         self._budget = BufferBudget(memory)
         figures = read_request_bounds(settings, configuration.settings)
         self._callers = Callers(
-            self.exchange, figures, configuration.limits.sockets, limits.conn_idle_ms, self._budget
+            self.exchange,
+            figures,
+            configuration.limits.sockets,
+            limits.conn_idle_ms,
+            self._budget,
+            self._accepts_callers,
         )
-        self.exchange.callers = self._callers
+        self.exchange.attach_callers(self._callers)
         load_reports = read_load_report_reader(configuration.settings)
         self.servers = Servers(self.exchange, limits, settings.resend_ms, self._budget, load_reports)
-        self.exchange.servers = self.servers
+        self.exchange.attach_servers(self.servers)
         self.discovery = Discovery(
             self.scheduler,
             configuration.discovery,
@@ -82,12 +87,8 @@
         self._done = asyncio.Event()
         self._listening = False
         self._admin = Admin(self)
-        self.fleet_size: Callable[[], int] = int
-        self.fleet_fraction: Callable[[], float | None] = lambda: None
-        self._extensions = [create(self) for create in factories]
-        self._callers.is_ready = lambda: (
-            self._serving and all(extension.is_ready() for extension in self._extensions)
-        )
+        self._fleet_view: FleetView | None = None
+        self._extensions: list[Extension] = [create(self) for create in factories]
 
     async def run(self) -> None:
         """Serve until told to stop."""
@@ -115,6 +116,30 @@
             self.scheduler.begin_iteration()
             await extension.drain(self._shutdown.remaining_ms(self.scheduler.now_ms) / 1000)
 
+    # -------------------------------------------------------------------------------- for the extensions
+
+    def use_fleet_view(self, fleet_view: FleetView) -> None:
+        """See ``ExtensionContext``."""
+        self._fleet_view = fleet_view
+
+    def fleet_size(self) -> int:
+        """See ``ExtensionContext``."""
+        return 0 if self._fleet_view is None else self._fleet_view.size()
+
+    def fleet_set_up_fraction(self) -> float | None:
+        """See ``ExtensionContext``."""
+        return None if self._fleet_view is None else self._fleet_view.set_up_fraction()
+
+    # --------------------------------------------------------------------------------
+
+    def _budget_delay(self, call: api.Call, attempt: int, server_id: str, take: bool) -> float:
+        if self._fleet_view is None:
+            return 0.0
+        return self._fleet_view.budget_delay(call, attempt, server_id, take)
+
+    def _accepts_callers(self) -> bool:
+        return self._serving and all(extension.is_ready() for extension in self._extensions)
+
     @property
     def _serving(self) -> bool:
         return self._shutdown.phase is Phase.SERVING
--- a/canvasplank/store/extension.py
+++ b/canvasplank/store/extension.py
@@ -28,7 +28,7 @@
             settings.write_timeout_ms / 1000,
             context.counters,
         )
-        context.exchange.recorder = self._writer
+        context.exchange.attach_recorder(self._writer)
 
     async def start(self) -> None:
         """See ``Extension``."""
--- a/canvasplank/warm_start/start_hints.py
+++ b/canvasplank/warm_start/start_hints.py
@@ -90,14 +90,18 @@
     return trust * learned + (1.0 - trust) * fresh
 
 
-ModuleWord = tuple[str, float | None, float | None, bool, bool, float]  # Controller.learned
-
-
-def exported(peer: str, learned: list[ModuleWord], now_ms: float) -> PeerView:
-    """A running instance's view from what its module has learned (``Controller.learned``)."""
+def exported(peer: str, learned: list[api.LearnedServer], now_ms: float) -> PeerView:
+    """A running instance's view, from what its module has learned (``Controller.learned_servers``)."""
     servers = [
-        Learned(server_id, started_ms, min(heard_ms, now_ms), rate, slow, silent)
-        for server_id, started_ms, rate, slow, silent, heard_ms in learned
+        Learned(
+            each.server_id,
+            each.started_ms,
+            min(each.observed_ms, now_ms),
+            each.rate_per_s,
+            each.slow,
+            each.silent,
+        )
+        for each in learned
     ]
     return PeerView(VERSION, peer, now_ms, servers)
 
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -34,8 +34,10 @@
 class Gateway:
     """Feeds events to a controller, keeps its timers, and remembers what it asked for."""
 
-    def __init__(self, settings: api.Settings = SETTINGS, seed: int = 1) -> None:
-        self.controller = Controller(settings, seed)
+    def __init__(
+        self, settings: api.Settings = SETTINGS, seed: int = 1, budgets: api.BudgetDelay | None = None
+    ) -> None:
+        self.controller = Controller(settings, seed, budgets)
         self.now = 0.0
         self.timers: list[tuple[float, str]] = []
         self.done: list[tuple[float, api.Action]] = []
--- a/tests/test_budgets.py
+++ b/tests/test_budgets.py
@@ -387,17 +387,16 @@
     """The gate asks; a call that the budgets hold back is held like any other."""
 
     def test_a_call_waits_for_its_budget_and_no_other_kind_waits_with_it(self):
-        g = Gateway()
-        g.servers(ready("a", 0))
-        g.alive["a"] = 40
         asked = []
 
-        def spend(call, attempt, server_id, take):
+        def delay(call, attempt, server_id, take):
             if take:
                 asked.append((call.id, attempt, server_id))
             return 300.0 if call.tenant == "acme" and g.now < 1000 else 0.0
 
-        g.controller.spend = spend
+        g = Gateway(budgets=delay)
+        g.servers(ready("a", 0))
+        g.alive["a"] = 40
         held_id, actions = g.call(tenant="acme")
         other_id, others = g.call(tenant="beta")
         assert not sent_to(actions) and sent_to(others) == ["a"]
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -83,15 +83,16 @@
         )
         self.decide: Callable[[api.Event], list[api.Action]] = lambda event: []
         self.released: list[str] = []
-        self.exchange.servers = SimpleNamespace(
-            release=lambda _, call_id, __: self.released.append(call_id),
-            set_up=lambda *_: None,
-            cancel=lambda *_: None,
+        self.exchange.attach_servers(
+            SimpleNamespace(
+                release=lambda _, call_id, __: self.released.append(call_id),
+                set_up=lambda *_: None,
+                cancel=lambda *_: None,
+            )
         )
         figures = RequestBounds(frozenset({"low"}), frozenset(), None, None)
-        self.callers = self.exchange.callers = Callers(
-            self.exchange, figures, sockets, 1000.0, BufferBudget(1e6)
-        )
+        self.callers = Callers(self.exchange, figures, sockets, 1000.0, BufferBudget(1e6))
+        self.exchange.attach_callers(self.callers)
         self.port = free_port()
 
     async def caller(self) -> socket.socket:
@@ -561,7 +562,8 @@
         )
         exchange = Exchange(scheduler, decide, Counters(), 100, 1e6)
         limits = ConnectionLimits(conn_idle_ms=60_000.0, connect_timeout_ms=15_000.0, max_open=100)
-        exchange.servers = servers = Servers(exchange, limits, 500.0, BufferBudget(1e6), LoadReportReader([]))
+        servers = Servers(exchange, limits, 500.0, BufferBudget(1e6), LoadReportReader([]))
+        exchange.attach_servers(servers)
         with socket.create_server(("127.0.0.1", 0)) as listener:
             listener.settimeout(WAIT_S)
             entry = Endpoint("s-a", f"127.0.0.1:{listener.getsockname()[1]}", lifecycle="ready")
@@ -593,13 +595,14 @@
         now_ms, writers = [0.0], []
         scheduler = Scheduler(TimerQueue(), clock=lambda: now_ms[0])
         exchange = Exchange(scheduler, lambda _, event: [], Counters(), 100, 1e6)
-        exchange.servers = servers = Servers(
+        servers = Servers(
             exchange,
             ConnectionLimits(15_000.0, 60_000.0, 100),
             500.0,
             BufferBudget(1e6),
             LoadReportReader(["free", "size"]),
         )
+        exchange.attach_servers(servers)
         notify = sip.request("NOTIFY", "lines", ID, 1, {"X-Gauges": "free:12;size:40"})
 
         def joined(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -152,7 +152,7 @@
         discovery = Discovery(
             watched.scheduler, f"{host}:{port}", 1, lambda notice: None, BufferBudget(1e6), random.Random(1)
         )
-        discovery.poll_backoff = FixedBackoff()
+        discovery.use_poll_backoff(FixedBackoff())
         discovery.start()
         new = await watched.listen()
         async with asyncio.timeout(60):
--- a/tests/test_exchange.py
+++ b/tests/test_exchange.py
@@ -27,7 +27,8 @@
     """With 32 MB, the 24 MiB that were allowed whatever the configuration would have ended the program."""
     scheduler = Scheduler(TimerQueue(), clock=lambda: 0.0)
     exchange = Exchange(scheduler, lambda now_ms, event: [], Counters(), 20_000, 32 * KIB**2)
-    exchange.callers = callers = Rejections()
+    callers = Rejections()
+    exchange.attach_callers(callers)
     for number in range(2000):
         exchange.offer(CallRecord(f"{number:016x}", "low", "1", 0, False, 1000.0, bytes(15 * KIB), None))
     assert exchange.open_calls == 4 * KIB // 15
--- a/tests/test_rendezvous_subset.py
+++ b/tests/test_rendezvous_subset.py
@@ -241,9 +241,11 @@
         example["settings"]["instances"] = instances
         self.configuration = SimpleNamespace(settings=example["settings"], seed="1", name="proxy-0")
         self.exchange = SimpleNamespace(has_calls_at=lambda _: False)
-        self.discovery = SimpleNamespace()
-        self.servers = SimpleNamespace(processes=list, has_unsettled_releases=lambda _: False)
-        self.fleet_size, self.fleet_fraction = lambda: members, lambda: part
+        self.discovery = SimpleNamespace(use_poll_backoff=lambda _: None)
+        self.servers = SimpleNamespace(
+            processes=list, has_unsettled_releases=lambda _: False, use_endpoint_filter=lambda _: None
+        )
+        self.fleet_size, self.fleet_set_up_fraction = lambda: members, lambda: part
 
 
 @pytest.mark.parametrize(
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -21,6 +21,7 @@
 from click.testing import CliRunner
 from pyarrow import parquet
 
+from canvasplank import interface as api
 from canvasplank.cli import cli
 from canvasplank.config.discovery_events import Endpoint
 from canvasplank.endpoint_cache import writer
@@ -157,8 +158,8 @@
 
 def peer_view() -> bytes:
     learned = [
-        ("core-a", START_MS - 5000.0, 12.5, False, False, START_MS - 100.0),
-        ("core-b", None, None, True, True, START_MS + 500.0),
+        api.LearnedServer("core-a", START_MS - 5000.0, 12.5, False, False, START_MS - 100.0),
+        api.LearnedServer("core-b", None, None, True, True, START_MS + 500.0),
     ]
     return peer_snapshot.encode(exported("proxy-1", learned, float(START_MS)))
 
--- a/tests/test_warm_start.py
+++ b/tests/test_warm_start.py
@@ -186,7 +186,7 @@
         new.servers(ready("a", 0), ready("b", 1))
         new.tell(api.WarmStartHint("a", 50.0, shun=False))
         new.full(new.call(first=0)[0], "a")
-        rates = {server_id: rate for server_id, _, rate, *_ in new.controller.learned_servers()}
+        rates = {each.server_id: each.rate_per_s for each in new.controller.learned_servers()}
         assert rates["a"] < 50.0
 
     def test_our_own_answers_come_before_a_peer_word(self):
