--- a/canvasplank/runtime/scheduler.py
+++ b/canvasplank/runtime/scheduler.py
@@ -1,8 +1,9 @@
-"""All that is to happen later, in one sorted structure, and the turns in which it is swept.
+"""Time and timers for one event loop: a cached clock per loop iteration, and one sorted queue of timers.
 
-A turn is what one look at the sockets brought, all at one reading of the clock.  It ends, and time may tell
-something, only when a further look brought nothing more: guards against our own pause (a stopped process, a
-busy machine) passing for a peer's silence, since whatever was said meanwhile is then read first.
+An iteration is what one poll of the sockets brought, all of it at one reading of the clock.  Timers run at
+its end, and it ends only when a further poll has brought nothing more.  Without that, a pause of this process
+(it was stopped, or the machine was busy) would pass for the silence of a peer: what the peer sent meanwhile
+has to be read before a timer may conclude anything from it.
 """
 
 from __future__ import annotations
@@ -11,30 +12,39 @@
 import logging
 import time
 from collections.abc import Callable
+from typing import NamedTuple
 
-from sortedcontainers import SortedList
+from sortedcontainers import SortedKeyList
 
 LOG = logging.getLogger(__name__)
-CATCH_UP_RATE = 0.9  # so fast we go while the system's clock is behind us
-MAX_POLLS_PER_ITERATION = 16  # a stream that never pauses must not keep time from telling
+CATCH_UP_RATE = 0.9  # of real time: how fast the clock runs while the system's clock is behind it
+MAX_POLLS_PER_ITERATION = 16  # a stream that never pauses must not keep the timers from running
 
-Timer = tuple[float, int, Callable[[], None]]
+
+class Timer(NamedTuple):
+    """An action that is due at a time; the sequence number orders those that are due at the same time."""
+
+    due_ms: float
+    sequence: int
+    action: Callable[[], object]
 
 
 class UnixClock:
-    """The system's Unix clock in milliseconds; where that is set back, it goes on, a little slower.
+    """The system's Unix clock, in milliseconds, which never runs backwards.
 
-    Guards against standing still until a clock that was set back has caught up: nothing came due meanwhile.
+    Where the system's clock is set back, this one goes on a little slower until the system's has caught up:
+    standing still meanwhile would keep every timer from running.
     """
 
     def __init__(
         self, unix: Callable[[], float] = time.time, steady: Callable[[], float] = time.monotonic
     ) -> None:
+        """``unix`` and ``steady`` give seconds; ``steady`` is never set."""
         self._unix, self._steady = unix, steady
         self._now_s, self._steady_s = unix(), steady()
 
     def __call__(self) -> float:
-        """What time it is."""
+        """The time now, in milliseconds since the Unix epoch."""
         unix_s, steady_s = self._unix(), self._steady()
         self._now_s = max(unix_s, self._now_s + CATCH_UP_RATE * (steady_s - self._steady_s))
         self._steady_s = steady_s
@@ -42,53 +52,57 @@
 
 
 class TimerQueue:
-    """What comes due, the earliest first."""
+    """Timers in the order in which they are due."""
 
     def __init__(self) -> None:
-        self._due: SortedList[Timer] = SortedList(key=lambda timer: timer[:2])
+        self._timers: SortedKeyList[Timer] = SortedKeyList(key=lambda timer: timer[:2])
         self._sequence = 0
 
     def __len__(self) -> int:
-        return len(self._due)
+        return len(self._timers)
 
-    def add(self, due_ms: float, action: Callable[[], None]) -> Timer:
-        """Have something done at a time; what is given back takes it out again."""
+    def add(self, due_ms: float, action: Callable[[], object]) -> Timer:
+        """Add an action that is due at a time; the timer that is given back can be cancelled."""
         self._sequence += 1
-        timer = (due_ms, self._sequence, action)
-        self._due.add(timer)
+        timer = Timer(due_ms, self._sequence, action)
+        self._timers.add(timer)
         return timer
 
     def cancel(self, timer: Timer | None) -> None:
-        """Take one out; one that was swept already is no error."""
+        """Remove a timer; one that has run, or None, is no error."""
         if timer is not None:
-            self._due.discard(timer)
+            self._timers.discard(timer)
 
     def next_due_ms(self) -> float | None:
-        """When the earliest comes due."""
-        return self._due[0][0] if self._due else None
+        """When the earliest timer is due; None: there is none."""
+        return self._timers[0].due_ms if self._timers else None
 
     def pop_due(self, now_ms: float) -> Timer | None:
-        """The earliest that is due, taken out."""
-        return self._due.pop(0) if self._due and self._due[0][0] <= now_ms else None
+        """Remove and give back the earliest timer, if it is due by now."""
+        return self._timers.pop(0) if self._timers and self._timers[0].due_ms <= now_ms else None
 
 
 class Scheduler:
-    """One clock that never runs backwards and stands still within a turn, and the sweep at a turn's end."""
+    """The clock and the timers of one event loop."""
 
     def __init__(self, timers: TimerQueue, clock: Callable[[], float] | None = None) -> None:
+        """``clock`` gives milliseconds; without one it is a ``UnixClock``."""
         self.timers = timers
         clock = clock or UnixClock()
-        self.now_ms = clock()
-        self.lateness_ms = 0.0  # by how much this turn began after it should have
+        self.now_ms = clock()  # constant within an iteration
+        self.lateness_ms = 0.0  # by how much this iteration began after its wake-up was due
         self._clock = clock
         self._in_iteration = False
-        self._received = False
+        self._received = False  # something has come in since the last poll
         self._polls = 0
         self._wakeup: asyncio.TimerHandle | None = None
         self._wakeup_ms: float | None = None
 
     def begin_iteration(self) -> None:
-        """Something has come in; all of one turn shares its time."""
+        """Note that something has come in; the first time in an iteration, read the clock.
+
+        Every callback of the event loop calls this before it does anything else.
+        """
         self._received = True
         if self._in_iteration:
             return
@@ -99,14 +113,14 @@
         self.lateness_ms = 0.0 if due_ms is None else max(0.0, self.now_ms - due_ms)
         asyncio.get_running_loop().call_soon(self._poll_again)
 
-    def call_later(self, delay_ms: float, action: Callable[[], None]) -> Timer:
-        """Have something done a while from now."""
+    def call_later(self, delay_ms: float, action: Callable[[], object]) -> Timer:
+        """Run an action after a delay, counted from the start of this iteration."""
         return self.timers.add(self.now_ms + delay_ms, action)
 
     def _poll_again(self) -> None:
-        """Runs after one look at the sockets: go round until one brings nothing."""
+        """Runs once after each poll of the sockets, until a poll has brought nothing."""
         self._polls += 1
-        # The first round belongs to the look that began the turn; the next one tells whether there is more.
+        # The first poll is the one that began the iteration; the next one shows whether there is more.
         if (self._polls == 1 or self._received) and self._polls < MAX_POLLS_PER_ITERATION:
             self._received = False
             asyncio.get_running_loop().call_soon(self._poll_again)
@@ -118,12 +132,12 @@
     def _run_due_timers(self) -> None:
         while (timer := self.timers.pop_due(self.now_ms)) is not None:
             try:
-                timer[2]()
-            except Exception:  # one action that fails must not keep the others from being done
-                LOG.exception("a deadline's action failed")
+                timer.action()
+            except Exception:  # an action that fails must not keep the others from running
+                LOG.exception("the action of a timer failed")
 
     def _arm_wakeup(self) -> None:
-        """Have the loop wake for the earliest deadline."""
+        """Have the event loop wake up for the earliest timer."""
         due_ms = self.timers.next_due_ms()
         if due_ms == self._wakeup_ms and self._wakeup is not None and not self._wakeup.cancelled():
             return
--- a/canvasplank/runtime/shutdown.py
+++ b/canvasplank/runtime/shutdown.py
@@ -1,40 +1,44 @@
-"""Graceful shutdown as a state machine: what may end when.  No I/O and no clock; times in milliseconds."""
+"""Graceful shutdown as a state machine: which phase follows when.  No I/O and no clock.
+
+All times are in milliseconds.  They lie within what the platform's protocol allows between SIGTERM and
+SIGKILL: the longest deadline of a call, at most 3 s, and 0.7 s.
+"""
 
 from __future__ import annotations
 
 import enum
 
 LAME_DUCK_MS = 700.0  # after SIGTERM callers may still come for so long
-MAX_CALL_DEADLINE_MS = 3000.0  # a caller's deadline counts as no longer than this when we are to end
-FAIL_BEFORE_KILL_MS = 300.0  # whatever is open so long before somebody may kill us is failed
-FLUSH_MS = 100.0  # past that, for the last bytes to leave
-DISCONNECT_MS = 100.0  # for callers to hear the end of connections; what crosses it does so within 50 ms
-FINISH_BEFORE_KILL_MS = 100.0  # and all is to be done so long before it
-CHECK_INTERVAL_MS = 20.0  # between two looks
+MAX_CALL_DEADLINE_MS = 3000.0  # a call's deadline counts as no longer than this
+FAIL_BEFORE_KILL_MS = 300.0  # calls that are open so long before the process may be killed are failed
+FLUSH_MS = 100.0  # after that, for the last bytes to be sent
+DISCONNECT_MS = 100.0  # for callers to see their connections end; what crosses the end arrives within 50 ms
+FINISH_BEFORE_KILL_MS = 100.0  # everything is done so long before the process may be killed
+CHECK_INTERVAL_MS = 20.0
 
 
 class Phase(enum.IntEnum):
-    """The phases, in their order; none is ever entered again."""
+    """The phases in their order; none is entered twice."""
 
     SERVING = 0
-    LAME_DUCK = 1  # told to stop: fails tests and serves on, since callers may still come
-    DRAINING = 2  # takes no new connection, answers whatever is open
-    DISCONNECTING = 3  # all is answered: connections are ended for writing, and read on
+    LAME_DUCK = 1  # health tests fail, calls are still served, since callers may still come
+    DRAINING = 2  # no new connection is taken, open calls are answered
+    DISCONNECTING = 3  # all is answered: connections are ended for writing and still read
     STOPPED = 4
 
 
 class Shutdown:
-    """Where the program stands between serving and its end."""
+    """The phase that the program is in, and when the next one begins."""
 
     def __init__(self, max_deadline_ms: float) -> None:
-        """``max_deadline_ms``: the longest deadline of a call; we may be killed that much and 0.7 s after."""
+        """``max_deadline_ms``: the longest deadline of a call, by the settings."""
         self.phase = Phase.SERVING
         self._kill_after_ms = min(MAX_CALL_DEADLINE_MS, max_deadline_ms) + LAME_DUCK_MS
         self._started_ms = 0.0
         self._entered_ms = 0.0
 
     def begin(self, now_ms: float) -> bool:
-        """SIGTERM; False: told so before, which changes nothing."""
+        """Begin to shut down, on SIGTERM; False: it had begun already, and nothing changes."""
         if self.phase is not Phase.SERVING:
             return False
         self._started_ms = now_ms
@@ -42,25 +46,25 @@
         return True
 
     def is_out_of_time(self, now_ms: float) -> bool:
-        """Whether what is open is to be failed: somebody may kill us soon."""
+        """Whether open calls are to be failed, since the process may be killed soon."""
         return now_ms - self._started_ms >= self._kill_after_ms - FAIL_BEFORE_KILL_MS
 
     def remaining_ms(self, now_ms: float) -> float:
-        """What may be spent on the parts' ends."""
+        """The time that extensions may take to finish."""
         return max(0.0, self._kill_after_ms - FINISH_BEFORE_KILL_MS - (now_ms - self._started_ms))
 
     def next_check_ms(self, now_ms: float) -> float:
-        """How long until ``look`` may find something new."""
+        """How long until ``advance`` may enter another phase."""
         if self.phase is Phase.LAME_DUCK:
             return max(1.0, self._started_ms + LAME_DUCK_MS - now_ms)
         return CHECK_INTERVAL_MS
 
     def advance(self, now_ms: float, *, open_calls: int, unsent: int, connections: int) -> Phase:
-        """The phase from now on; each look goes one phase further at most.
+        """Enter the next phase if it is time, and give back the phase from now on.
 
-        So what lay at the listener is read before anything is ended.  Guards a set-up that comes while the
-        last bytes leave against being taken and then left without an answer, and one who reads late against
-        the end of an answer half written.
+        ``unsent`` counts bytes to callers, ``connections`` callers' connections.  A call enters one phase at
+        most, so what is queued at the listener is read before connections are ended.  A call that comes while
+        the last bytes are sent is therefore answered, and a caller that reads late gets its complete answer.
         """
         elapsed_ms = now_ms - self._started_ms
         may_flush = elapsed_ms < self._kill_after_ms - FAIL_BEFORE_KILL_MS + FLUSH_MS
--- a/canvasplank/runtime/signals.py
+++ b/canvasplank/runtime/signals.py
@@ -1,4 +1,4 @@
-"""Signals that the program heeds, held back while it cannot: none is lost, or ends it by default."""
+"""The signals that the program handles, blocked while it cannot: none is lost, or ends it by default."""
 
 from __future__ import annotations
 
@@ -8,10 +8,10 @@
 
 
 def block() -> None:
-    """Keep them for later; for the last time just before the event loop gives their default action back."""
+    """Keep the handled signals pending; for the last time before the event loop restores their defaults."""
     signal.pthread_sigmask(signal.SIG_BLOCK, HANDLED_SIGNALS)
 
 
 def unblock() -> None:
-    """Let them come, those that were kept first."""
+    """Let the handled signals arrive, the pending ones first."""
     signal.pthread_sigmask(signal.SIG_UNBLOCK, HANDLED_SIGNALS)
--- a/canvasplank/runtime/streams.py
+++ b/canvasplank/runtime/streams.py
@@ -1,4 +1,4 @@
-"""Ending a stream connection of the one-line kind (admin, views) without its end raising."""
+"""Helpers for asyncio's streams, as the listeners for operators and for new instances use them."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 async def close_writer(writer: asyncio.StreamWriter) -> None:
-    """Close and wait for the close; a peer that has reset it meanwhile changes nothing."""
+    """Close a connection and wait until it is closed; a reset by the peer meanwhile is no error."""
     writer.close()
     with contextlib.suppress(OSError):
         await writer.wait_closed()
--- a/canvasplank/runtime/structured_logging.py
+++ b/canvasplank/runtime/structured_logging.py
@@ -1,6 +1,6 @@
 """Log lines for people, or as JSON for machines: one event name and its fields a line.
 
-``CANVASPLANK_LOG=json`` has every line as JSON, by python-json-logger; the human form is what it is without.
+``CANVASPLANK_LOG=json`` writes every line as JSON, by python-json-logger; without it lines are for people.
 """
 
 from __future__ import annotations
@@ -14,26 +14,26 @@
 
 
 def configure(log_format: str) -> None:
-    """Set logging up on standard error; an unknown form is a ``ValueError``."""
+    """Write log lines to standard error in one of ``FORMATS``; raises ``ValueError`` for any other."""
     if log_format not in FORMATS:
         raise ValueError(f"CANVASPLANK_LOG is {log_format!r}, not one of {', '.join(FORMATS)}")
     handler = logging.StreamHandler(sys.stderr)
-    if log_format == "json":
-        from pythonjsonlogger.json import JsonFormatter  # imported only where it is wanted
-
-        handler.setFormatter(
-            JsonFormatter(
-                "{created}{levelname}{name}{message}",
-                style="{",
-                rename_fields={"created": "unix_s", "levelname": "level"},
-            )
-        )
-    else:
-        handler.setFormatter(logging.Formatter(HUMAN_FORMAT))
+    handler.setFormatter(_json_formatter() if log_format == "json" else logging.Formatter(HUMAN_FORMAT))
     logging.basicConfig(handlers=[handler], level=logging.INFO)
 
 
+def _json_formatter() -> logging.Formatter:
+    from pythonjsonlogger.json import JsonFormatter  # imported only where it is asked for
+
+    formatter: logging.Formatter = JsonFormatter(
+        "{created}{levelname}{name}{message}",
+        style="{",
+        rename_fields={"created": "unix_s", "levelname": "level"},
+    )
+    return formatter
+
+
 def log_event(log: logging.Logger, name: str, *, text: str = "", **fields: Any) -> None:
-    """One event; ``text`` is what people read of it, or else its name and fields."""
+    """Log one event; ``text`` is what people read of it, by default its name and fields."""
     message = text or " ".join([name, *(f"{key}={value}" for key, value in fields.items())])
     log.info("%s", message, extra={"event": name, **fields})
--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -17,7 +17,7 @@
             timers.cancel(timer)
     assert timers.next_due_ms() == 10
     while (due := timers.pop_due(25)) is not None:
-        due[2]()
+        due.action()
     assert done == ["a", "b"] and len(timers) == 1
 
 
