--- a/canvasplank/exchange/call_records.py
+++ b/canvasplank/exchange/call_records.py
@@ -1,4 +1,4 @@
-"""What the exchange keeps of a call, and the answers that a call may get."""
+"""The exchange's record of one call, and the answers that a call may get."""
 
 from __future__ import annotations
 
@@ -11,16 +11,16 @@
 
 
 class FinalAnswer(enum.Enum):
-    """The final answers other than 'established'."""
+    """The final answers to a caller other than 'established'."""
 
     REFUSED = "refused"
     FAILED = "failed"
-    INVALID = "invalid"  # the set-up asks for what the settings do not know
+    INVALID = "invalid"  # the set-up names something that the settings do not know
 
 
 @dataclass(frozen=True, slots=True)
 class RefusalDetails:
-    """What a server said with a refusal, beside its outcome."""
+    """Details that a server gives with a refusal, besides its outcome."""
 
     processor_full: bool = False
     number_busy: bool = False
@@ -32,17 +32,20 @@
 
 @dataclass(slots=True)
 class Attempt:
-    """The one set-up of a call that is out."""
+    """The one attempt of a call that is in flight."""
 
     number: int
     server_id: str
     sent_ms: float
-    timer: Timer | None = None
+    timer: Timer | None = None  # its time-out
 
 
 @dataclass(slots=True)
 class CallRecord:
-    """One call: its caller, its attempt, and whether it is still unanswered."""
+    """One call: what its caller requested, its attempt in flight, and how far it has come.
+
+    Times are milliseconds on the scheduler's clock.
+    """
 
     id: str
     class_name: str
@@ -51,7 +54,7 @@
     was_cut: bool
     expires_ms: float
     description: bytes
-    origin: Hashable
+    origin: Hashable  # whatever the callers' component knows the caller's connection by
     tenant: str | None = None  # None: the settings name no tenants
     taken_ms: float = 0.0
     attempts: int = 0
@@ -60,10 +63,10 @@
     unanswered: bool = True
     established_server_id: str | None = None  # the server, once the call is established
     established_ms: float = 0.0
-    timer: Timer | None = field(default=None, repr=False)
+    timer: Timer | None = field(default=None, repr=False)  # its caller's deadline
 
     def is_retransmission_of(self, other: CallRecord) -> bool:
-        """Whether the other is the same set-up, sent once more."""
+        """Whether both are the same set-up, sent once more."""
         return (self.class_name, self.tenant, self.number, self.preferred_pool, self.description) == (
             other.class_name,
             other.tenant,
@@ -71,3 +74,10 @@
             other.preferred_pool,
             other.description,
         )
+
+    def attempt_in_flight(self, server_id: str, number: int | None) -> Attempt | None:
+        """The attempt in flight, if it is this one at this server."""
+        attempt = self.in_flight
+        if attempt is None or (attempt.server_id, attempt.number) != (server_id, number):
+            return None
+        return attempt
