--- a/canvasplank/config/discovery_events.py
+++ b/canvasplank/config/discovery_events.py
@@ -10,53 +10,54 @@
 
 
 class Endpoint(msgspec.Struct, rename="camel"):
-    """One call server, as a notice names it."""
+    """One call server, as service discovery describes it."""
 
     instance_id: str
     host_port: str
-    lifecycle: str
+    lifecycle: str  # ``READY``, ``DRAINING`` or ``GONE``; anything else counts as draining
     cell: int = 0
-    started_at_ms: float = 0
+    started_at_ms: float = 0  # Unix time of the start of its process; 0: long ago
     zone: str = ""
 
 
 class EndpointListUpdate(msgspec.Struct):
-    """What a notice tells of the list: the whole list when ``reset`` is set, else what has changed."""
+    """A change of the endpoint list, or the complete list where ``reset`` is set."""
 
     instances: list[Endpoint]
     reset: bool = False
 
 
 class DiscoveryEvent(msgspec.Struct):
-    """One numbered event of the notice board."""
+    """One numbered event of service discovery."""
 
     rev: int
     pool: EndpointListUpdate | None = None
 
 
 DISCOVERY_EVENT_DECODER = msgspec.json.Decoder(DiscoveryEvent)
+READY, DRAINING, GONE = "ready", "draining", "gone"
 _STATES = {
-    "ready": api.ServerState.READY,
-    "draining": api.ServerState.DRAINING,
-    "gone": api.ServerState.GONE,
+    READY: api.ServerState.READY,
+    DRAINING: api.ServerState.DRAINING,
+    GONE: api.ServerState.GONE,
 }
 
 
 def apply_event(instances: dict[str, Endpoint], event: DiscoveryEvent) -> None:
-    """Take one event of the board into the list."""
+    """Apply one event to the endpoint list, by ``instanceId``."""
     if event.pool is None:
         return
     if event.pool.reset:
         instances.clear()
     for instance in event.pool.instances:
-        if instance.lifecycle == "gone":
+        if instance.lifecycle == GONE:
             instances.pop(instance.instance_id, None)
         else:
             instances[instance.instance_id] = instance
 
 
 def endpoints_after(events: Iterable[DiscoveryEvent]) -> list[Endpoint]:
-    """The list as it stands after these events."""
+    """The endpoint list after these events."""
     instances: dict[str, Endpoint] = {}
     for event in events:
         apply_event(instances, event)
@@ -64,7 +65,7 @@
 
 
 def to_server(instance: Endpoint) -> api.Server:
-    """The entry as the module reads it; an unknown state counts as draining: nothing new goes there."""
+    """The endpoint as the decision module reads it; an unknown lifecycle counts as draining."""
     return api.Server(
         instance.instance_id,
         instance.cell,
--- a/canvasplank/config/extension_file.py
+++ b/canvasplank/config/extension_file.py
@@ -1,4 +1,4 @@
-"""Reads a file of its own (TOML) that switches a part of the program on."""
+"""Reads the TOML file that switches an extension on."""
 
 from __future__ import annotations
 
@@ -14,16 +14,17 @@
 
 
 def load_extension_settings(
-    path: str, part: str, kind: type[Settings], check: Callable[[Settings], None]
+    path: str, name: str, kind: type[Settings], check: Callable[[Settings], None]
 ) -> Settings:
-    """The settings of one part; whatever is wrong with them is one line, as a bad configuration.
+    """The settings of the extension ``name``, decoded as ``kind``.
 
-    ``check`` raises ``ValueError`` for what the types do not tell.
+    ``check`` raises ``ValueError`` for what the types do not express.  Raises ``ConfigurationError``, with a
+    message of one line, for whatever is wrong with the file.
     """
     try:
         with open(path, "rb") as file:
             settings = msgspec.convert(tomllib.load(file), kind)
         check(settings)
     except (OSError, tomllib.TOMLDecodeError, msgspec.MsgspecError, ValueError) as error:
-        raise ConfigurationError(f"{part} {path}: {' '.join(str(error).split())}") from None
+        raise ConfigurationError(f"{name} {path}: {' '.join(str(error).split())}") from None
     return settings
--- a/canvasplank/config/platform_settings.py
+++ b/canvasplank/config/platform_settings.py
@@ -10,6 +10,7 @@
 from canvasplank import interface as api
 from canvasplank.config.configuration import ConfigurationError
 
+# The platform's words for when load figures are reported, and its columns of them.
 _SOURCES = {
     "off": api.ReportSource.NONE,
     "on_probe": api.ReportSource.PROBES,
@@ -26,7 +27,7 @@
 
 
 class ConnectionLimits(msgspec.Struct):
-    """The figures in the settings that concern connections and tables, and not the decisions."""
+    """The limits in the settings that concern connections and tables, and not the decisions."""
 
     connect_timeout_ms: float
     conn_idle_ms: float
@@ -34,34 +35,34 @@
 
 
 class RequestBounds(msgspec.Struct, frozen=True):
-    """What a set-up may ask for, by the settings: classes, pools and circuits.  None: they do not say."""
+    """What a set-up may name, by the settings: classes, pools and circuits.  None: not bounded."""
 
     classes: frozenset[str]
-    tenants: frozenset[str]  # empty where the settings name none: then nothing is read of them
+    tenants: frozenset[str]  # empty where the settings name none: then the tenant is not read
     pools: frozenset[int] | None
     max_width: int | None
 
 
 class LoadReportReader:
-    """Reads what servers tell of themselves, in the columns that the settings name.
+    """Reads the load figures that servers report, in the columns that the settings name.
 
-    The first two are a group's free circuits and all its circuits, whatever the settings call them: a
-    deployment may name them otherwise than another, and reading them by name left its servers without any.
+    The first two columns are a group's free circuits and all its circuits, whatever the settings call them,
+    since deployments name them differently.
     """
 
     def __init__(self, columns: Iterable[str]) -> None:
         self._columns = tuple(columns)
         self._free, self._size = (*self._columns, "", "")[:2]
 
-    def circuits(self, figures: Mapping[str, float]) -> tuple[float, float] | None:
-        """Free circuits and all circuits, where both are told."""
+    def circuits(self, figures: Mapping[str, float | None]) -> tuple[float, float] | None:
+        """Free circuits and all circuits; None: not both are reported."""
         free, size = known_or_none(figures.get(self._free)), known_or_none(figures.get(self._size))
         return None if free is None or size is None else (free, size)
 
-    def report(self, figures: Mapping[str, float], wait_ms: float | None = None) -> api.Report | None:
-        """The load figures that the library understands; others are passed over.
+    def report(self, figures: Mapping[str, float | None], wait_ms: float | None = None) -> api.Report | None:
+        """The load figures that the decision module knows; None: there are none.
 
-        ``wait_ms`` is a wait at the processor told elsewhere, taken where the figures hold none.
+        ``wait_ms`` is a wait at the processor reported elsewhere, used where the figures hold none.
         """
         values = {
             REPORT_FIELDS[name].value: value
@@ -73,8 +74,13 @@
         return api.Report(**values) if values else None
 
 
+def known_or_none(value: float | None) -> float | None:
+    """A figure, or None where the wire omits it or has -1 for it."""
+    return None if value is None or value < 0 else value
+
+
 def read_connection_limits(options: dict[str, Any]) -> ConnectionLimits:
-    """The part of the settings that the network side goes by."""
+    """The limits on connections; raises ``ConfigurationError``."""
     try:
         return msgspec.convert(options["ceilings"], ConnectionLimits)
     except (KeyError, msgspec.ValidationError) as error:
@@ -82,7 +88,7 @@
 
 
 def read_load_report_reader(options: dict[str, Any]) -> LoadReportReader:
-    """The columns of servers' reports."""
+    """A reader of the columns that servers report; raises ``ConfigurationError``."""
     try:
         return LoadReportReader(msgspec.convert(options["load_report"]["names"], list[str]))
     except (KeyError, TypeError, msgspec.ValidationError) as error:
@@ -90,71 +96,82 @@
 
 
 def read_request_bounds(settings: api.Settings, options: dict[str, Any]) -> RequestBounds:
-    """The bounds that the network side holds a caller's set-up to."""
-    pools = [c.pools for c in settings.classes]
+    """The bounds on a caller's set-up; raises ``ConfigurationError``."""
     try:
         widths = msgspec.convert(options["family_info"].get("widths") or [], list[int])
     except msgspec.ValidationError as error:
         raise ConfigurationError(f"settings: widths: {error}") from None
+    pools = [c.pools for c in settings.classes if c.pools is not None]
     return RequestBounds(
         classes=frozenset(c.name for c in settings.classes),
         tenants=frozenset(c.name for c in settings.tenants),
-        pools=None if None in pools else frozenset(number for each in pools for number in each),
+        pools=frozenset(number for each in pools for number in each)
+        if len(pools) == len(settings.classes)
+        else None,
         max_width=max(widths) if widths else None,
     )
 
 
-def known_or_none(value: float | None) -> float | None:
-    """A figure, or None where the wire leaves it out or says -1."""
-    return None if value is None or value < 0 else value
-
-
 def read_settings(options: dict[str, Any]) -> api.Settings:
-    """The settings as the library names them; keys that it does not know are ignored."""
+    """The settings of the decision module; keys that it does not know are ignored.
+
+    Raises ``interface.SettingsError``, which names the key, by the platform's name for it.
+    """
     try:
-        rules, limits, family = options["rules"], options["ceilings"], options["family_info"]
-        report = options["load_report"]
-        pools, holds = family.get("skilled_pools"), family.get("class_hold_ms") or ()
-        classes = tuple(
-            api.CallClass(
-                name=profile["name"],
-                target_ms=profile["aim_ms"],
-                deadline_ms=profile["deadline_ms"],
-                weight=profile["worth"],
-                late_weight=profile["late_worth"],
-                pools=None if pools is None else tuple(pools[number]),
-                hold_ms=holds[number] if number < len(holds) else None,
-            )
-            for number, profile in enumerate(options["profiles"])
-        )
-        return api.Settings(
-            instances=options["instances"],
-            classes=classes,
-            rules=api.Rules(
-                release_ms=family["clear_wait_ms"],
-                drain_grace_ms=rules["stop_sending_within_ms"],
-                answer_slack_ms=rules["answer_slack_ms"],
-                cold_share=rules["cold_share"],
-                warm_within_ms=rules["warm_within_ms"],
-                overload_multiple=rules["tip_multiple"],
-                overload_span_ms=rules["overload_for_ms"],
-            ),
-            max_attempts=limits["most_tries"],
-            tick_ms=options["tick_ms"],
-            resend_ms=known_or_none(family.get("resend_ms")) or None,
-            tenants=tuple(
-                api.Tenant(tenant["name"], tenant["quota_per_s"]) for tenant in options.get("tenants") or ()
-            ),
-            over_quota_weight=options.get("over_share_worth", 1.0),
-            reports=_SOURCES[report["via"]],
-            report_fields=tuple(REPORT_FIELDS[name] for name in report["names"] if name in REPORT_FIELDS),
-            probes_allowed=limits["probes"],
-            cancel_allowed=limits["cancel"],
-            retry_after_max_ms=(known_or_none(limits.get("max_retry_after_ms")) or None)
-            if limits["retry_after"]
-            else None,
-        )
+        return _settings(options)
     except KeyError as missing:
         raise api.SettingsError(f"setting {missing.args[0]!r} is missing or unknown") from None
     except (TypeError, IndexError, AttributeError) as broken:
         raise api.SettingsError(f"settings are malformed: {broken}") from None
+
+
+def _settings(options: dict[str, Any]) -> api.Settings:
+    rules, limits, family = options["rules"], options["ceilings"], options["family_info"]
+    report = options["load_report"]
+    classes = _classes(options["profiles"], family)
+    tenants = options.get("tenants") or ()
+    return api.Settings(
+        instances=options["instances"],
+        classes=classes,
+        rules=_rules(rules, family),
+        max_attempts=limits["most_tries"],
+        tick_ms=options["tick_ms"],
+        resend_ms=known_or_none(family.get("resend_ms")) or None,
+        tenants=tuple(api.Tenant(tenant["name"], tenant["quota_per_s"]) for tenant in tenants),
+        over_quota_weight=options.get("over_share_worth", 1.0),
+        reports=_SOURCES[report["via"]],
+        report_fields=tuple(REPORT_FIELDS[name] for name in report["names"] if name in REPORT_FIELDS),
+        probes_allowed=limits["probes"],
+        cancel_allowed=limits["cancel"],
+        retry_after_max_ms=(known_or_none(limits.get("max_retry_after_ms")) or None)
+        if limits["retry_after"]
+        else None,
+    )
+
+
+def _classes(profiles: list[dict[str, Any]], family: dict[str, Any]) -> tuple[api.CallClass, ...]:
+    pools, holds = family.get("skilled_pools"), family.get("class_hold_ms") or ()
+    return tuple(
+        api.CallClass(
+            name=profile["name"],
+            target_ms=profile["aim_ms"],
+            deadline_ms=profile["deadline_ms"],
+            weight=profile["worth"],
+            late_weight=profile["late_worth"],
+            pools=None if pools is None else tuple(pools[number]),
+            hold_ms=holds[number] if number < len(holds) else None,
+        )
+        for number, profile in enumerate(profiles)
+    )
+
+
+def _rules(rules: dict[str, Any], family: dict[str, Any]) -> api.Rules:
+    return api.Rules(
+        release_ms=family["clear_wait_ms"],
+        drain_grace_ms=rules["stop_sending_within_ms"],
+        answer_slack_ms=rules["answer_slack_ms"],
+        cold_share=rules["cold_share"],
+        warm_within_ms=rules["warm_within_ms"],
+        overload_multiple=rules["tip_multiple"],
+        overload_span_ms=rules["overload_for_ms"],
+    )
--- a/canvasplank/exchange/attempts.py
+++ b/canvasplank/exchange/attempts.py
@@ -59,7 +59,7 @@
         cancel: bool = False,
         details: RefusalDetails = NO_DETAILS,
     ) -> None:
-        """End the attempt in flight, if there is one, and report it; ``cancel``: cancel it at its server too."""
+        """End the attempt in flight, if any, and report it; ``cancel``: cancel it at its server too."""
         attempt, call.in_flight = call.in_flight, None
         if attempt is None:
             return
