--- a/canvasplank/__main__.py
+++ b/canvasplank/__main__.py
@@ -8,12 +8,12 @@
 
 
 def main() -> int:
-    """Serve; the command line is not even imported by a serving proxy."""
+    """Serve, or run the command line, which a serving proxy does not import."""
     if len(sys.argv) > 1:
         from canvasplank.cli import cli
 
         cli(prog_name="canvasplank")
-    # Before the long imports: guards a start against SIGHUP, whose default action ends a process.
+    # Before the long imports: the default action of SIGHUP would end the process.
     signals.block()
     from canvasplank.program import serve
 
--- a/canvasplank/admin.py
+++ b/canvasplank/admin.py
@@ -1,7 +1,7 @@
-"""The operators' address: one line asked on a connection, one answer, then the connection is closed.
+"""The operators' address: one command on a connection, one answer, then the connection is closed.
 
-Kept apart from the callers' listener and its limits, so that a crowd of callers holding connections cannot
-keep an operator's answer back: the front is owed one within a second under any load.
+It is separate from the callers' listener and its limits: the front expects an answer within a second under
+any load, also while callers hold all of their connections.
 """
 
 from __future__ import annotations
@@ -14,27 +14,27 @@
 from canvasplank.runtime.streams import close_writer
 
 LOG = logging.getLogger(__name__)
-LINE_WAIT_S = 1.0  # an operator's line that has not come by then is not coming
-WRITE_WAIT_S = 1.0  # an answer not taken by then is late anyway
-LINE_MOST = 256  # bytes; no command is longer
-MOST_AT_ONCE = 32  # connections; what comes past them is closed unanswered, not queued behind them
+READ_TIMEOUT_S = 1.0  # for the command
+WRITE_TIMEOUT_S = 1.0  # the front expects an answer within a second
+MAX_LINE_BYTES = 256  # no command is longer
+MAX_CONNECTIONS = 32  # further ones are closed unanswered, not queued
 OK, BAD = "200", "400"
 
 
 class Operated(Protocol):
-    """What the operators may ask of the program."""
+    """The commands of the program to its operators."""
 
     def ready(self) -> bool:
-        """Whether new callers are welcome here now."""
+        """Whether new callers are accepted now."""
 
     def figures(self) -> list[str]:
-        """The figures in the exposition form, a line each."""
+        """The figures in the exposition format, a line each."""
 
     def quiesce(self) -> None:
-        """Send callers away, keeping what stands and what is open."""
+        """Send callers away; established and open calls continue."""
 
     def resume(self) -> None:
-        """Take callers again."""
+        """Accept callers again."""
 
 
 class Admin:
@@ -43,20 +43,22 @@
     def __init__(self, operated: Operated) -> None:
         self._operated = operated
         self._server: asyncio.Server | None = None
-        self._at_once = 0
+        self._connections = 0
 
     async def listen(self, address: str) -> None:
-        """Open the listener; its port is shared, for a new version started beside this one."""
+        """Open the listener; a new version started beside this one shares its port (``SO_REUSEPORT``)."""
         host, port = parse_address(address)
-        self._server = await asyncio.start_server(self._serve, host, port, limit=LINE_MOST, reuse_port=True)
+        self._server = await asyncio.start_server(
+            self._serve, host, port, limit=MAX_LINE_BYTES, reuse_port=True
+        )
 
     def close(self) -> None:
-        """Listen no more."""
+        """Close the listener."""
         if self._server is not None:
             self._server.close()
 
     def answer(self, line: str) -> str:
-        """The whole answer to one command, its lines ended by newlines."""
+        """The complete answer to one command, each line ended by a newline."""
         match line.strip():
             case "health":
                 return f"{OK} ready\n" if self._operated.ready() else f"{BAD} not ready\n"
@@ -75,17 +77,17 @@
                 return f"{BAD} unknown command {other[:40]!r}\n"
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """One connection: its line, the answer, the end.  Guards against one that never says its line."""
-        self._at_once += 1
+        """Serve one connection: read its command, write the answer, close it; each within a bounded time."""
+        self._connections += 1
         try:
-            if self._at_once <= MOST_AT_ONCE:
-                async with asyncio.timeout(LINE_WAIT_S):
+            if self._connections <= MAX_CONNECTIONS:
+                async with asyncio.timeout(READ_TIMEOUT_S):
                     line = await reader.readline()
                 writer.write(self.answer(line.decode("ascii", "replace")).encode())
-                async with asyncio.timeout(WRITE_WAIT_S):
+                async with asyncio.timeout(WRITE_TIMEOUT_S):
                     await writer.drain()
         except (TimeoutError, ValueError, OSError) as error:  # ValueError: a line past the limit
             LOG.info("admin connection ended: %s", type(error).__name__)
         finally:
-            self._at_once -= 1
+            self._connections -= 1
             await close_writer(writer)
--- a/canvasplank/counters.py
+++ b/canvasplank/counters.py
@@ -1,33 +1,33 @@
-"""What has gone through the program, for the operators: printed on SIGUSR1 and at the end."""
+"""Counts for the operators: printed on SIGUSR1 and at the end, and as figures on the admin address."""
 
 from __future__ import annotations
 
 from collections import Counter
 
-CLASS_FIGURES = ("served", "refused", "failed", "attempts")  # by class, in the front's names
+CLASS_FIGURES = ("served", "refused", "failed", "attempts")  # by class, by the front's names for them
 
 
 class Counters:
-    """Counts by name, in the groups that an operator asks about: taken in, sent, answered, ended, sockets."""
+    """Counts by name, in groups: taken in, sent, answered, ended, sockets and the extensions' own."""
 
     def __init__(self) -> None:
         self._counts: Counter[str] = Counter()
         self._by_class: Counter[tuple[str, str]] = Counter()  # (figure, class)
 
     def add(self, name: str, more: int = 1) -> None:
-        """Count something; names are ``group.what``."""
+        """Add to a count; names are ``group.what``."""
         self._counts[name] += more
 
     def set(self, name: str, value: int) -> None:
-        """Have a count that is kept elsewhere show here."""
+        """Set a count that another component maintains."""
         self._counts[name] = value
 
     def by_class(self, figure: str, class_name: str) -> None:
-        """Count a request's end, or an attempt, for its class: one of ``CLASS_FIGURES``."""
+        """Count a call's answer, or an attempt, for its class; ``figure`` is one of ``CLASS_FIGURES``."""
         self._by_class[figure, class_name] += 1
 
     def figures(self, in_flight: int, servers_known: int, servers_excluded: int) -> list[str]:
-        """The figures in the exposition form that the front reads, a line each.
+        """The figures in the exposition format that the front reads, a line each.
 
         Every class seen has all four figures, so that a 0 reads as 0 and not as missing.
         """
@@ -53,7 +53,7 @@
         for name in sorted(self._counts):
             group, _, what = name.partition(".")
             groups.setdefault(group, []).append(f"{what}={self._counts[name]}")
-        return [f"counters {group}: {' '.join(parts)}" for group, parts in groups.items()]
+        return [f"counters {group}: {' '.join(counts)}" for group, counts in groups.items()]
 
 
 def _escaped(label: str) -> str:
--- a/canvasplank/interface.py
+++ b/canvasplank/interface.py
@@ -1,10 +1,10 @@
-"""What a gateway and the controller say to each other: settings, events and actions.
+"""The messages between a gateway and the controller: settings, events and actions.
 
-Nothing here decides anything and nothing here knows a wire.  A gateway builds :class:`Settings` once, hands
-every event to ``Controller.handle(now_ms, event)`` and carries out the actions it gets back, in their order.
+Nothing here decides anything, and nothing here knows a wire format.  A gateway builds :class:`Settings` once,
+passes every event to ``Controller.handle(now_ms, event)`` and executes the actions that it returns, in order.
 
 All times are milliseconds on one clock that never runs backwards.  Ids of calls and servers are opaque text
-and come back unmodified.  An optional figure that is ``None`` is unknown, which is not the same as zero.
+and are returned unmodified.  An optional figure that is ``None`` is unknown, which is not the same as zero.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 
 class SettingsError(ValueError):
-    """A setting is missing or cannot be; the message names it, by the operators' key where that differs."""
+    """A setting is missing or out of range; the message names it, by the configuration's key."""
 
 
 def _require(holds: bool, name: str, value: object) -> None:
@@ -35,7 +35,7 @@
 
     ENDED = "ended"  # the call was established, and released in the ordinary way
     ERROR = "error"  # the number is busy, or a signalling fault
-    FULL = "full"  # turned away: the processor (or the pool) was full
+    FULL = "full"  # rejected: the processor (or the pool) was full
     TIMED_OUT = "timed out"
     NO_CONNECTION = "no connection"
     RESET = "reset"  # the set-up or the established call was cut
@@ -44,7 +44,7 @@
 
 
 class ServerState(enum.Enum):
-    """What the server list says of a server."""
+    """The state of a server, by the server list."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -56,21 +56,21 @@
 
     CHANGES = "changes"
     COMPLETE = "complete"
-    CACHED = "cached"  # complete, as this gateway last held it: possibly stale
+    CACHED = "cached"  # complete, as this gateway last had it: possibly stale
 
 
 class ReportField(enum.Enum):
-    """The load figures that a server may report and that this library understands."""
+    """The load figures that a server may report."""
 
     UTILISATION = "utilisation"  # share of the processor that is busy
     QUEUE = "queue"  # set-ups waiting at the processor
     WAIT_MS = "wait_ms"  # the wait at the processor
     RATE_PER_S = "rate_per_s"  # new set-ups a second that it can take from all senders
-    HOLD_BACK = "hold_back"  # share of new set-ups that it asks every sender to withhold
+    HOLD_BACK = "hold_back"  # fraction of new set-ups that every sender is to withhold
 
 
 class ReportSource(enum.Enum):
-    """When load figures are to be had."""
+    """When servers report their load figures."""
 
     NONE = "none"
     PROBES = "probes"
@@ -132,11 +132,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """All that a controller is told at its start.
+    """The settings of a controller.
 
-    What is reported and probed, and the grace and span of the rules are not acted on today
-    (``docs/design.md`` says why).  A gateway has them at hand and passes them, so that a decision that comes
-    to need them changes no gateway.
+    What is reported and probed, and the grace and span of the rules, have no effect on decisions today
+    (``docs/design.md`` gives the reasons).  A gateway knows them and passes them, so that a decision that
+    comes to need them changes no gateway.
     """
 
     instances: int  # gateways in this tier, this one among them
@@ -151,7 +151,7 @@
     report_fields: tuple[ReportField, ...] = ()
     probes_allowed: bool = False
     cancel_allowed: bool = True
-    retry_after_max_ms: float | None = None  # None: callers are not told when to come back
+    retry_after_max_ms: float | None = None  # None: refusals carry no Retry-After
 
     def __post_init__(self) -> None:
         _require(isinstance(self.instances, int) and self.instances >= 1, "instances", self.instances)
@@ -178,7 +178,7 @@
     state: ServerState
     started_ms: float | None = None  # its latest start; None: long ago
     senders: int | None = None  # gateways that share it, at the most; None: all
-    initial_rate_per_s: float | None = None  # our first rate there where a whole fleet starts; None: no bound
+    initial_rate_per_s: float | None = None  # this gateway's first rate there, set-ups/s; None: no bound
 
 
 @dataclass(frozen=True, slots=True)
@@ -191,15 +191,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Call:
-    """A call handed to this gateway, which now owes it one final answer."""
+    """A call that this gateway has taken, and must give one final answer."""
 
     id: str
     class_name: str
-    expires_ms: float  # when the caller abandons this try
+    expires_ms: float  # when the caller abandons this attempt of its own
     preferred_pool: int
     tenant: str | None = None
     number: str | None = None  # the number called
-    redialled: bool = False  # the caller says that this is a further try
+    redialled: bool = False  # the caller marks this as a retry
     was_cut: bool = False  # it was established before and cut
 
 
@@ -232,7 +232,7 @@
     attempt: int
     server_id: str
     outcome: Outcome
-    finished: bool  # the call is over; otherwise a final answer is still owed
+    finished: bool  # the call has ended; otherwise a final answer is still pending
     processor_full: bool = False  # with FULL: it was the processor that was full
     number_busy: bool = False  # with ERROR: every line of the number called is busy
     report: Report | None = None
@@ -240,21 +240,21 @@
 
 @dataclass(frozen=True, slots=True)
 class CallAbandoned:
-    """The caller left; nothing more is owed."""
+    """The caller has abandoned the call: no answer is pending any more."""
 
     call_id: str
 
 
 @dataclass(frozen=True, slots=True)
 class TimerFired:
-    """A timer came due."""
+    """A timer has fired."""
 
     token: str
 
 
 @dataclass(frozen=True, slots=True)
 class ProbeAnswered:
-    """What became of a probe."""
+    """A probe was answered, or was not."""
 
     server_id: str
     answered: bool
@@ -263,7 +263,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CircuitsReported:
-    """A server's free circuits and all its circuits, reported unasked now and then."""
+    """A server's free circuits and all its circuits, which it reports from time to time."""
 
     server_id: str
     free: float
@@ -272,10 +272,10 @@
 
 @dataclass(frozen=True, slots=True)
 class WarmStartHint:
-    """A running peer's aged word on one server, for a new instance's start (``canvasplank.warm_start``).
+    """What a running peer has learned of one server, weighted by age, for a new instance's start.
 
-    A rate that is ``None`` was not learned, or is too old to count; ``shun``: the peer saw it slow or
-    silent lately.
+    A rate that is ``None`` was not learned, or is too old to count; ``shun``: the peer has found the server
+    slow or silent in the last seconds.  See ``canvasplank.warm_start``.
     """
 
     server_id: str
@@ -290,13 +290,13 @@
     server_id: str
     started_ms: float | None
     rate_per_s: float | None  # None: not bounded
-    slow: bool  # its usual answer takes as long as waiting does harm
+    slow: bool  # its usual answer delay reaches that of silence
     silent: bool
     observed_ms: float  # the latest observation behind these
 
 
-# Asks fleet-wide budgets about a call's attempt of this number at a server: how long until it may go, in ms.
-# 0: now, and where the last argument says so its units are taken.
+# How long an attempt must wait for fleet-wide budgets, in ms, by the call, the attempt's number, the server
+# and whether to take the budgets' units.  0: it may be sent now, and its units are taken if so requested.
 BudgetDelay = Callable[[Call, int, str, bool], float]
 
 Event = (
@@ -334,7 +334,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Refuse:
-    """Final answer: refused.  The caller may dial again, after ``retry_after_ms`` if it listens."""
+    """Final answer: refused.  The caller may retry, after ``retry_after_ms`` where that is given."""
 
     call_id: str
     retry_after_ms: float | None = None
@@ -349,7 +349,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
-    """Ask for :class:`TimerFired` after a while."""
+    """Request :class:`TimerFired` after a delay."""
 
     after_ms: float
     token: str
@@ -357,7 +357,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Probe:
-    """Ask a server for its load."""
+    """Request a server's load figures."""
 
     server_id: str
 
--- a/canvasplank/program.py
+++ b/canvasplank/program.py
@@ -1,4 +1,4 @@
-"""Wires the program together and minds the signals."""
+"""Wires the components of the proxy together, and handles signals and the shutdown."""
 
 from __future__ import annotations
 
@@ -130,8 +130,6 @@
         """See ``ExtensionContext``."""
         return None if self._fleet_view is None else self._fleet_view.set_up_fraction()
 
-    # --------------------------------------------------------------------------------
-
     def _budget_delay(self, call: api.Call, attempt: int, server_id: str, take: bool) -> float:
         if self._fleet_view is None:
             return 0.0
@@ -151,7 +149,7 @@
         return self._listening and self._callers.takes_callers
 
     def figures(self) -> list[str]:
-        """See ``Operated``; a request that was answered is in flight until the call it set up is over."""
+        """See ``Operated``; a call is in flight from its set-up until it is rejected or has ended."""
         in_flight = self.exchange.open_calls + self.exchange.established_calls
         return self.counters.figures(in_flight, *self.servers.known_and_excluded())
 
@@ -166,7 +164,7 @@
         self._callers.resume()
 
     def print_counters(self) -> None:
-        """For the operators."""
+        """Print the counters to standard error."""
         for extension in self._extensions:
             extension.export_metrics()
         for line in self.counters.lines():
@@ -179,10 +177,9 @@
             extension.on_discovery_event(event)
 
     def _reload(self) -> None:
-        """Read the configuration again, follow the board where it now is and take new limits.
+        """On SIGHUP: read the configuration again, and apply the address of discovery and the limits.
 
-        The rest needs a restart, and what of it has changed is told.  Guards against ending on SIGHUP, and
-        against a file that cannot be used: then the old one stays.
+        Other changes hold from the next start, and are logged.  A file that cannot be used changes nothing.
         """
         self.scheduler.begin_iteration()
         try:
@@ -198,7 +195,7 @@
         ]
         for_later = f"; for the next start: {', '.join(waiting)}" if waiting else ""
         LOG.info("configuration read again%s", for_later)
-        for name in waiting:  # guards against telling a change once and then forgetting that it waits
+        for name in waiting:  # so that the next reload logs it again
             setattr(fresh, name, getattr(self.configuration, name))
         self.configuration = fresh
         self._callers.limit(fresh.limits.sockets)
@@ -209,7 +206,7 @@
             extension.on_configuration_reloaded()
 
     def _terminate(self) -> None:
-        """Told to stop: shut down gracefully, phase by phase (``shutdown``)."""
+        """On SIGTERM and SIGINT: shut down gracefully, phase by phase (``runtime.shutdown``)."""
         self.scheduler.begin_iteration()
         if self._shutdown.begin(self.scheduler.now_ms):
             LOG.info("told to stop")
@@ -219,7 +216,7 @@
         self.scheduler.call_later(self._shutdown.next_check_ms(self.scheduler.now_ms), self._advance_shutdown)
 
     def _advance_shutdown(self) -> None:
-        """Do what the phase of the shutdown asks for, and go on until it has stopped."""
+        """Do what the phase of the shutdown requires, until it has stopped."""
         before, now_ms = self._shutdown.phase, self.scheduler.now_ms
         if before is Phase.DRAINING and self._shutdown.is_out_of_time(now_ms):
             self.exchange.fail_all()
@@ -243,7 +240,10 @@
 
 
 def serve() -> int:
-    """Run by the environment's configuration; a fault in it is one line on standard error."""
+    """Run by the environment's configuration; gives the exit status.
+
+    A configuration that cannot be used is one line on standard error, and exit status 2.
+    """
     signals.block()
     try:
         structured_logging.configure(os.environ.get("CANVASPLANK_LOG", "human"))
@@ -270,14 +270,14 @@
 
 
 def one_line(error: Exception) -> str:
-    """What is wrong, as one line for the log."""
+    """The message of an error as one line."""
     return " ".join(str(error).split())
 
 
 async def _serve(configuration: Configuration, factories: list[ExtensionFactory]) -> None:
     program = Program(configuration, _configuration, factories)
-    gc.freeze()  # what is made at the start stays: collections need not look at it
+    gc.freeze()  # what is made at the start stays: collections need not traverse it
     with contextlib.suppress(asyncio.CancelledError):
         await program.run()
     program.print_counters()
-    signals.block()  # guards the exit status against one that comes now
+    signals.block()  # one that comes now must not change the exit status
--- a/canvasplank/simulator_adapter.py
+++ b/canvasplank/simulator_adapter.py
@@ -1,7 +1,7 @@
-"""The adapter: hosts many controllers behind the line-framed JSON wire on standard input and output.
+"""The simulator's adapter: many controllers behind its JSON lines on standard input and output.
 
-It frames, maps words and numbers between the wire and :mod:`canvasplank.interface`, and flushes.  It decides
-nothing.  A broken frame ends it with one line on standard error and exit status 2.
+It frames messages, maps them to and from :mod:`canvasplank.interface`, and flushes.  It decides nothing.  A
+broken frame ends it with one line on standard error and exit status 2.
 """
 
 from __future__ import annotations
@@ -9,6 +9,7 @@
 import json
 import sys
 from collections.abc import Callable, Iterator
+from dataclasses import dataclass
 from typing import Any, TextIO
 
 from canvasplank import interface as api
@@ -46,16 +47,23 @@
 
 
 class WireError(Exception):
-    """The other side broke the framing or named what was never introduced."""
+    """The other side broke the framing, or named something that it never introduced."""
+
+
+@dataclass(frozen=True, slots=True)
+class _Instance:
+    """One controller, and what reads the load figures of its deployment."""
+
+    controller: Controller
+    columns: tuple[str, ...]
+    load_reports: LoadReportReader
 
 
 class ControllerHost:
-    """Many controllers, each with nothing in common with the others, behind one wire."""
+    """Many controllers, with nothing in common, behind one wire."""
 
     def __init__(self) -> None:
-        self._controllers: dict[int, Controller] = {}
-        self._columns: dict[int, tuple[str, ...]] = {}
-        self._load_reports: dict[int, LoadReportReader] = {}
+        self._instances: dict[int, _Instance] = {}
         self._lists: dict[int, tuple[api.Server, ...]] = {}
         self._readers: dict[str, Callable[[list[Any]], api.Event | None]] = {
             "update": self._update,
@@ -69,40 +77,55 @@
         }
 
     def batch(self, now_ms: float, messages: list[list[Any]]) -> Iterator[list[Any]]:
-        """Hand over the events of one batch and give back the actions, in the wire's form."""
+        """Handle the events of one batch, and give back the actions, in the wire's form.
+
+        Raises ``WireError`` for a message or an instance that is unknown.
+        """
         for message in messages:
-            name = message[0]
+            name, instance = message[0], message[1]
             if name == "sheet":
-                self._lists[message[1]] = tuple(self._entry(entry) for entry in message[2])
+                self._lists[instance] = tuple(self._entry(entry) for entry in message[2])
                 continue
-            instance = message[1]
             try:
                 if name == "configure":
-                    settings = read_settings(message[3])
-                    self._columns[instance] = tuple(message[3]["load_report"]["names"])
-                    self._load_reports[instance] = read_load_report_reader(message[3])
-                    self._controllers[instance] = Controller(settings, message[2])
+                    self._configure(message)
                     continue
                 if name == "shutdown":
-                    del self._controllers[instance], self._columns[instance], self._load_reports[instance]
+                    del self._instances[instance]
                     continue
-                controller = self._controllers[instance]
-                reader = self._readers[name]
+                controller, reader = self._instances[instance].controller, self._readers[name]
             except KeyError as unknown:
                 raise WireError(f"{name!r} for instance {instance!r}: unknown {unknown.args[0]!r}") from None
             except api.SettingsError as error:
                 yield ["give_in", instance, str(error)]
                 continue
-            event = reader(message)
-            if event is None:
-                continue
-            try:
-                actions = controller.handle(now_ms, event)
-            except Exception as error:  # the wire has a word for a module that failed: say it, with the cause
-                yield ["give_in", instance, f"{type(error).__name__} on {name}: {error}"]
-                continue
-            for action in actions:
-                yield _encode(instance, action)
+            yield from self._handle(controller, reader, now_ms, message)
+
+    def _configure(self, message: list[Any]) -> None:
+        _, instance, seed, options = message
+        settings = read_settings(options)
+        columns = tuple(options["load_report"]["names"])
+        load_reports = read_load_report_reader(options)
+        self._instances[instance] = _Instance(Controller(settings, seed), columns, load_reports)
+
+    def _handle(
+        self,
+        controller: Controller,
+        reader: Callable[[list[Any]], api.Event | None],
+        now_ms: float,
+        message: list[Any],
+    ) -> Iterator[list[Any]]:
+        event = reader(message)
+        if event is None:
+            return
+        name, instance = message[:2]
+        try:
+            actions = controller.handle(now_ms, event)
+        except Exception as error:  # the wire has a message for a module that failed, with the cause
+            yield ["give_in", instance, f"{type(error).__name__} on {name}: {error}"]
+            return
+        for action in actions:
+            yield _encode(instance, action)
 
     def _entry(self, entry: list[Any]) -> api.Server:
         server, _zone, _kind, pool, phase, _units, born = entry
@@ -147,16 +170,16 @@
         report = self._report(instance, row)
         if waited or report is not None or code != "GOOD":
             return api.ProbeAnswered(server, code == "GOOD", report)
-        circuits = self._load_reports[instance].circuits(self._reported(instance, row))
+        circuits = self._instances[instance].load_reports.circuits(self._reported(instance, row))
         return None if circuits is None else api.CircuitsReported(server, *circuits)
 
     def _reported(self, instance: int, row: list[float | None] | None) -> dict[str, float | None]:
-        return dict(zip(self._columns[instance], row or (), strict=False))
+        return dict(zip(self._instances[instance].columns, row or (), strict=False))
 
     def _report(
         self, instance: int, row: list[float | None] | None, wait_ms: float | None = None
     ) -> api.Report | None:
-        return self._load_reports[instance].report(self._reported(instance, row), wait_ms)
+        return self._instances[instance].load_reports.report(self._reported(instance, row), wait_ms)
 
 
 def _encode(instance: int, action: api.Action) -> list[Any]:
@@ -184,7 +207,7 @@
         return None
     match _parse(first):
         case ["sync", int() | float() as now_ms, int() as number]:
-            messages = []
+            messages: list[list[Any]] = []
         case opening:
             raise WireError(f"a batch begins with 'sync', its time and its number, not with {opening!r}")
     for line in lines:
