--- a/canvasplank/cold_start/extension.py
+++ b/canvasplank/cold_start/extension.py
@@ -4,11 +4,9 @@
 
 import random
 from dataclasses import replace
-from typing import Annotated
-
-import msgspec
 
 from canvasplank import interface as api
+from canvasplank.cold_start.config import Starting
 from canvasplank.cold_start.poll_backoff import SECOND_MS, PollBackoff
 from canvasplank.cold_start.rendezvous_subset import RendezvousSubset
 from canvasplank.config.discovery_events import Endpoint
@@ -16,24 +14,10 @@
 from canvasplank.config.platform_settings import read_settings
 from canvasplank.extensions.extension import Extension, ExtensionContext, ExtensionFactory
 
-Rate = Annotated[float, msgspec.Meta(ge=0, le=100_000)]
 LOOK_MS = 1000.0  # between two looks at servers that are left to others, and at the fleet's size
 CHANGED = 0.1  # of the number of proxies that share a server: so much is worth telling the module
 
 
-class Starting(msgspec.Struct, forbid_unknown_fields=True):
-    """What the notice board and each call server are to bear of the whole fleet; 0: no bound on it."""
-
-    polls_per_s: Rate = 0.0  # while it is in trouble
-    first_per_s: Rate = 0.0  # first polls after a start, and when it is known to be back; 0: as polls_per_s
-    connections_per_s: Rate = 0.0  # first connections at each call server
-    initial_rate_per_s: Rate = msgspec.field(name="begin_per_s", default=0.0)  # set-ups there at first
-    ready_with_list: bool = False  # no test is passed before a list names a server
-    servers_per_proxy: Annotated[int, msgspec.Meta(ge=0, le=10_000)] = 0  # for each class of call; 0: all
-    # At least so many proxies keep to each server, on average: in a small fleet each then keeps to more.
-    proxies_per_server: Annotated[int, msgspec.Meta(ge=0, le=10_000)] = 0
-
-
 def load(path: str) -> ExtensionFactory:
     """Read its file."""
     settings = load_extension_settings(path, "starting", Starting, lambda _: None)
--- a/canvasplank/endpoint_cache/extension.py
+++ b/canvasplank/endpoint_cache/extension.py
@@ -6,9 +6,11 @@
 
 from canvasplank.config.discovery_events import DiscoveryEvent, endpoints_after
 from canvasplank.config.platform_settings import read_settings
-from canvasplank.endpoint_cache.bootstrap import Roster, judge
+from canvasplank.endpoint_cache.bootstrap import judge
+from canvasplank.endpoint_cache.cache_file import read
 from canvasplank.endpoint_cache.config import Membership, load_membership
-from canvasplank.endpoint_cache.writer import Keeper, read
+from canvasplank.endpoint_cache.endpoint_list import Roster
+from canvasplank.endpoint_cache.writer import Keeper
 from canvasplank.extensions.extension import Extension, ExtensionContext, ExtensionFactory
 
 LOG = logging.getLogger(__name__)
--- a/canvasplank/endpoint_cache/writer.py
+++ b/canvasplank/endpoint_cache/writer.py
@@ -5,13 +5,11 @@
 import asyncio
 import contextlib
 import logging
-import os
 from collections.abc import Callable
-from pathlib import Path
 
 from canvasplank.config.discovery_events import DiscoveryEvent
-from canvasplank.endpoint_cache.bootstrap import Roster
-from canvasplank.endpoint_cache.cached_list import MOST_BYTES, KeptError, KeptList, decode, encode
+from canvasplank.endpoint_cache.cache_file import write
+from canvasplank.endpoint_cache.endpoint_list import Roster
 from canvasplank.runtime.scheduler import Scheduler
 from canvasplank.runtime.worker_thread import WorkerThread, WorkerThreadBusyError
 
@@ -22,31 +20,6 @@
 PAUSE_MS, PAUSE_MOST_MS = 1_000.0, 60_000.0  # after a write that failed, doubling
 
 
-def read(path: str) -> KeptList | None:
-    """The kept list, or None with one log line; no file at all is a first start and worth a line, too."""
-    try:
-        with open(path, "rb") as file:
-            return decode(file.read(MOST_BYTES + 1))
-    except (OSError, KeptError) as error:
-        LOG.warning("no list of servers taken from %s: %s", path, error)
-        return None
-
-
-def write(path: str, kept: KeptList) -> None:
-    """Put a new file in the old one's place; guards against a crash that leaves half a list."""
-    fresh = f"{path}.new"
-    with open(fresh, "wb") as file:
-        file.write(encode(kept))
-        file.flush()
-        os.fsync(file.fileno())
-    os.replace(fresh, path)
-    folder = os.open(Path(path).parent, os.O_RDONLY)
-    try:
-        os.fsync(folder)
-    finally:
-        os.close(folder)
-
-
 class Keeper:
     """Writes the roster; the serving never waits for it."""
 
--- a/canvasplank/warm_start/client.py
+++ b/canvasplank/warm_start/client.py
@@ -10,17 +10,14 @@
 
 import asyncio
 import logging
-import struct
 import time
 from collections.abc import Sequence
 
 from canvasplank.config.addresses import parse_address
 from canvasplank.runtime.streams import close_writer
-from canvasplank.warm_start.peer_snapshot import MOST_BYTES, PeerView, ViewError, decode
+from canvasplank.warm_start.peer_snapshot import ASK, LENGTH, MOST_BYTES, PeerView, ViewError, decode
 
 LOG = logging.getLogger(__name__)
-ASK = b"view\n"
-LENGTH = struct.Struct(">I")
 ASKED_MOST = 3  # peers, one after another
 BOUND_S = 0.5  # what a start may wait for a peer, all told
 
@@ -72,8 +69,3 @@
         return decode(data)
     except ViewError as error:
         raise RefusedError(str(error)) from None
-
-
-def framed(data: bytes) -> bytes:
-    """A view as the exporting side writes it."""
-    return LENGTH.pack(len(data)) + data
--- a/canvasplank/warm_start/extension.py
+++ b/canvasplank/warm_start/extension.py
@@ -8,8 +8,9 @@
 from canvasplank.extensions.extension import Extension, ExtensionContext, ExtensionFactory
 from canvasplank.warm_start.client import ask_in_turn
 from canvasplank.warm_start.config import Learning, load_learning
+from canvasplank.warm_start.peer_snapshot import exported
 from canvasplank.warm_start.server import Exporter
-from canvasplank.warm_start.start_hints import Listed, exported, hints, told
+from canvasplank.warm_start.start_hints import Listed, hints, told
 
 LOG = logging.getLogger(__name__)
 
--- a/canvasplank/warm_start/peer_snapshot.py
+++ b/canvasplank/warm_start/peer_snapshot.py
@@ -6,11 +6,16 @@
 
 from __future__ import annotations
 
+import struct
 from typing import Annotated
 
 import msgspec
 
+from canvasplank import interface as api
+
 VERSION = 1
+ASK = b"view\n"
+LENGTH = struct.Struct(">I")
 MOST_BYTES = 256 * 1024  # a view of some thousand servers fits; a larger one is no view of ours
 MOST_SERVERS = 4096
 
@@ -67,3 +72,24 @@
     if any(server.learned_ms > view.taken_ms for server in view.servers):
         raise ViewError("a view that learned something after it was taken")
     return view
+
+
+def framed(data: bytes) -> bytes:
+    """A view as the exporting side writes it."""
+    return LENGTH.pack(len(data)) + data
+
+
+def exported(peer: str, learned: list[api.LearnedServer], now_ms: float) -> PeerView:
+    """A running instance's view, from what its module has learned (``Controller.learned_servers``)."""
+    servers = [
+        Learned(
+            each.server_id,
+            each.started_ms,
+            min(each.observed_ms, now_ms),
+            each.rate_per_s,
+            each.slow,
+            each.silent,
+        )
+        for each in learned
+    ]
+    return PeerView(VERSION, peer, now_ms, servers)
--- a/canvasplank/warm_start/server.py
+++ b/canvasplank/warm_start/server.py
@@ -12,8 +12,7 @@
 
 from canvasplank.config.addresses import parse_address
 from canvasplank.runtime.streams import close_writer
-from canvasplank.warm_start.client import ASK, framed
-from canvasplank.warm_start.peer_snapshot import PeerView, encode
+from canvasplank.warm_start.peer_snapshot import ASK, PeerView, encode, framed
 
 LOG = logging.getLogger(__name__)
 LINE_WAIT_S = 1.0
--- a/canvasplank/warm_start/start_hints.py
+++ b/canvasplank/warm_start/start_hints.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 
 from canvasplank import interface as api
-from canvasplank.warm_start.peer_snapshot import VERSION, Learned, PeerView
+from canvasplank.warm_start.peer_snapshot import PeerView
 
 HALF_LIFE_MS = 5_000.0
 MOST_AGE_MS = 60_000.0
@@ -90,22 +90,6 @@
     return trust * learned + (1.0 - trust) * fresh
 
 
-def exported(peer: str, learned: list[api.LearnedServer], now_ms: float) -> PeerView:
-    """A running instance's view, from what its module has learned (``Controller.learned_servers``)."""
-    servers = [
-        Learned(
-            each.server_id,
-            each.started_ms,
-            min(each.observed_ms, now_ms),
-            each.rate_per_s,
-            each.slow,
-            each.silent,
-        )
-        for each in learned
-    ]
-    return PeerView(VERSION, peer, now_ms, servers)
-
-
 def told(found: list[Hint]) -> list[api.WarmStartHint]:
     """The hints as the module hears them."""
     return [api.WarmStartHint(hint.server_id, hint.rate_per_s, hint.shun) for hint in found]
--- a/tests/test_endpoint_cache.py
+++ b/tests/test_endpoint_cache.py
@@ -12,8 +12,8 @@
 from canvasplank import interface as api
 from canvasplank.config.configuration import ConfigurationError
 from canvasplank.config.discovery_events import DiscoveryEvent, Endpoint, EndpointListUpdate
-from canvasplank.endpoint_cache import writer
-from canvasplank.endpoint_cache.bootstrap import MOST_AGE_MS, TRUSTED_MS, Roster, judge
+from canvasplank.endpoint_cache import cache_file, writer
+from canvasplank.endpoint_cache.bootstrap import MOST_AGE_MS, TRUSTED_MS, judge
 from canvasplank.endpoint_cache.cached_list import (
     MOST_BYTES,
     VERSION,
@@ -24,6 +24,7 @@
     encode,
 )
 from canvasplank.endpoint_cache.config import load_membership
+from canvasplank.endpoint_cache.endpoint_list import Roster
 from canvasplank.runtime.scheduler import Scheduler, TimerQueue
 from emulators.callers import Callers
 from emulators.fleet import fleet
@@ -65,7 +66,7 @@
     with pytest.raises(KeptError, match=why):
         decode(data)
     (tmp_path / "servers.json").write_bytes(data)
-    assert writer.read(str(tmp_path / "servers.json")) is None
+    assert cache_file.read(str(tmp_path / "servers.json")) is None
     assert len(caplog.records) == 1 and "no list of servers taken" in caplog.text
 
 
@@ -128,7 +129,7 @@
 
 def test_a_write_that_fails_leaves_the_old_file_and_is_told_once(tmp_path, caplog):
     path = tmp_path / "servers.json"
-    writer.write(str(path), kept())
+    cache_file.write(str(path), kept())
     before = path.read_bytes()
 
     async def run():
--- a/tests/test_rendezvous_subset.py
+++ b/tests/test_rendezvous_subset.py
@@ -15,7 +15,8 @@
 
 from canvasplank import interface as api
 from canvasplank.cold_start.extension import ColdStartExtension, Starting
-from canvasplank.cold_start.rendezvous_subset import RendezvousSubset, choose, rank, shared_by
+from canvasplank.cold_start.rendezvous_hashing import choose, rank, shared_by
+from canvasplank.cold_start.rendezvous_subset import RendezvousSubset
 from canvasplank.config.discovery_events import Endpoint, to_server
 from canvasplank.network.servers import Servers
 from emulators.callers import Callers
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -24,9 +24,9 @@
 from canvasplank import interface as api
 from canvasplank.cli import cli
 from canvasplank.config.discovery_events import Endpoint
-from canvasplank.endpoint_cache import writer
-from canvasplank.endpoint_cache.bootstrap import Roster
+from canvasplank.endpoint_cache import cache_file
 from canvasplank.endpoint_cache.cached_list import KeptList, KeptServer
+from canvasplank.endpoint_cache.endpoint_list import Roster
 from canvasplank.fleet.backend import FencingToken
 from canvasplank.fleet.sqlite import Sqlite as FleetSqlite
 from canvasplank.fleet.state import (
@@ -41,9 +41,8 @@
 from canvasplank.store.backend import Count
 from canvasplank.store.records import ANSWERED, OVER, Outcome
 from canvasplank.store.sqlite import Sqlite as StoreSqlite
-from canvasplank.warm_start import client, peer_snapshot
-from canvasplank.warm_start.peer_snapshot import Learned, PeerView
-from canvasplank.warm_start.start_hints import exported
+from canvasplank.warm_start import peer_snapshot
+from canvasplank.warm_start.peer_snapshot import Learned, PeerView, exported
 from canvasplank.worker import export_files, usage_ledger
 from canvasplank.worker.usage_ledger import Sum
 
@@ -153,7 +152,7 @@
         Endpoint("core-a", "10.0.0.1:5060", "ready", 0, START_MS - 5000.0, "north"),
         Endpoint("core-b", "10.0.0.2:5060", "draining", 1),
     ]
-    writer.write(str(path), Roster(instances, float(START_MS)).kept())
+    cache_file.write(str(path), Roster(instances, float(START_MS)).kept())
 
 
 def peer_view() -> bytes:
@@ -321,7 +320,7 @@
 
 def test_a_cached_endpoint_list_is_read_and_written_the_same(tmp_path):
     cached = STORED / "servers.json"
-    assert writer.read(str(cached)) == KeptList(
+    assert cache_file.read(str(cached)) == KeptList(
         1,
         float(START_MS),
         [
@@ -352,8 +351,8 @@
         ],
     )
     assert peer_view() == data
-    assert client.ASK == b"view\n"
-    assert client.framed(data) == len(data).to_bytes(4, "big") + data
+    assert peer_snapshot.ASK == b"view\n"
+    assert peer_snapshot.framed(data) == len(data).to_bytes(4, "big") + data
     sent = msgspec.msgpack.decode(data)
     assert list(sent) == ["version", "peer", "taken_ms", "servers"]
     assert list(sent["servers"][0]) == [
--- a/tests/test_warm_start.py
+++ b/tests/test_warm_start.py
@@ -114,7 +114,7 @@
             peer.call(first=0)
             peer.until(peer.now + 300)
         return peer_snapshot.decode(
-            peer_snapshot.encode(start_hints.exported("n1", peer.controller.learned_servers(), peer.now))
+            peer_snapshot.encode(peer_snapshot.exported("n1", peer.controller.learned_servers(), peer.now))
         )
 
     @staticmethod
@@ -156,7 +156,7 @@
             peer.until(peer.now + 250)
         [seen] = [
             s
-            for s in start_hints.exported("n1", peer.controller.learned_servers(), peer.now).servers
+            for s in peer_snapshot.exported("n1", peer.controller.learned_servers(), peer.now).servers
             if s.instance_id == "a"
         ]
         assert seen.silent and peer.now - seen.learned_ms < 5_000
@@ -175,7 +175,7 @@
         peer.servers(ready("a", 0))
         peer.steady("a", first=0, count=10)
         peer.steady("a", first=0, count=late, gap_ms=1500, waited_ms=900)
-        [word] = start_hints.exported("n1", peer.controller.learned_servers(), peer.now).servers
+        [word] = peer_snapshot.exported("n1", peer.controller.learned_servers(), peer.now).servers
         assert word.slow is slow
 
     def test_a_hinted_rate_may_be_cut_at_once(self):
--- a/tests/test_warm_start_client.py
+++ b/tests/test_warm_start_client.py
@@ -10,8 +10,8 @@
 import pytest
 
 from canvasplank.warm_start import peer_snapshot
-from canvasplank.warm_start.client import ask, ask_in_turn, framed
-from canvasplank.warm_start.peer_snapshot import Learned, PeerView
+from canvasplank.warm_start.client import ask, ask_in_turn
+from canvasplank.warm_start.peer_snapshot import Learned, PeerView, framed
 
 GOOD = PeerView(
     peer_snapshot.VERSION, "n1", 1.8e12, [Learned("s-1", None, 1.8e12, rate_per_s=12.0, slow=True)]
