--- a/canvasplank/endpoint_cache/config.py
+++ b/canvasplank/endpoint_cache/config.py
@@ -7,25 +7,34 @@
 import msgspec
 
 from canvasplank.config.extension_file import load_extension_settings
-from canvasplank.endpoint_cache.bootstrap import MOST_AGE_MS, START_PER_S, TRUSTED_MS
+from canvasplank.endpoint_cache.bootstrap import INITIAL_RATE_PER_S, MAX_AGE_MS, MAX_FRESH_AGE_MS
 
 YEAR_MS = 366 * 24 * 3_600_000.0
 
 
-class Membership(msgspec.Struct, forbid_unknown_fields=True):
+class EndpointCacheSettings(msgspec.Struct, forbid_unknown_fields=True):
     """The kept list."""
 
     path: Annotated[str, msgspec.Meta(min_length=1)]
-    trusted_ms: Annotated[float, msgspec.Meta(ge=0, le=YEAR_MS)] = TRUSTED_MS
-    most_age_ms: Annotated[float, msgspec.Meta(gt=0, le=YEAR_MS)] = MOST_AGE_MS
-    start_per_s: Annotated[float, msgspec.Meta(gt=0, le=10_000)] = START_PER_S
+    max_fresh_age_ms: Annotated[float, msgspec.Meta(ge=0, le=YEAR_MS)] = msgspec.field(
+        name="trusted_ms", default=MAX_FRESH_AGE_MS
+    )
+    max_age_ms: Annotated[float, msgspec.Meta(gt=0, le=YEAR_MS)] = msgspec.field(
+        name="most_age_ms", default=MAX_AGE_MS
+    )
+    initial_rate_per_s: Annotated[float, msgspec.Meta(gt=0, le=10_000)] = msgspec.field(
+        name="start_per_s", default=INITIAL_RATE_PER_S
+    )
+
+
+def load_endpoint_cache_settings(path: str) -> EndpointCacheSettings:
+    """Read the file."""
+    return load_extension_settings(path, "membership", EndpointCacheSettings, _check)
 
 
-def load_membership(path: str) -> Membership:
-    """Read the file."""
-    return load_extension_settings(path, "membership", Membership, _check)
+load_membership = load_endpoint_cache_settings  # the name that is used elsewhere until it is renamed there
 
 
-def _check(membership: Membership) -> None:
-    if membership.trusted_ms > membership.most_age_ms:
+def _check(settings: EndpointCacheSettings) -> None:
+    if settings.max_fresh_age_ms > settings.max_age_ms:
         raise ValueError("trusted_ms is more than most_age_ms")
--- a/tests/test_endpoint_cache.py
+++ b/tests/test_endpoint_cache.py
@@ -13,18 +13,18 @@
 from canvasplank.config.configuration import ConfigurationError
 from canvasplank.config.discovery_events import DiscoveryEvent, Endpoint, EndpointListUpdate
 from canvasplank.endpoint_cache import cache_file, writer
-from canvasplank.endpoint_cache.bootstrap import MOST_AGE_MS, TRUSTED_MS, judge
+from canvasplank.endpoint_cache.bootstrap import MAX_AGE_MS, MAX_FRESH_AGE_MS, plan_bootstrap
 from canvasplank.endpoint_cache.cached_list import (
-    MOST_BYTES,
-    VERSION,
-    KeptError,
-    KeptList,
-    KeptServer,
+    FORMAT_VERSION,
+    MAX_BYTES,
+    CachedEndpoint,
+    CachedEndpointList,
+    CachedListError,
     decode,
     encode,
 )
-from canvasplank.endpoint_cache.config import load_membership
-from canvasplank.endpoint_cache.endpoint_list import Roster
+from canvasplank.endpoint_cache.config import load_endpoint_cache_settings
+from canvasplank.endpoint_cache.endpoint_list import EndpointList
 from canvasplank.runtime.scheduler import Scheduler, TimerQueue
 from emulators.callers import Callers
 from emulators.fleet import fleet
@@ -33,68 +33,68 @@
 NOW = 1_800_000_000_000.0
 HOUR_MS = 3_600_000.0
 WAIT_S = 20.0
-A = KeptServer("s-a", "10.0.0.1:5060", "ready", 0, 1_700_000_000_000.0)
-B = KeptServer("s-b", "10.0.0.2:5060", "draining", 1)
+A = CachedEndpoint("s-a", "10.0.0.1:5060", "ready", 0, 1_700_000_000_000.0)
+B = CachedEndpoint("s-b", "10.0.0.2:5060", "draining", 1)
 
 
-def kept(age_ms: float = 0.0, *servers: KeptServer) -> KeptList:
-    return KeptList(VERSION, NOW - age_ms, list(servers or (A, B)))
+def cached(age_ms: float = 0.0, *servers: CachedEndpoint) -> CachedEndpointList:
+    return CachedEndpointList(FORMAT_VERSION, NOW - age_ms, list(servers or (A, B)))
 
 
-def notice(number: int, reset: bool, **states: str) -> DiscoveryEvent:
+def discovery_event(number: int, reset: bool, **states: str) -> DiscoveryEvent:
     instances = [Endpoint(f"s-{name}", f"10.0.0.{name}:1", state) for name, state in states.items()]
     return DiscoveryEvent(number, EndpointListUpdate(instances, reset))
 
 
-def test_a_list_goes_and_comes_unchanged():
-    assert decode(encode(kept())) == kept()
+def test_a_list_is_encoded_and_decoded_unchanged():
+    assert decode(encode(cached())) == cached()
 
 
 @pytest.mark.parametrize(
     ("data", "why"),
     [
         (b"", "cannot be read"),
-        (encode(kept())[:-20], "cannot be read"),  # cut short
-        (encode(kept()).replace(b"host_port", b"host_part"), "cannot be read"),
-        (encode(KeptList(2, NOW, [A])), "version 2"),
-        (encode(kept(0.0, A, A)), "twice"),
-        (b" " * (MOST_BYTES + 1), "more than"),
-        (encode(kept()).replace(b"ready", b"\xff\xfe"), "cannot be read"),
+        (encode(cached())[:-20], "cannot be read"),  # cut short
+        (encode(cached()).replace(b"host_port", b"host_part"), "cannot be read"),
+        (encode(CachedEndpointList(2, NOW, [A])), "version 2"),
+        (encode(cached(0.0, A, A)), "twice"),
+        (b" " * (MAX_BYTES + 1), "more than"),
+        (encode(cached()).replace(b"ready", b"\xff\xfe"), "cannot be read"),
     ],
 )
-def test_a_list_that_is_spoilt_is_not_used(data, why, tmp_path, caplog):
-    with pytest.raises(KeptError, match=why):
+def test_a_corrupt_list_is_not_used(data, why, tmp_path, caplog):
+    with pytest.raises(CachedListError, match=why):
         decode(data)
     (tmp_path / "servers.json").write_bytes(data)
-    assert cache_file.read(str(tmp_path / "servers.json")) is None
+    assert cache_file.read_cached_list(str(tmp_path / "servers.json")) is None
     assert len(caplog.records) == 1 and "no list of servers taken" in caplog.text
 
 
 @pytest.mark.parametrize(
-    ("age_ms", "names", "careful"),
+    ("age_ms", "names", "stale"),
     [
-        (TRUSTED_MS, ["s-a", "s-b"], False),  # as told, the draining one too
-        (TRUSTED_MS + 1, ["s-a"], True),
+        (MAX_FRESH_AGE_MS, ["s-a", "s-b"], False),  # as told, the draining one too
+        (MAX_FRESH_AGE_MS + 1, ["s-a"], True),
         (HOUR_MS, ["s-a"], True),
-        (MOST_AGE_MS, ["s-a"], True),
+        (MAX_AGE_MS, ["s-a"], True),
         (-5_000.0, ["s-a"], True),  # from the future: a clock was set back
     ],
 )
-def test_age_decides_who_is_entered_and_with_what_care(age_ms, names, careful):
-    start = judge(kept(age_ms), NOW, gateways=6)
-    assert [i.instance_id for i in start.instances] == names
-    assert start.careful is careful
-    assert start.hints == [api.WarmStartHint(name, 1.0, shun=False) for name in names if careful]
-    assert start.instances[0].started_at_ms == A.started_at_ms, "a server is its process"
+def test_age_decides_which_endpoints_are_used_and_at_what_rate(age_ms, names, stale):
+    plan = plan_bootstrap(cached(age_ms), NOW, proxies=6)
+    assert [i.instance_id for i in plan.endpoints] == names
+    assert plan.stale is stale
+    assert plan.hints == [api.WarmStartHint(name, 1.0, shun=False) for name in names if stale]
+    assert plan.endpoints[0].started_at_ms == A.started_at_ms, "a server is its process"
 
 
-@pytest.mark.parametrize("unusable", [kept(MOST_AGE_MS + 1), kept(HOUR_MS, B)])
-def test_a_list_too_old_or_of_nobody_is_not_used(unusable):
-    assert judge(unusable, NOW, gateways=1) is None
+@pytest.mark.parametrize("unusable", [cached(MAX_AGE_MS + 1), cached(HOUR_MS, B)])
+def test_a_list_too_old_or_without_a_usable_endpoint_is_not_used(unusable):
+    assert plan_bootstrap(unusable, NOW, proxies=1) is None
 
 
-def test_processors_that_have_just_started_are_not_overwhelmed_by_an_old_list():
-    """Four gateways start from a list an hour old, each with ten calls a second for one server."""
+def test_processors_that_have_just_started_are_not_overloaded_from_a_stale_list():
+    """Four proxies start from a list an hour old, each with ten calls a second for one server."""
 
     def sent_in_three_seconds(*hints: api.WarmStartHint) -> int:
         sent = 0
@@ -111,30 +111,35 @@
         return sent
 
     budget = 4 * 0.29 * 20 * 3  # the rule's multiple, the coldest share, 20 calls a second, its span
-    assert sent_in_three_seconds(*judge(kept(HOUR_MS), NOW, gateways=4).hints) < budget
+    assert sent_in_three_seconds(*plan_bootstrap(cached(HOUR_MS), NOW, proxies=4).hints) < budget
     assert sent_in_three_seconds() > budget, "without care it is more"
 
 
-def test_the_roster_is_kept_only_once_somebody_has_told_all_of_it():
-    roster = Roster([], NOW)
-    roster.told(notice(2, reset=False, a="ready"), NOW)
-    assert not roster.known, "guards the list on disk against a part of one"
-    roster.told(notice(3, reset=True, a="ready", b="ready"), NOW + 1)
-    roster.told(notice(4, reset=False, b="gone", c="draining"), NOW + 2)
-    roster.confirmed(NOW + 9)
-    roster.confirmed(NOW + 5)
-    assert {s.instance_id: s.lifecycle for s in roster.kept().servers} == {"s-a": "ready", "s-c": "draining"}
-    assert roster.kept().as_of_ms == NOW + 9
+def test_the_endpoint_list_is_cached_only_after_a_complete_list():
+    endpoint_list = EndpointList([], NOW)
+    endpoint_list.on_discovery_event(discovery_event(2, reset=False, a="ready"), NOW)
+    assert not endpoint_list.is_complete, "guards the list on disk against a part of one"
+    endpoint_list.on_discovery_event(discovery_event(3, reset=True, a="ready", b="ready"), NOW + 1)
+    endpoint_list.on_discovery_event(discovery_event(4, reset=False, b="gone", c="draining"), NOW + 2)
+    endpoint_list.confirm(NOW + 9)
+    endpoint_list.confirm(NOW + 5)
+    assert {s.instance_id: s.lifecycle for s in endpoint_list.snapshot().endpoints} == {
+        "s-a": "ready",
+        "s-c": "draining",
+    }
+    assert endpoint_list.snapshot().as_of_ms == NOW + 9
 
 
-def test_a_write_that_fails_leaves_the_old_file_and_is_told_once(tmp_path, caplog):
+def test_a_write_that_fails_leaves_the_old_file_and_is_logged_once(tmp_path, caplog):
     path = tmp_path / "servers.json"
-    cache_file.write(str(path), kept())
+    cache_file.write_cached_list(str(path), cached())
     before = path.read_bytes()
 
     async def run():
-        roster = Roster([Endpoint("s-c", "10.0.0.3:1", "ready")], NOW)
-        made = writer.Keeper(str(path), roster, Scheduler(TimerQueue(), lambda: NOW), lambda: None)
+        endpoint_list = EndpointList([Endpoint("s-c", "10.0.0.3:1", "ready")], NOW)
+        made = writer.EndpointListWriter(
+            str(path), endpoint_list, Scheduler(TimerQueue(), lambda: NOW), lambda: None
+        )
         (tmp_path / "servers.json.new").mkdir()  # in the way of the new file
         await made.close()
         await made.close()
@@ -143,12 +148,12 @@
         await made.close()
 
     asyncio.run(run())
-    assert [s.instance_id for s in decode(path.read_bytes()).servers] == ["s-c"]
+    assert [s.instance_id for s in decode(path.read_bytes()).endpoints] == ["s-c"]
     assert caplog.text.count("is not kept at") == 1
 
 
 @pytest.mark.parametrize(
-    ("text", "says"),
+    ("text", "message"),
     [
         ("", "path"),
         ('path = ""', "length"),
@@ -156,10 +161,10 @@
         ('path = "x"\ncolour = 1', "colour"),
     ],
 )
-def test_a_bad_setting_is_one_line(tmp_path, text, says):
+def test_a_bad_setting_is_one_line(tmp_path, text, message):
     (tmp_path / "membership.toml").write_text(text)
-    with pytest.raises(ConfigurationError, match=says):
-        load_membership(str(tmp_path / "membership.toml"))
+    with pytest.raises(ConfigurationError, match=message):
+        load_endpoint_cache_settings(str(tmp_path / "membership.toml"))
 
 
 def answered(callers: Callers, address: str | None = None) -> set[str]:
@@ -167,7 +172,7 @@
 
 
 @pytest.mark.parametrize("age_ms", [0.0, HOUR_MS])
-def test_calls_stand_from_the_kept_list_and_the_board_s_replaces_it(tmp_path, age_ms):
+def test_calls_are_served_from_the_cached_list_until_discovery_replaces_it(tmp_path, age_ms):
     """A first process keeps the list and is killed; a second starts with the board away and one server gone;
     then the board is back with a new server in that one's place."""
 
@@ -185,8 +190,10 @@
             await gone.stop()
             await world.discovery.stop()
             saved = decode(path.read_bytes())
-            assert len(saved.servers) == 3
-            path.write_bytes(encode(KeptList(VERSION, time.time() * 1000 - age_ms, saved.servers)))
+            assert len(saved.endpoints) == 3
+            path.write_bytes(
+                encode(CachedEndpointList(FORMAT_VERSION, time.time() * 1000 - age_ms, saved.endpoints))
+            )
 
             proxy = await world.proxy("n0", 2, CANVASPLANK_MEMBERSHIP=str(file))
             callers = Callers(1, pools=3)
@@ -212,14 +219,14 @@
                     await asyncio.sleep(0.05)
             assert answered(callers) == {"served"}, proxy.text()
             assert all(made.answers == 1 for made in callers.tries.values())
-            cut_short = [t for t in callers.tries.values() if t.released_s - t.answered_s < 2.5]
+            ended_early = [t for t in callers.tries.values() if t.released_s - t.answered_s < 2.5]
             await callers.stop()
             assert await proxy.stop() == 0
-            assert not cut_short, "no standing call was cut when the board's list replaced the kept one"
-            assert {s.instance_id for s in decode(path.read_bytes()).servers} == {"s-a", "s-b", "s-new"}
+            assert not ended_early, "no standing call was cut when the board's list replaced the kept one"
+            assert {s.instance_id for s in decode(path.read_bytes()).endpoints} == {"s-a", "s-b", "s-new"}
             return proxy.text()
 
     log = asyncio.run(run())
     assert "starting from the list kept at" in log
-    careful = age_ms > TRUSTED_MS
-    assert (", with care" in log) is careful and ("hints=3" in log) is careful, "the module was told"
+    stale = age_ms > MAX_FRESH_AGE_MS
+    assert (", with care" in log) is stale and ("hints=3" in log) is stale, "the module was told"
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -25,8 +25,8 @@
 from canvasplank.cli import cli
 from canvasplank.config.discovery_events import Endpoint
 from canvasplank.endpoint_cache import cache_file
-from canvasplank.endpoint_cache.cached_list import KeptList, KeptServer
-from canvasplank.endpoint_cache.endpoint_list import Roster
+from canvasplank.endpoint_cache.cached_list import CachedEndpoint, CachedEndpointList
+from canvasplank.endpoint_cache.endpoint_list import EndpointList
 from canvasplank.fleet.backend import FencingToken
 from canvasplank.fleet.sqlite import Sqlite as FleetSqlite
 from canvasplank.fleet.state import (
@@ -152,7 +152,7 @@
         Endpoint("core-a", "10.0.0.1:5060", "ready", 0, START_MS - 5000.0, "north"),
         Endpoint("core-b", "10.0.0.2:5060", "draining", 1),
     ]
-    cache_file.write(str(path), Roster(instances, float(START_MS)).kept())
+    cache_file.write_cached_list(str(path), EndpointList(instances, float(START_MS)).snapshot())
 
 
 def peer_view() -> bytes:
@@ -320,12 +320,12 @@
 
 def test_a_cached_endpoint_list_is_read_and_written_the_same(tmp_path):
     cached = STORED / "servers.json"
-    assert cache_file.read(str(cached)) == KeptList(
+    assert cache_file.read_cached_list(str(cached)) == CachedEndpointList(
         1,
         float(START_MS),
         [
-            KeptServer("core-a", "10.0.0.1:5060", "ready", 0, START_MS - 5000.0),
-            KeptServer("core-b", "10.0.0.2:5060", "draining", 1),
+            CachedEndpoint("core-a", "10.0.0.1:5060", "ready", 0, START_MS - 5000.0),
+            CachedEndpoint("core-b", "10.0.0.2:5060", "draining", 1),
         ],
     )
     write_endpoint_list(tmp_path / "servers.json")
