--- a/canvasplank/endpoint_cache/__init__.py
+++ b/canvasplank/endpoint_cache/__init__.py
@@ -1,1 +1,1 @@
-"""The list of call servers over time: kept on disk, and judged by its age when nobody else can tell it."""
+"""The endpoint cache: the endpoint list on disk, and a start from it while discovery is unreachable."""
--- a/canvasplank/endpoint_cache/bootstrap.py
+++ b/canvasplank/endpoint_cache/bootstrap.py
@@ -1,6 +1,6 @@
-"""What a kept list is worth at a start.
+"""Whether and how to start from a cached endpoint list, by its age.
 
-Pure: no input or output, no clock of its own.
+No I/O and no clock: the caller passes the time, in Unix milliseconds.
 """
 
 from __future__ import annotations
@@ -12,23 +12,25 @@
 from canvasplank.endpoint_cache.cached_list import CachedEndpointList
 
 READY = "ready"
-MAX_FRESH_AGE_MS = 10_000.0  # the board's own news may come as late as this
-MAX_AGE_MS = 7 * 24 * 3_600_000.0
-INITIAL_RATE_PER_S = 6.0  # what all instances together send a server at first whose state is in doubt
-CLOCK_TOLERANCE_MS = 1_000.0
+MAX_FRESH_AGE_MS = 10_000.0  # events of discovery itself may arrive as late as this
+MAX_AGE_MS = 7 * 24 * 3_600_000.0  # a week
+# The first rate at an endpoint of a stale list, of all proxies together: within the cold rule's budget
+# (docs/endpoint-cache.md, Measured).
+INITIAL_RATE_PER_S = 6.0
+CLOCK_TOLERANCE_MS = 1_000.0  # a list dated further ahead than this was written by another clock
 
 
 @dataclass(frozen=True, slots=True)
 class BootstrapPlan:
-    """Where to start from: the list, its age, and what the module is told besides."""
+    """The endpoints to start from, the age of the list, and the slow-start hints for the controller."""
 
     endpoints: list[Endpoint]
-    age_ms: float
-    hints: list[api.WarmStartHint]
+    age_ms: float  # 0 where the list is dated ahead of the clock
+    hints: list[api.WarmStartHint]  # one for each endpoint of a stale list, none for a fresh one
 
     @property
     def stale(self) -> bool:
-        """Whether the list is too old to be taken as told."""
+        """Whether the list is too old to be used like an event of discovery."""
         return bool(self.hints)
 
 
@@ -40,12 +42,13 @@
     max_age_ms: float = MAX_AGE_MS,
     initial_rate_per_s: float = INITIAL_RATE_PER_S,
 ) -> BootstrapPlan | None:
-    """What a kept list is good for now; None: it is too old, or names nobody to try.
+    """The start that a cached list permits, for one of ``proxies`` proxies; None: too old, or nobody to use.
 
-    Guards against calls to servers since gone (one that drained then is not entered; the others refuse
-    connections while more are tried), and against overwhelming processors that have just started: past
-    ``max_fresh_age_ms`` any may have, so all instances together begin with ``initial_rate_per_s`` at each.
-    A list from the future tells that a clock was set back: its age is not known, so it is taken with care.
+    Up to ``max_fresh_age_ms`` the list is used unchanged.  After that, up to ``max_age_ms``, it is stale: its
+    endpoints may have gone or restarted since.  Only those that were ready are used then (calls to one that
+    has gone are refused and retried elsewhere), and all proxies together start with ``initial_rate_per_s`` at
+    each, so that a processor that has just started is not overloaded.  A list dated ahead of the clock shows
+    that a clock was set back; its age is unknown, so it is stale.
     """
     age_ms = now_ms - cached.as_of_ms
     if age_ms > max_age_ms:
--- a/canvasplank/endpoint_cache/cache_file.py
+++ b/canvasplank/endpoint_cache/cache_file.py
@@ -1,4 +1,4 @@
-"""Reads and writes the kept list's file."""
+"""Reads the cached endpoint list from its file, and replaces the file atomically."""
 
 from __future__ import annotations
 
@@ -18,17 +18,20 @@
 
 
 def read_cached_list(path: str) -> CachedEndpointList | None:
-    """The kept list, or None with one log line; no file at all is a first start and worth a line, too."""
+    """The cached list, or None with one log line; a missing file (a first start) is logged, too."""
     try:
         with open(path, "rb") as file:
             return decode(file.read(MAX_BYTES + 1))
     except (OSError, CachedListError) as error:
-        LOG.warning("no list of servers taken from %s: %s", path, error)
+        LOG.warning("no endpoint list taken from %s: %s", path, error)
         return None
 
 
 def write_cached_list(path: str, cached: CachedEndpointList) -> None:
-    """Put a new file in the old one's place; guards against a crash that leaves half a list."""
+    """Write a new file beside the old one, sync it, and rename it over the old one; raises ``OSError``.
+
+    So a crash during the write leaves the old list or the new one, never a truncated one.
+    """
     new_path = f"{path}.new"
     with open(new_path, "wb") as file:
         file.write(encode(cached))
--- a/canvasplank/endpoint_cache/config.py
+++ b/canvasplank/endpoint_cache/config.py
@@ -1,4 +1,4 @@
-"""Where the list is kept, and how its age counts: a file (TOML) named by ``CANVASPLANK_MEMBERSHIP``."""
+"""The settings of the endpoint cache: a file (TOML) named by ``CANVASPLANK_MEMBERSHIP``."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 from canvasplank.config.extension_file import load_extension_settings
 from canvasplank.endpoint_cache.bootstrap import INITIAL_RATE_PER_S, MAX_AGE_MS, MAX_FRESH_AGE_MS
 
-YEAR_MS = 366 * 24 * 3_600_000.0
+YEAR_MS = 366 * 24 * 3_600_000.0  # the largest age that a setting may name
 
 
 class EndpointCacheSettings(msgspec.Struct, forbid_unknown_fields=True):
-    """The kept list."""
+    """Where the list is cached, and how its age counts; see ``bootstrap.plan_bootstrap``."""
 
     path: Annotated[str, msgspec.Meta(min_length=1)]
     max_fresh_age_ms: Annotated[float, msgspec.Meta(ge=0, le=YEAR_MS)] = msgspec.field(
@@ -28,11 +28,11 @@
 
 
 def load_endpoint_cache_settings(path: str) -> EndpointCacheSettings:
-    """Read the file."""
+    """The settings in a file; raises ``ConfigurationError`` for a file that cannot be used."""
     return load_extension_settings(path, "membership", EndpointCacheSettings, _check)
 
 
-load_membership = load_endpoint_cache_settings  # the name that is used elsewhere until it is renamed there
+load_membership = load_endpoint_cache_settings  # the former name, until its last users have the new one
 
 
 def _check(settings: EndpointCacheSettings) -> None:
--- a/canvasplank/endpoint_cache/extension.py
+++ b/canvasplank/endpoint_cache/extension.py
@@ -1,4 +1,4 @@
-"""The kept list as a part of the program: a start from it, and its upkeep."""
+"""The endpoint cache as an extension: a start from the cached list, and its upkeep."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 from canvasplank.config.discovery_events import DiscoveryEvent, endpoints_after
 from canvasplank.config.platform_settings import read_settings
-from canvasplank.endpoint_cache.bootstrap import plan_bootstrap
+from canvasplank.endpoint_cache.bootstrap import BootstrapPlan, plan_bootstrap
 from canvasplank.endpoint_cache.cache_file import read_cached_list
 from canvasplank.endpoint_cache.config import EndpointCacheSettings, load_endpoint_cache_settings
 from canvasplank.endpoint_cache.endpoint_list import EndpointList
@@ -17,52 +17,59 @@
 
 
 def load(path: str) -> ExtensionFactory:
-    """Read its file."""
+    """The extension with the settings of this file; raises ``ConfigurationError``."""
     settings = load_endpoint_cache_settings(path)
     return lambda context: EndpointCacheExtension(context, settings)
 
 
 class EndpointCacheExtension(Extension):
-    """Keeps the list on disk, and starts from what lies there where nobody else has told one."""
+    """Caches the endpoint list on disk, and starts from it where the configuration names no endpoints."""
 
     def __init__(self, context: ExtensionContext, settings: EndpointCacheSettings) -> None:
         self._context, self._settings = context, settings
-        self._configured = endpoints_after(context.configuration.known.events)
+        configured = endpoints_after(context.configuration.known.events)
+        self._is_configured = bool(configured)
         self._writer = EndpointListWriter(
             settings.path,
-            EndpointList(self._configured, context.scheduler.now_ms),
+            EndpointList(configured, context.scheduler.now_ms),
             context.scheduler,
             lambda: context.discovery.last_received_ms,
         )
 
     async def start(self) -> None:
         """See ``Extension``."""
-        context, settings = self._context, self._settings
         self._writer.start()
-        if self._configured or (cached := read_cached_list(settings.path)) is None:
-            return
-        proxies = read_settings(context.configuration.settings).instances
+        if not self._is_configured and (plan := self._plan()) is not None:
+            self._context.counters.add("membership.starts_from_disk")
+            self._context.servers.listed(True, plan.endpoints)
+            self._context.exchange.apply_hints(plan.hints)
+
+    def _plan(self) -> BootstrapPlan | None:
+        """The start that the file permits; what is found there is one log line."""
+        context, settings = self._context, self._settings
+        if (cached := read_cached_list(settings.path)) is None:
+            return None
         plan = plan_bootstrap(
             cached,
             context.scheduler.now_ms,
-            proxies,
+            read_settings(context.configuration.settings).instances,
             settings.max_fresh_age_ms,
             settings.max_age_ms,
             settings.initial_rate_per_s,
         )
         if plan is None:
-            LOG.warning("no list of servers taken from %s: too old, or names nobody", settings.path)
-            return
+            LOG.warning(
+                "no endpoint list taken from %s: too old, or without a usable endpoint", settings.path
+            )
+            return None
         LOG.info(
-            "starting from the list kept at %s: %d servers, %.0f s old%s",
+            "starting from the cached endpoint list %s: %d servers, %.0f s old%s",
             settings.path,
             len(plan.endpoints),
             plan.age_ms / 1000,
-            ", with care" if plan.stale else "",
+            ", stale: slow start" if plan.stale else "",
         )
-        context.counters.add("membership.starts_from_disk")
-        context.servers.listed(True, plan.endpoints)
-        context.exchange.apply_hints(plan.hints)
+        return plan
 
     def on_discovery_event(self, event: DiscoveryEvent) -> None:
         """See ``Extension``."""
--- a/canvasplank/endpoint_cache/writer.py
+++ b/canvasplank/endpoint_cache/writer.py
@@ -1,4 +1,4 @@
-"""Keeps the endpoint list on disk: read once at the start, written after news and while the board speaks."""
+"""Writes the endpoint list to disk after changes, and now and then while discovery confirms it."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 from canvasplank.runtime.worker_thread import WorkerThread, WorkerThreadBusyError
 
 LOG = logging.getLogger(__name__)
-WRITE_INTERVAL_MS = 1_000.0  # so that a release, which tells dozens of events, writes a few times
-CONFIRM_INTERVAL_MS = 10_000.0
+WRITE_INTERVAL_MS = 1_000.0  # a release sends dozens of events a second: these are a few writes
+CONFIRM_INTERVAL_MS = 10_000.0  # the file's age at a crash is at most this where nothing changes
 FINAL_WRITE_TIMEOUT_S = 0.2  # at the end of the program
-INITIAL_BACKOFF_MS, MAX_BACKOFF_MS = 1_000.0, 60_000.0  # after a write that failed, doubling
+INITIAL_BACKOFF_MS, MAX_BACKOFF_MS = 1_000.0, 60_000.0  # after a failed write; doubles with each failure
 
 
 class EndpointListWriter:
-    """Writes the endpoint list; the serving never waits for it."""
+    """Writes an endpoint list to its file on its own thread, so that serving never waits for a disk."""
 
     def __init__(
         self,
@@ -30,57 +30,65 @@
         scheduler: Scheduler,
         last_received_ms: Callable[[], float | None],
     ) -> None:
-        self._path, self._endpoint_list, self._scheduler, self._last_received_ms = (
-            path,
-            endpoint_list,
-            scheduler,
-            last_received_ms,
-        )
+        """``last_received_ms``: when discovery last sent data, in Unix milliseconds; None: not connected."""
+        self._path = path
+        self._endpoint_list = endpoint_list
+        self._scheduler = scheduler
+        self._last_received_ms = last_received_ms
         self._thread = WorkerThread("membership")
         self._written_ms = 0.0
         self._backoff_ms = INITIAL_BACKOFF_MS
         self._retry_at_ms = 0.0
         self._failing = False
-        self._task: asyncio.Task | None = None
+        self._write_task: asyncio.Task[None] | None = None
 
     def on_discovery_event(self, event: DiscoveryEvent) -> None:
-        """An event of the board."""
+        """Service discovery has sent an event."""
         self._endpoint_list.on_discovery_event(event, self._scheduler.now_ms)
 
     def start(self) -> None:
-        """Look now and then whether there is something to write."""
-        self._scheduler.call_later(WRITE_INTERVAL_MS, self.start)
+        """Check every ``WRITE_INTERVAL_MS`` whether a write is due."""
+        self._check()
+
+    def _check(self) -> None:
+        self._scheduler.call_later(WRITE_INTERVAL_MS, self._check)
         now_ms = self._scheduler.now_ms
         if not self._endpoint_list.is_complete or now_ms < self._retry_at_ms:
             return
+        # While discovery is silent the list is not confirmed and keeps its age: nothing to refresh.
+        refresh_due = False
         if (last_received_ms := self._last_received_ms()) is not None:
             self._endpoint_list.confirm(last_received_ms)
-            due = now_ms - self._written_ms >= CONFIRM_INTERVAL_MS
-        else:
-            due = False  # a board that is silent confirms nothing: the list keeps its age
-        if (self._endpoint_list.changed or due) and (self._task is None or self._task.done()):
-            self._task = asyncio.get_running_loop().create_task(self._write())
+            refresh_due = now_ms - self._written_ms >= CONFIRM_INTERVAL_MS
+        idle = self._write_task is None or self._write_task.done()
+        if (self._endpoint_list.is_dirty or refresh_due) and idle:
+            self._write_task = asyncio.get_running_loop().create_task(self._write())
 
     async def _write(self) -> None:
-        cached, self._endpoint_list.changed = self._endpoint_list.snapshot(), False
+        snapshot = self._endpoint_list.snapshot()
+        self._endpoint_list.mark_saved()
         started_ms = self._scheduler.now_ms
         try:
-            await self._thread.run(lambda: write_cached_list(self._path, cached))
+            await self._thread.run(lambda: write_cached_list(self._path, snapshot))
         except (OSError, WorkerThreadBusyError) as error:
-            self._endpoint_list.changed = True
-            self._retry_at_ms = started_ms + self._backoff_ms
-            self._backoff_ms = min(MAX_BACKOFF_MS, 2 * self._backoff_ms)
-            if not self._failing:
-                LOG.warning("the list of servers is not kept at %s: %s", self._path, error)
-            self._failing = True
+            self._endpoint_list.mark_unsaved()
+            self._on_write_failed(started_ms, error)
             return
         if self._failing:
-            LOG.info("the list of servers is kept again at %s", self._path)
+            LOG.info("the endpoint list is written again to %s", self._path)
         self._failing, self._backoff_ms, self._written_ms = False, INITIAL_BACKOFF_MS, started_ms
 
+    def _on_write_failed(self, started_ms: float, error: Exception) -> None:
+        """Log the first failure of a series, and back off."""
+        self._retry_at_ms = started_ms + self._backoff_ms
+        self._backoff_ms = min(MAX_BACKOFF_MS, 2 * self._backoff_ms)
+        if not self._failing:
+            LOG.warning("the endpoint list is not written to %s: %s", self._path, error)
+        self._failing = True
+
     async def close(self) -> None:
-        """Write what has changed, as far as that goes at once."""
-        if self._endpoint_list.is_complete and self._endpoint_list.changed:
+        """Write unsaved changes, for at most ``FINAL_WRITE_TIMEOUT_S``."""
+        if self._endpoint_list.is_complete and self._endpoint_list.is_dirty:
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(FINAL_WRITE_TIMEOUT_S):
                     await self._write()
--- a/tests/test_endpoint_cache.py
+++ b/tests/test_endpoint_cache.py
@@ -1,4 +1,4 @@
-"""The kept list: its form, what it is worth by its age, and starts from it while the board is away."""
+"""The cached endpoint list: its format, its use by age, and starts from it while discovery is unreachable."""
 
 from __future__ import annotations
 
@@ -67,13 +67,13 @@
         decode(data)
     (tmp_path / "servers.json").write_bytes(data)
     assert cache_file.read_cached_list(str(tmp_path / "servers.json")) is None
-    assert len(caplog.records) == 1 and "no list of servers taken" in caplog.text
+    assert len(caplog.records) == 1 and "no endpoint list taken" in caplog.text
 
 
 @pytest.mark.parametrize(
     ("age_ms", "names", "stale"),
     [
-        (MAX_FRESH_AGE_MS, ["s-a", "s-b"], False),  # as told, the draining one too
+        (MAX_FRESH_AGE_MS, ["s-a", "s-b"], False),  # unchanged, the draining one too
         (MAX_FRESH_AGE_MS + 1, ["s-a"], True),
         (HOUR_MS, ["s-a"], True),
         (MAX_AGE_MS, ["s-a"], True),
@@ -112,13 +112,13 @@
 
     budget = 4 * 0.29 * 20 * 3  # the rule's multiple, the coldest share, 20 calls a second, its span
     assert sent_in_three_seconds(*plan_bootstrap(cached(HOUR_MS), NOW, proxies=4).hints) < budget
-    assert sent_in_three_seconds() > budget, "without care it is more"
+    assert sent_in_three_seconds() > budget, "without hints it is more"
 
 
 def test_the_endpoint_list_is_cached_only_after_a_complete_list():
     endpoint_list = EndpointList([], NOW)
     endpoint_list.on_discovery_event(discovery_event(2, reset=False, a="ready"), NOW)
-    assert not endpoint_list.is_complete, "guards the list on disk against a part of one"
+    assert not endpoint_list.is_complete, "a fragment must not replace the list on disk"
     endpoint_list.on_discovery_event(discovery_event(3, reset=True, a="ready", b="ready"), NOW + 1)
     endpoint_list.on_discovery_event(discovery_event(4, reset=False, b="gone", c="draining"), NOW + 2)
     endpoint_list.confirm(NOW + 9)
@@ -149,7 +149,7 @@
 
     asyncio.run(run())
     assert [s.instance_id for s in decode(path.read_bytes()).endpoints] == ["s-c"]
-    assert caplog.text.count("is not kept at") == 1
+    assert caplog.text.count("is not written to") == 1
 
 
 @pytest.mark.parametrize(
@@ -173,8 +173,8 @@
 
 @pytest.mark.parametrize("age_ms", [0.0, HOUR_MS])
 def test_calls_are_served_from_the_cached_list_until_discovery_replaces_it(tmp_path, age_ms):
-    """A first process keeps the list and is killed; a second starts with the board away and one server gone;
-    then the board is back with a new server in that one's place."""
+    """A first process caches the list and is killed; a second starts while discovery is unreachable and one
+    server has gone; then discovery is back, with a new server in place of that one."""
 
     async def run():
         a, b, gone, new = (CallServer(f"s-{n}", 200.0, hold_ms=3000.0) for n in ("a", "b", "gone", "new"))
@@ -209,9 +209,9 @@
             await world.discovery.start()
             before = new.set_ups
             async with asyncio.timeout(WAIT_S):
-                while new.set_ups == before:  # within seconds of the board's return
+                while new.set_ups == before:  # within seconds of discovery's return
                     await callers.offer(15.0, 0.3)
-            async with asyncio.timeout(WAIT_S):  # calls that stood meanwhile end as usual
+            async with asyncio.timeout(WAIT_S):  # calls established meanwhile end as usual
                 while any(
                     t.outcome == "open" or (t.outcome == "served" and t.released_s is None)
                     for t in callers.tries.values()
@@ -222,11 +222,15 @@
             ended_early = [t for t in callers.tries.values() if t.released_s - t.answered_s < 2.5]
             await callers.stop()
             assert await proxy.stop() == 0
-            assert not ended_early, "no standing call was cut when the board's list replaced the kept one"
+            assert not ended_early, (
+                "no established call was cut when discovery's list replaced the cached one"
+            )
             assert {s.instance_id for s in decode(path.read_bytes()).endpoints} == {"s-a", "s-b", "s-new"}
             return proxy.text()
 
     log = asyncio.run(run())
-    assert "starting from the list kept at" in log
+    assert "starting from the cached endpoint list" in log
     stale = age_ms > MAX_FRESH_AGE_MS
-    assert (", with care" in log) is stale and ("hints=3" in log) is stale, "the module was told"
+    assert (", stale: slow start" in log) is stale and ("hints=3" in log) is stale, (
+        "the controller has the hints"
+    )
