--- a/canvasplank/endpoint_cache/writer.py
+++ b/canvasplank/endpoint_cache/writer.py
@@ -15,7 +15,7 @@
 
 LOG = logging.getLogger(__name__)
 WRITE_INTERVAL_MS = 1_000.0  # a release sends dozens of events a second: these are a few writes
-CONFIRM_INTERVAL_MS = 10_000.0  # the file's age at a crash is at most this where nothing changes
+CONFIRM_INTERVAL_MS = 10_000.0  # where nothing changes, a file is about this old at a crash
 FINAL_WRITE_TIMEOUT_S = 0.2  # at the end of the program
 INITIAL_BACKOFF_MS, MAX_BACKOFF_MS = 1_000.0, 60_000.0  # after a failed write; doubles with each failure
 
