--- a/canvasplank/cold_start/config.py
+++ b/canvasplank/cold_start/config.py
@@ -9,7 +9,7 @@
 Rate = Annotated[float, msgspec.Meta(ge=0, le=100_000)]
 
 
-class Starting(msgspec.Struct, forbid_unknown_fields=True):
+class ColdStartSettings(msgspec.Struct, forbid_unknown_fields=True):
     """What the notice board and each call server are to bear of the whole fleet; 0: no bound on it."""
 
     polls_per_s: Rate = 0.0  # while it is in trouble
--- a/canvasplank/cold_start/rendezvous_hashing.py
+++ b/canvasplank/cold_start/rendezvous_hashing.py
@@ -15,11 +15,12 @@
 
 from canvasplank.config.discovery_events import Endpoint
 
-SPREAD = 3.0  # roots of the mean: about one server in a thousand is shared by more than that over the mean
+# Roots of the mean: about one server in a thousand is shared by more than that over the mean.
+SHARERS_STANDARD_DEVIATIONS = 3.0
 Pools = frozenset[int]
 
 
-def _draw(name: str, of: str) -> float:
+def _hash_fraction(name: str, of: str) -> float:
     """From 0 to 1, the same everywhere; a machine's or version's own hash would differ."""
     return xxhash.xxh64_intdigest(f"{name}\0{of}".encode()) / 2**64
 
@@ -35,22 +36,27 @@
         zones.setdefault(server.zone, []).append(server.instance_id)
     places: list[tuple[float, str]] = []
     for zone, server_ids in zones.items():
-        drawn = _draw(name, f"zone {zone}")
-        ranked = sorted(server_ids, key=lambda server_id: _draw(name, server_id))
-        places += [((place + drawn) / len(ranked), server_id) for place, server_id in enumerate(ranked)]
+        offset = _hash_fraction(name, f"zone {zone}")
+        ranked = sorted(server_ids, key=lambda server_id: _hash_fraction(name, server_id))
+        places += [((place + offset) / len(ranked), server_id) for place, server_id in enumerate(ranked)]
     return [server_id for _, server_id in sorted(places)]
 
 
-def kept_of(servers: int, most: int, least_part: float) -> int:
-    """How many of a group of servers a proxy keeps to: ``most``, or what ``least_part`` of them makes.
+def subset_size(servers: int, servers_per_class: int, min_fraction: float) -> int:
+    """How many of a group of servers a proxy keeps to: ``servers_per_class``, or what ``min_fraction`` of
+    them makes.
 
     Guards a small fleet against servers that chance gives to none of its proxies, or to too few.
     """
-    return min(servers, max(most, math.ceil(least_part * servers)))
+    return min(servers, max(servers_per_class, math.ceil(min_fraction * servers)))
 
 
 def choose(
-    name: str, ready: Sequence[Endpoint], groups: Iterable[Pools | None], most: int, least_part: float = 0.0
+    name: str,
+    ready: Sequence[Endpoint],
+    groups: Iterable[Pools | None],
+    servers_per_class: int,
+    min_fraction: float = 0.0,
 ) -> set[str]:
     """Of the servers that may take a class of call, by its ``Pools`` (None: any), the first of its ranking.
 
@@ -59,17 +65,17 @@
     chosen: set[str] = set()
     for pools in set(groups):
         group = [i for i in ready if pools is None or i.cell in pools]
-        chosen.update(rank(name, group)[: kept_of(len(group), most, least_part)])
+        chosen.update(rank(name, group)[: subset_size(len(group), servers_per_class, min_fraction)])
     return chosen
 
 
-def shared_by(
+def max_sharers(
     cell: int,
     ready: Sequence[Endpoint],
     groups: Iterable[Pools | None],
-    most: int,
+    servers_per_class: int,
     proxies: int,
-    least_part: float = 0.0,
+    min_fraction: float = 0.0,
 ) -> int:
     """How many of so many proxies keep to a server of this cell: no more than this, but for rare chance.
 
@@ -82,8 +88,8 @@
     holding = {group for group in holding if cell in group}
     smallest = [group for group in holding if not any(other < group for other in holding)]
     sizes = [sum(each in group for each in cells) for group in smallest]
-    chance = sum(kept_of(size, most, least_part) / size for size in sizes)
+    chance = sum(subset_size(size, servers_per_class, min_fraction) / size for size in sizes)
     if chance >= 1.0:
         return proxies
     mean = proxies * chance
-    return min(proxies, math.ceil(mean + SPREAD * math.sqrt(mean)))
+    return min(proxies, math.ceil(mean + SHARERS_STANDARD_DEVIATIONS * math.sqrt(mean)))
--- a/canvasplank/cold_start/rendezvous_subset.py
+++ b/canvasplank/cold_start/rendezvous_subset.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from canvasplank.cold_start.rendezvous_hashing import Pools, choose, shared_by
+from canvasplank.cold_start.rendezvous_hashing import Pools, choose, max_sharers
 from canvasplank.config.discovery_events import DiscoveryEvent, Endpoint, EndpointListUpdate, apply_event
 
 READY, DRAINING = "ready", "draining"
@@ -19,18 +19,24 @@
         self,
         name: str,
         groups: Iterable[Pools | None],
-        most: int,
-        carries: Callable[[str], bool],
-        least_part: Callable[[], float] = float,
+        servers_per_class: int,
+        has_calls: Callable[[str], bool],
+        min_fraction: Callable[[], float] = float,
     ) -> None:
-        """``most``: servers for each class of call, 0 for all; ``carries``: whether a server has calls.
+        """``servers_per_class``: servers for each class of call, 0 for all; ``has_calls``: whether a server
+        has calls.
 
-        ``least_part``: so large a part of them at least, which may change with the fleet.
+        ``min_fraction``: so large a part of them at least, which may change with the fleet.
         """
-        self._name, self._groups, self._most, self._carries = name, tuple(groups), most, carries
-        self._least_part = least_part
+        self._name, self._groups, self._servers_per_class, self._has_calls = (
+            name,
+            tuple(groups),
+            servers_per_class,
+            has_calls,
+        )
+        self._min_fraction = min_fraction
         self._listed: dict[str, Endpoint] = {}
-        self._kept: set[str] = set()
+        self._selected: set[str] = set()
 
     def select(self, complete: bool, instances: list[Endpoint]) -> list[Endpoint]:
         """The whole of what this proxy keeps to after this news of the list, which may be none.
@@ -39,33 +45,35 @@
         there, so that their releases find somebody.
         """
         apply_event(self._listed, DiscoveryEvent(0, EndpointListUpdate(instances, reset=complete)))
-        wanted = self._wanted()
-        told = []
+        chosen = self._choose()
+        selected = []
         for server_id, instance in self._listed.items():
-            if server_id in wanted or (instance.lifecycle != READY and server_id in self._kept):
-                told.append(instance)
-            elif server_id in self._kept and self._carries(server_id):
-                told.append(msgspec.structs.replace(instance, lifecycle=DRAINING))
-        self._kept = {instance.instance_id for instance in told}
-        return told
+            if server_id in chosen or (instance.lifecycle != READY and server_id in self._selected):
+                selected.append(instance)
+            elif server_id in self._selected and self._has_calls(server_id):
+                selected.append(msgspec.structs.replace(instance, lifecycle=DRAINING))
+        self._selected = {instance.instance_id for instance in selected}
+        return selected
 
     def senders(self, cell: int, proxies: int) -> int | None:
         """How many of the proxies share a server of this cell; None: all do."""
-        if not self._most:
+        if not self._servers_per_class:
             return None
-        return shared_by(cell, self._ready(), self._groups, self._most, proxies, self._least_part())
+        return max_sharers(
+            cell, self._ready(), self._groups, self._servers_per_class, proxies, self._min_fraction()
+        )
 
-    def spread(self) -> float:
+    def ready_per_selected(self) -> float:
         """Over so many times as many servers as this one's the fleet's set-ups go."""
         ready = len(self._ready())
-        kept = sum(i.lifecycle == READY and i.instance_id in self._kept for i in self._listed.values())
+        kept = sum(i.lifecycle == READY and i.instance_id in self._selected for i in self._listed.values())
         return max(1.0, ready / kept) if kept else 1.0
 
-    def may_let_go(self) -> bool:
+    def can_release_endpoints(self) -> bool:
         """Whether a server is held still that this proxy no longer keeps to, and no call stands there now."""
-        left = self._kept - self._wanted()
+        left = self._selected - self._choose()
         return any(
-            self.is_listed(each) and self._listed[each].lifecycle == READY and not self._carries(each)
+            self.is_listed(each) and self._listed[each].lifecycle == READY and not self._has_calls(each)
             for each in left
         )
 
@@ -73,9 +81,13 @@
         """Whether the list still names it, whoever keeps to it."""
         return server_id in self._listed
 
-    def _wanted(self) -> set[str]:
+    def _choose(self) -> set[str]:
         return choose(
-            self._name, self._ready(), self._groups, self._most or len(self._listed), self._least_part()
+            self._name,
+            self._ready(),
+            self._groups,
+            self._servers_per_class or len(self._listed),
+            self._min_fraction(),
         )
 
     def _ready(self) -> list[Endpoint]:
--- a/tests/test_cold_start.py
+++ b/tests/test_cold_start.py
@@ -13,7 +13,7 @@
 from canvasplank.codecs import sse
 from canvasplank.codecs.errors import BadMessageError
 from canvasplank.cold_start.extension import load
-from canvasplank.cold_start.poll_backoff import MAX_RETRY_AFTER_MS, MOST_MS, PollBackoff
+from canvasplank.cold_start.poll_backoff import MAX_BACKOFF_MS, MAX_RETRY_AFTER_MS, PollBackoff
 from canvasplank.config.configuration import ConfigurationError
 from emulators.callers import Callers
 from emulators.fleet import fleet
@@ -36,12 +36,12 @@
 
 
 def backoffs(count, **rates):
-    rates = {"polls_per_s": 30.0, "first_per_s": 75.0} | rates
+    rates = {"polls_per_s": 30.0, "initial_polls_per_s": 75.0} | rates
     return [PollBackoff(lambda: count, rng=random.Random(seed), **rates) for seed in range(count)]
 
 
 def polled(all_of_them, for_ms):
-    """When a board that is in trouble is asked, by proxies that start at once."""
+    """When a board that is in trouble is polled, by proxies that start at once."""
     times = []
     for backoff in all_of_them:
         at = backoff.initial_delay()
@@ -51,13 +51,13 @@
     return sorted(times)
 
 
-class TestPace:
+class TestPollBackoff:
     """The rule without processes."""
 
     @pytest.mark.parametrize("count", [100, 300, 1000, 5000])
-    def test_what_a_board_bears_does_not_grow_with_the_fleet(self, count):
-        turn_ms = 1000 * count / 30
-        first_ms, lasts_ms = 4 * turn_ms, 10 * turn_ms  # until nobody is in step, and long enough to tell
+    def test_the_fleet_poll_rate_does_not_grow_with_the_fleet(self, count):
+        period_ms = 1000 * count / 30
+        first_ms, lasts_ms = 4 * period_ms, 10 * period_ms  # until nobody is in step, and long enough to tell
         times = polled(backoffs(count), first_ms + lasts_ms)
         lasting = [at for at in times if at > first_ms]
         assert 0.85 * 30 <= 1000 * len(lasting) / lasts_ms <= 1.15 * 30
@@ -66,15 +66,15 @@
         assert most_in(after_the_first, 1000.0) <= 60
 
     @pytest.mark.parametrize("count", [100, 300, 5000])
-    def test_nobody_waits_for_much_longer_than_its_turn(self, count):
+    def test_no_wait_is_much_longer_than_the_poll_period(self, count):
         """Drawn from nothing to two turns each time, the unluckiest heard of the board's return 20 s late."""
-        turn_ms = 1000 * count / 30
+        period_ms = 1000 * count / 30
         for backoff in backoffs(count)[:100]:
             backoff.initial_delay()
             waits = [backoff.retry_delay() for _ in range(20)]
-            assert max(waits) <= 1.25 * turn_ms and min(waits[1:]) >= 0.75 * turn_ms
+            assert max(waits) <= 1.25 * period_ms and min(waits[1:]) >= 0.75 * period_ms
 
-    def test_after_a_break_that_all_have_met_nobody_is_in_step(self):
+    def test_after_a_break_that_all_have_met_polls_are_spread(self):
         all_of_them = backoffs(300)
         for backoff in all_of_them:
             backoff.initial_delay()
@@ -83,26 +83,26 @@
         waits = sorted(backoff.retry_delay() for backoff in all_of_them)
         assert most_in(waits, 1000.0) <= 45 and waits[-1] <= 10_000.0
 
-    def test_a_small_fleet_waits_as_it_did_but_not_in_step(self):
+    def test_a_small_fleet_uses_doubling_backoff_with_jitter(self):
         [backoff] = backoffs(1)
         waits = [backoff.retry_delay() for _ in range(40)]
-        assert max(waits) <= MOST_MS and min(waits[5:]) >= MOST_MS / 2 and len(set(waits)) == 40
+        assert max(waits) <= MAX_BACKOFF_MS and min(waits[5:]) >= MAX_BACKOFF_MS / 2 and len(set(waits)) == 40
         backoff.reset()
         assert backoff.retry_delay() <= 100.0
 
-    def test_a_hint_hurries_once_a_turn(self):
+    def test_an_early_poll_is_allowed_once_a_poll_period(self):
         [backoff] = backoffs(300)[:1]
         assert backoff.early_poll_delay(0.0) <= 4000.0
         assert backoff.early_poll_delay(9_000.0) is None and backoff.early_poll_delay(10_001.0) is not None
 
-    def test_a_wait_that_the_board_names_is_kept_and_nobody_comes_back_in_step(self):
+    def test_retry_after_is_honoured_and_the_polls_after_it_are_spread(self):
         waits = sorted(backoff.retry_delay(0.0, retry_after_ms=4000.0) for backoff in backoffs(300))
         assert waits[0] >= 4000.0 and most_in(waits, 100.0) <= 24
         assert backoffs(300)[0].retry_delay(0.0, retry_after_ms=1e9) <= MAX_RETRY_AFTER_MS + 20_000.0, (
             "within bounds"
         )
 
-    def test_a_hint_does_not_hurry_past_a_wait_that_the_board_names(self):
+    def test_no_early_poll_before_retry_after_has_passed(self):
         [backoff] = backoffs(1)
         backoff.retry_delay(1000.0, retry_after_ms=4000.0)
         assert backoff.early_poll_delay(4999.0) is None and backoff.early_poll_delay(5000.0) is not None
@@ -123,14 +123,14 @@
         ("Server: board", 0.0),
     ],
 )
-def test_the_wait_that_a_refusal_names(headers, wait_ms):
+def test_retry_after_of_a_rejected_poll(headers, wait_ms):
     parser = sse.Parser()
     with pytest.raises(BadMessageError, match="not a success"):
         list(parser.feed(f"HTTP/1.1 503 Busy\r\n{headers}\r\n\r\n".encode("latin-1", "replace")))
     assert parser.retry_after_ms == wait_ms
 
 
-def test_first_connections_come_in_turn_and_at_once_where_a_call_wants_one(tmp_path):
+def test_first_connections_are_spread_and_immediate_where_a_call_needs_one(tmp_path):
     """Twelve processes that know the servers from the start: today each has a connection from all at once."""
     count, per_s = 12, 4.0
     (tmp_path / "starting.toml").write_text(f"connections_per_s = {per_s}\n")
@@ -184,13 +184,13 @@
     def polls_since(self, at: float) -> list[float]:
         return [poll for poll in self.discovery.polls if poll > at]
 
-    async def heard_by(self, count: int) -> float:
+    async def connected_after_s(self, count: int) -> float:
         """How long until so many are connected to the server, which the board alone names."""
-        began = now_s()
+        started = now_s()
         async with asyncio.timeout(WAIT_S):
             while self.started.servers[0].connections < count:
                 await asyncio.sleep(0.05)
-        return now_s() - began
+        return now_s() - started
 
 
 def now_s() -> float:
@@ -198,42 +198,42 @@
 
 
 @asynccontextmanager
-async def rush(folder, count, polls_per_s, over_the_store=False):
+async def rush(folder, count, polls_per_s, with_fleet_store=False):
     """So many processes to start, all with the fleet's pace."""
     (folder / "starting.toml").write_text(
         f"polls_per_s = {polls_per_s}\nfirst_per_s = 24.0\nready_with_list = true\n"
     )
     environment = {"CANVASPLANK_STARTING": str(folder / "starting.toml")}
-    if over_the_store:
+    if with_fleet_store:
         (folder / "fleet.toml").write_text(FLEET_FILE.format(path=folder / "fleet.db"))
         environment["CANVASPLANK_FLEET"] = str(folder / "fleet.toml")
     async with fleet(folder, [CallServer("s-0", capacity_per_s=1000.0)], instances=count) as started:
         yield Rush(folder, started, environment)
 
 
-@pytest.mark.parametrize("over_the_store", [False, True], ids=["alone", "with the fleet's rows"])
-def test_twenty_four_processes_spare_a_board_in_trouble_and_hear_it_when_it_is_back(tmp_path, over_the_store):
+@pytest.mark.parametrize("with_fleet_store", [False, True], ids=["alone", "with the fleet's rows"])
+def test_twenty_four_processes_spare_a_failing_discovery_and_notice_its_recovery(tmp_path, with_fleet_store):
     """A quarter of them crash over and over meanwhile."""
     count, polls_per_s = 24, 8.0
 
     async def run():
-        async with rush(tmp_path, count, polls_per_s, over_the_store) as fresh:
+        async with rush(tmp_path, count, polls_per_s, with_fleet_store) as fresh:
             fresh.discovery.in_trouble = True
             await fresh.start([f"n{n}" for n in range(count)])
-            for turn in range(3):  # a crash loop adds nothing but its first polls
+            for round_number in range(3):  # a crash loop adds nothing but its first polls
                 crashing = [p for p in fresh.started.proxies if p.process.returncode is None][:6]
                 await asyncio.gather(*(p.stop(signal.SIGKILL) for p in crashing))
-                await fresh.start([f"c{turn}{n}" for n in range(6)])
-            began = now_s()
+                await fresh.start([f"c{round_number}{n}" for n in range(6)])
+            started = now_s()
             await asyncio.sleep(5.0)
             # 24 alive at 8 a second; by the doubling waits alone there would be 30 a second.
-            assert len(fresh.polls_since(began)) / 5.0 <= 1.75 * polls_per_s
+            assert len(fresh.polls_since(started)) / 5.0 <= 1.75 * polls_per_s
             assert most_in(sorted(fresh.discovery.polls), 0.1) <= 12
             fresh.discovery.in_trouble = False
             back = now_s()
-            heard_s = await fresh.heard_by(count)
+            recovery_s = await fresh.connected_after_s(count)
             assert most_in(fresh.polls_since(back), 0.1) <= 12, "no second wave"
-            assert heard_s <= (5.0 if over_the_store else 2 * count / polls_per_s + 2.0)
+            assert recovery_s <= (5.0 if with_fleet_store else 2 * count / polls_per_s + 2.0)
             settled = len(fresh.discovery.polls)
             await asyncio.sleep(2.0)
             assert len(fresh.discovery.polls) <= settled + 1, "who hears it asks no more"
@@ -241,7 +241,7 @@
     asyncio.run(run())
 
 
-def test_half_of_the_processes_are_cut_off_from_the_board_and_the_others_are_served_by_it(tmp_path):
+def test_half_of_the_processes_are_cut_off_from_discovery_and_the_others_are_served(tmp_path):
     """Those beyond the cut are not ready, go on asking at the fleet's rate, and hear it once it is healed."""
     count, polls_per_s = 24, 8.0
 
@@ -252,35 +252,35 @@
             fresh.started.discovery_for = lambda name: (far if name[0] == "f" else fresh.discovery).address
             far.cut()
             await fresh.start([f"{'nf'[n % 2]}{n}" for n in range(count)])
-            await fresh.heard_by(count // 2)
-            began, asked = now_s(), far.connections
+            await fresh.connected_after_s(count // 2)
+            started, connections_before = now_s(), far.connections
             await asyncio.sleep(4.0)
-            assert len(fresh.polls_since(began)) <= 2, "who hears it asks no more"
-            assert (far.connections - asked) / 4.0 <= 1.75 * polls_per_s
+            assert len(fresh.polls_since(started)) <= 2, "who hears it asks no more"
+            assert (far.connections - connections_before) / 4.0 <= 1.75 * polls_per_s
             assert {proxy.name: await passes_test(proxy.address) for proxy in fresh.started.proxies[:8]} == {
                 proxy.name: proxy.name[0] == "n" for proxy in fresh.started.proxies[:8]
             }
             far.heal()
-            assert await fresh.heard_by(count) <= 2 * count / polls_per_s + 2.0
+            assert await fresh.connected_after_s(count) <= 2 * count / polls_per_s + 2.0
             await far.stop()
 
     asyncio.run(run())
 
 
-def test_a_board_that_stalls_and_then_names_a_wait_is_left_alone_for_it(tmp_path):
+def test_a_discovery_that_stalls_and_then_sends_retry_after_is_not_polled_until_then(tmp_path):
     count, polls_per_s = 12, 8.0
 
     async def run():
         async with rush(tmp_path, count, polls_per_s) as fresh:
             fresh.discovery.stalled = True
             await fresh.start([f"n{n}" for n in range(count)])
-            began = now_s()
+            started = now_s()
             await asyncio.sleep(4.0)
-            assert len(fresh.polls_since(began)) / 4.0 <= 1.75 * polls_per_s
+            assert len(fresh.polls_since(started)) / 4.0 <= 1.75 * polls_per_s
             fresh.discovery.stalled, fresh.discovery.busy_s = False, 60
             await asyncio.sleep(2 * count / polls_per_s + 2.0)  # all have been told by now, or hang no more
-            began = now_s()
+            started = now_s()
             await asyncio.sleep(2.0)
-            assert not fresh.polls_since(began)
+            assert not fresh.polls_since(started)
 
     asyncio.run(run())
--- a/tests/test_rendezvous_subset.py
+++ b/tests/test_rendezvous_subset.py
@@ -14,8 +14,8 @@
 from conftest import Gateway, settings
 
 from canvasplank import interface as api
-from canvasplank.cold_start.extension import ColdStartExtension, Starting
-from canvasplank.cold_start.rendezvous_hashing import choose, rank, shared_by
+from canvasplank.cold_start.extension import ColdStartExtension, ColdStartSettings
+from canvasplank.cold_start.rendezvous_hashing import choose, max_sharers, rank
 from canvasplank.cold_start.rendezvous_subset import RendezvousSubset
 from canvasplank.config.discovery_events import Endpoint, to_server
 from canvasplank.network.servers import Servers
@@ -35,8 +35,8 @@
     return [f"proxy-{n}" for n in range(count)]
 
 
-def kept(told: list[Endpoint]) -> dict[str, str]:
-    return {instance.instance_id: instance.lifecycle for instance in told}
+def lifecycles(selected: list[Endpoint]) -> dict[str, str]:
+    return {instance.instance_id: instance.lifecycle for instance in selected}
 
 
 class TestChoice:
@@ -46,7 +46,7 @@
         assert rank("proxy-0", instances(4)) == ["s-1", "s-3", "s-0", "s-2"]
 
     @pytest.mark.parametrize("sizes", [(8, 8, 8), (12, 8, 4), (20, 3, 1)])
-    def test_every_zone_has_its_part_and_every_server_as_many(self, sizes):
+    def test_each_zone_has_its_quota_and_each_server_about_as_many_proxies(self, sizes):
         """Drawn from all at once, one proxy in sixty had no server in its own of three zones."""
         listed = [
             Endpoint(f"s-{zone}-{n}", "x:1", "ready", zone=f"z{zone}")
@@ -60,39 +60,41 @@
             for zone, size in enumerate(sizes):
                 held = sum(server_id.startswith(f"s-{zone}-") for server_id in mine)
                 assert abs(held - 8 * size / sum(sizes)) < 1.0 + 1.0 / size
-        assert max(shared.values()) <= shared_by(0, listed, ALL, 8, 600)
+        assert max(shared.values()) <= max_sharers(0, listed, ALL, 8, 600)
         assert min(shared.values()) >= 200 - 4 * math.sqrt(200)
 
     @pytest.mark.parametrize(("proxies", "servers", "most"), [(300, 24, 8), (500, 12, 4), (5000, 200, 16)])
-    def test_each_server_is_shared_by_about_as_many_and_by_no_more_than_is_told(self, proxies, servers, most):
+    def test_sharers_are_about_even_and_bounded_by_max_sharers(self, proxies, servers, most):
         listed = instances(servers)
         shared = Counter(s for name in names(proxies) for s in choose(name, listed, ALL, most))
-        told = shared_by(0, listed, ALL, most, proxies)
+        bound = max_sharers(0, listed, ALL, most, proxies)
         mean = proxies * most / servers
         assert len(shared) == servers and sum(shared.values()) == proxies * most
         assert min(shared.values()) > mean - 4 * math.sqrt(mean)
-        assert max(shared.values()) <= 1.05 * told and told < 1.5 * mean
-        assert sum(each > told for each in shared.values()) <= servers / 100
+        assert max(shared.values()) <= 1.05 * bound and bound < 1.5 * mean
+        assert sum(each > bound for each in shared.values()) <= servers / 100
 
     @pytest.mark.parametrize("servers", [12, 24, 48])
     @pytest.mark.parametrize("proxies", [1, 2, 4, 16, 30, 60, 100, 200])
-    def test_no_server_is_left_out_or_overfull_in_a_fleet_of_any_size_as_run_has_it(self, proxies, servers):
+    def test_no_server_is_left_out_or_overloaded_in_a_fleet_of_any_size_with_the_deployed_subset(
+        self, proxies, servers
+    ):
         """With eight of 24 each, four proxies left 4 or 5 servers without any."""
         figures = tomllib.loads((ROOT / "deploy" / "subset.toml").read_text())
-        most, least_part = figures["servers_per_proxy"], figures["proxies_per_server"] / proxies
+        most, min_fraction = figures["servers_per_proxy"], figures["proxies_per_server"] / proxies
         listed = instances(servers)
-        shared = Counter(s for name in names(proxies) for s in choose(name, listed, ALL, most, least_part))
+        shared = Counter(s for name in names(proxies) for s in choose(name, listed, ALL, most, min_fraction))
         assert len(shared) == servers
         assert max(shared.values()) <= 1.75 * sum(shared.values()) / servers
-        assert max(shared.values()) <= shared_by(0, listed, ALL, most, proxies, least_part)
+        assert max(shared.values()) <= max_sharers(0, listed, ALL, most, proxies, min_fraction)
 
-    def test_a_server_that_goes_moves_only_those_who_kept_to_it(self):
+    def test_a_server_that_goes_moves_only_the_proxies_that_selected_it(self):
         listed = instances(24)
         for name in names(300):
             before, after = choose(name, listed, ALL, 6), choose(name, listed[1:], ALL, 6)
             assert len(after - before) == ("s-0" in before) and before - after <= {"s-0"}
 
-    def test_a_class_that_few_may_take_has_its_own(self):
+    def test_a_class_that_few_servers_may_take_has_its_own_subset(self):
         listed = instances(24, cells=12)
         groups = (None, frozenset({3, 7}))
         for name in names(50):
@@ -100,7 +102,7 @@
             assert sum(cell in (3, 7) for cell in mine) >= 3
 
     @pytest.mark.parametrize(
-        ("groups", "cell", "told"),
+        ("groups", "cell", "bound"),
         [
             ((None,), 0, 3 * 100 // 12 + 15),  # three of twelve
             (
@@ -112,45 +114,48 @@
             ((frozenset({0}),), 0, 100),  # all two of its cell are held by all
         ],
     )
-    def test_how_many_share_a_server_follows_the_groups_it_is_in(self, groups, cell, told):
+    def test_max_sharers_follows_the_pool_groups_of_a_server(self, groups, cell, bound):
         listed = instances(12, cells=6)
-        found = shared_by(cell, listed, groups, 3, 100)
+        found = max_sharers(cell, listed, groups, 3, 100)
         held = sum(any(s in choose(n, listed, groups, 3) for s in ("s-0",)) for n in names(100))
-        assert held <= found <= told
+        assert held <= found <= bound
 
 
-class TestComingAndGoing:
+class TestListChanges:
     """A proxy's subset as the list changes."""
 
-    def subset(self, carrying: set[str], most: int = 2) -> RendezvousSubset:
-        return RendezvousSubset("proxy-0", ALL, most, carrying.__contains__)
+    def subset(self, with_calls: set[str], most: int = 2) -> RendezvousSubset:
+        return RendezvousSubset("proxy-0", ALL, most, with_calls.__contains__)
 
-    def test_without_a_figure_all_are_kept(self):
+    def test_without_a_subset_size_all_are_selected(self):
         assert len(self.subset(set(), most=0).select(True, instances(9))) == 9
 
-    def test_one_that_a_better_takes_the_place_of_drains_until_it_carries_nothing(self):
+    def test_a_replaced_server_drains_until_it_has_no_calls(self):
         first, second, third = rank("proxy-0", instances(3))
         by_id = {instance.instance_id: instance for instance in instances(3)}
-        carrying = {third}
-        subset = self.subset(carrying)
-        assert kept(subset.select(True, [by_id[second], by_id[third]])) == {second: "ready", third: "ready"}
-        assert kept(subset.select(False, [by_id[first]])) == {
+        with_calls = {third}
+        subset = self.subset(with_calls)
+        assert lifecycles(subset.select(True, [by_id[second], by_id[third]])) == {
+            second: "ready",
+            third: "ready",
+        }
+        assert lifecycles(subset.select(False, [by_id[first]])) == {
             first: "ready",
             second: "ready",
             third: "draining",
         }
-        assert not subset.may_let_go()
-        carrying.clear()
-        assert subset.may_let_go()
-        assert kept(subset.select(False, [])) == {first: "ready", second: "ready"}
-        assert subset.is_listed(third) and not subset.may_let_go()
+        assert not subset.can_release_endpoints()
+        with_calls.clear()
+        assert subset.can_release_endpoints()
+        assert lifecycles(subset.select(False, [])) == {first: "ready", second: "ready"}
+        assert subset.is_listed(third) and not subset.can_release_endpoints()
 
-    def test_one_that_drains_is_kept_where_it_was_held_and_another_takes_its_place(self):
+    def test_a_draining_server_stays_selected_where_it_was_and_another_replaces_it(self):
         listed = instances(6)
         subset = self.subset(set())
-        mine = kept(subset.select(True, listed))
+        mine = lifecycles(subset.select(True, listed))
         leaves = min(mine)
-        now = kept(
+        now = lifecycles(
             subset.select(
                 False,
                 [
@@ -162,14 +167,14 @@
             )
         )
         assert now[leaves] == "draining" and sorted(now.values()) == ["draining", "ready", "ready"]
-        assert leaves not in kept(subset.select(False, [Endpoint(leaves, "x:1", "gone")]))
+        assert leaves not in lifecycles(subset.select(False, [Endpoint(leaves, "x:1", "gone")]))
         assert not subset.is_listed(leaves)
 
 
-class TestModule:
+class TestController:
     """What the module makes of it."""
 
-    def test_the_even_share_is_one_of_those_who_share_the_server(self):
+    def test_the_even_share_counts_only_the_proxies_that_share_the_server(self):
         """With three of twelve proxies at a server, a twelfth of it each would leave most of it idle."""
 
         def sent(senders: int | None) -> int:
@@ -188,9 +193,7 @@
 
     @pytest.mark.parametrize("class_name", ["low", "high"])
     @pytest.mark.parametrize("initial_rate_per_s", [None, 30.0 / 300])
-    def test_hundreds_of_fresh_buckets_do_not_run_ahead_of_the_rate_of_all(
-        self, initial_rate_per_s, class_name
-    ):
+    def test_hundreds_of_fresh_buckets_stay_within_the_fleet_rate(self, initial_rate_per_s, class_name):
         """300 gateways, three calls waiting at each when they start, one server."""
         sent = []
         for seed in range(300):
@@ -218,7 +221,7 @@
         ({}, {"call": (16, 8_000.0)}, False),  # by a server that confirms none
     ],
 )
-def test_a_server_is_kept_while_a_release_is_on_its_way_there(pending, unconfirmed, unsettled):
+def test_a_server_stays_selected_while_a_release_to_it_is_unsettled(pending, unconfirmed, unsettled):
     """It was let go with the release of its last call unsent, and would have kept that call's line."""
     servers = Servers.__new__(Servers)
     servers.scheduler = SimpleNamespace(now_ms=10_000.0)
@@ -228,10 +231,10 @@
     assert servers.has_unsettled_releases("s-0") is unsettled and not servers.has_unsettled_releases("s-1")
     host = Fake(100)
     host.servers.has_unsettled_releases = servers.has_unsettled_releases
-    start = ColdStartExtension(host, Starting(servers_per_proxy=1))
+    start = ColdStartExtension(host, ColdStartSettings(servers_per_proxy=1))
     start.select(True, instances(1))
-    kept_on = {i.instance_id: i.lifecycle for i in start.select(False, instances(9)[1:])}
-    assert (kept_on.get("s-0") == "draining") is unsettled, "eight better ones have come"
+    remaining = {i.instance_id: i.lifecycle for i in start.select(False, instances(9)[1:])}
+    assert (remaining.get("s-0") == "draining") is unsettled, "eight better ones have come"
 
 
 class Fake:
@@ -260,39 +263,43 @@
         (60, 0.9, 3, 30.0),  # and no more than all
     ],
 )
-def test_a_start_is_a_part_of_a_whole(members, part, servers_per_proxy, initial_rate_per_s):
-    settings_file = Starting(initial_rate_per_s=30.0, servers_per_proxy=servers_per_proxy)
+def test_the_initial_rate_is_a_fraction_of_the_fleet_rate(
+    members, part, servers_per_proxy, initial_rate_per_s
+):
+    settings_file = ColdStartSettings(initial_rate_per_s=30.0, servers_per_proxy=servers_per_proxy)
     start = ColdStartExtension(Fake(100, members, part), settings_file)
     start.select(True, instances(12))
     entry = start.annotate(api.Server("s-0", 0, api.ServerState.READY))
     assert entry.initial_rate_per_s == pytest.approx(initial_rate_per_s)
 
 
-def test_a_proxy_keeps_to_more_servers_as_its_fleet_gets_smaller():
+def test_a_proxy_selects_more_servers_as_its_fleet_gets_smaller():
     """By the settings' number of instances, or the fleet's rows where they are on."""
 
-    def kept_by(members: int) -> int:
-        start = ColdStartExtension(Fake(100, members), Starting(servers_per_proxy=3, proxies_per_server=25))
-        told = start.select(True, instances(24))
-        assert all(start.annotate(to_server(i)).senders <= (members or 100) for i in told)
-        return len(told)
+    def selected_by(members: int) -> int:
+        start = ColdStartExtension(
+            Fake(100, members), ColdStartSettings(servers_per_proxy=3, proxies_per_server=25)
+        )
+        selected = start.select(True, instances(24))
+        assert all(start.annotate(to_server(i)).senders <= (members or 100) for i in selected)
+        return len(selected)
 
-    assert [kept_by(members) for members in (0, 300, 50, 20)] == [6, 3, 12, 24]
+    assert [selected_by(members) for members in (0, 300, 50, 20)] == [6, 3, 12, 24]
 
 
-def test_all_parts_of_a_start_sum_to_no_more_than_the_whole():
+def test_initial_rates_of_all_proxies_sum_to_no_more_than_the_fleet_rate():
     """By shares of a lease, however uneven, and by those who share each server."""
-    listed, whole = instances(12), Counter()
+    listed, sums = instances(12), Counter()
     for name in names(100):
         fake = Fake(100)
         fake.configuration.name = name
-        start = ColdStartExtension(fake, Starting(initial_rate_per_s=30.0, servers_per_proxy=3))
+        start = ColdStartExtension(fake, ColdStartSettings(initial_rate_per_s=30.0, servers_per_proxy=3))
         for instance in start.select(True, listed):
-            whole[instance.instance_id] += start.annotate(to_server(instance)).initial_rate_per_s
-    assert max(whole.values()) <= 30.0 * 1.05 and min(whole.values()) > 30.0 / 3
+            sums[instance.instance_id] += start.annotate(to_server(instance)).initial_rate_per_s
+    assert max(sums.values()) <= 30.0 * 1.05 and min(sums.values()) > 30.0 / 3
 
 
-def test_twenty_four_processes_keep_to_four_of_twelve_servers_each(tmp_path):
+def test_twenty_four_processes_connect_to_four_of_twelve_servers_each(tmp_path):
     """Connections, service, a server that drains, and the release of a call at one that others now have."""
     count, most = 24, 4
     (tmp_path / "starting.toml").write_text(
@@ -314,9 +321,9 @@
             await asyncio.gather(*(callers.add_proxy(proxy.address) for proxy in started.proxies))
 
             async def held(listed):
-                wanted = Counter(s for n in range(count) for s in choose(f"n{n}", listed, ALL, most))
+                expected = Counter(s for n in range(count) for s in choose(f"n{n}", listed, ALL, most))
                 async with asyncio.timeout(WAIT_S):
-                    while any(server.connections != wanted[server.name] for server in servers):
+                    while any(server.connections != expected[server.name] for server in servers):
                         await asyncio.sleep(0.05)
 
             await held(instances(10))
