--- a/canvasplank/cold_start/__init__.py
+++ b/canvasplank/cold_start/__init__.py
@@ -1,1 +1,1 @@
-"""Starting by the hundred without a rush (off unless switched on)."""
+"""Cold start: limits on what hundreds of proxies that start together do to discovery and the call servers."""
--- a/canvasplank/cold_start/config.py
+++ b/canvasplank/cold_start/config.py
@@ -1,4 +1,4 @@
-"""The file of a fleet's start, named by ``CANVASPLANK_STARTING``."""
+"""The settings of the cold start: a file (TOML) named by ``CANVASPLANK_STARTING``."""
 
 from __future__ import annotations
 
@@ -6,17 +6,25 @@
 
 import msgspec
 
-Rate = Annotated[float, msgspec.Meta(ge=0, le=100_000)]
+from canvasplank.config.extension_file import load_extension_settings
+
+PerSecond = Annotated[float, msgspec.Meta(ge=0, le=100_000)]
+Count = Annotated[int, msgspec.Meta(ge=0, le=10_000)]
 
 
 class ColdStartSettings(msgspec.Struct, forbid_unknown_fields=True):
-    """What the notice board and each call server are to bear of the whole fleet; 0: no bound on it."""
-
-    polls_per_s: Rate = 0.0  # while it is in trouble
-    first_per_s: Rate = 0.0  # first polls after a start, and when it is known to be back; 0: as polls_per_s
-    connections_per_s: Rate = 0.0  # first connections at each call server
-    initial_rate_per_s: Rate = msgspec.field(name="begin_per_s", default=0.0)  # set-ups there at first
-    ready_with_list: bool = False  # no test is passed before a list names a server
-    servers_per_proxy: Annotated[int, msgspec.Meta(ge=0, le=10_000)] = 0  # for each class of call; 0: all
-    # At least so many proxies keep to each server, on average: in a small fleet each then keeps to more.
-    proxies_per_server: Annotated[int, msgspec.Meta(ge=0, le=10_000)] = 0
+    """Rates of all proxies together, and the size of a proxy's subset; 0: no limit."""
+
+    polls_per_s: PerSecond = 0.0  # at service discovery while polls fail
+    first_per_s: PerSecond = 0.0  # first polls after a start, a move or a recovery; 0: as polls_per_s
+    connections_per_s: PerSecond = 0.0  # first connections to each call server
+    initial_rate_per_s: PerSecond = msgspec.field(name="begin_per_s", default=0.0)  # first set-ups at each
+    ready_with_list: bool = False  # not ready for callers before the endpoint list names a call server
+    servers_per_proxy: Count = 0  # call servers in a proxy's subset, for each class of call; 0: all
+    # The mean number of proxies per call server is at least this: in a small fleet, subsets are larger.
+    proxies_per_server: Count = 0
+
+
+def load_cold_start_settings(path: str) -> ColdStartSettings:
+    """The settings in a file; raises ``ConfigurationError`` for a file that cannot be used."""
+    return load_extension_settings(path, "starting", ColdStartSettings, lambda _: None)
--- a/canvasplank/cold_start/extension.py
+++ b/canvasplank/cold_start/extension.py
@@ -1,4 +1,4 @@
-"""A fleet's start as a part of the program, and its file, named by ``CANVASPLANK_STARTING``."""
+"""The cold start as an extension: poll backoff, a rendezvous subset, and slow start at the call servers."""
 
 from __future__ import annotations
 
@@ -6,35 +6,33 @@
 from dataclasses import replace
 
 from canvasplank import interface as api
-from canvasplank.cold_start.config import ColdStartSettings
+from canvasplank.cold_start.config import ColdStartSettings, load_cold_start_settings
 from canvasplank.cold_start.poll_backoff import SECOND_MS, PollBackoff
 from canvasplank.cold_start.rendezvous_subset import RendezvousSubset
 from canvasplank.config.discovery_events import Endpoint
-from canvasplank.config.extension_file import load_extension_settings
 from canvasplank.config.platform_settings import read_settings
 from canvasplank.extensions.extension import Extension, ExtensionContext, ExtensionFactory
 
-CHECK_INTERVAL_MS = 1000.0  # between two looks at servers that are left to others, and at the fleet's size
-# Of the number of proxies that share a server: so much is worth telling the module.
+CHECK_INTERVAL_MS = 1000.0  # for servers to release, and for the fleet's size
+# The controller is notified again once the fleet's size differs by more than this fraction from the one it
+# has.
 FLEET_SIZE_CHANGE_FRACTION = 0.1
-
-
 Starting = ColdStartSettings  # the former name, until its last users have the new one
 
 
 def load(path: str) -> ExtensionFactory:
-    """Read its file."""
-    settings = load_extension_settings(path, "starting", ColdStartSettings, lambda _: None)
+    """The extension with the settings of this file; raises ``ConfigurationError``."""
+    settings = load_cold_start_settings(path)
     return lambda context: ColdStartExtension(context, settings)
 
 
 class ColdStartExtension(Extension):
-    """Polls service discovery and opens connections at the fleet's pace; see ``EndpointFilter``."""
+    """Gives discovery its ``PollBackoff``, and is the call servers' ``EndpointFilter``."""
 
     def __init__(self, context: ExtensionContext, settings: ColdStartSettings) -> None:
         self._context, self._settings = context, settings
         configured = read_settings(context.configuration.settings)
-        self._instances = configured.instances
+        self._configured_fleet_size = configured.instances
         self._rng = random.Random(int(context.configuration.seed, 16))
         groups = (None if c.pools is None else frozenset(c.pools) for c in configured.classes)
         self._subset = RendezvousSubset(
@@ -44,7 +42,7 @@
             self._has_calls,
             lambda: settings.proxies_per_server / self._fleet_size(),
         )
-        self._announced_fleet_size = 0  # proxies, when the module last heard how many share a server
+        self._announced_fleet_size = 0  # by which the controller knows how many proxies share a server
         if (polls_per_s := settings.polls_per_s) > 0:
             first_per_s = settings.first_per_s or polls_per_s
             context.discovery.use_poll_backoff(
@@ -58,14 +56,14 @@
             self._check_subset()
 
     def is_ready(self) -> bool:
-        """See ``Extension``; guards callers against one without a list, which could only reject them."""
+        """See ``Extension``; a proxy without an endpoint list could only reject its callers."""
         return not self._settings.ready_with_list or bool(self._context.servers.processes())
 
     def export_metrics(self) -> None:
         """See ``Extension``."""
         self._context.counters.set("starting.servers_kept", len(self._context.servers.processes()))
 
-    # ------------------------------------------------------------------------------------ for the servers
+    # ------------------------------------------------------------------------------- EndpointFilter
 
     def select(self, complete: bool, instances: list[Endpoint]) -> list[Endpoint]:
         """See ``EndpointFilter``."""
@@ -73,20 +71,26 @@
         return self._subset.select(complete, instances)
 
     def annotate(self, server: api.Server) -> api.Server:
-        """See ``EndpointFilter``; a lease of the fleet's set-ups is divided among this proxy's servers."""
+        """See ``EndpointFilter``: how many proxies share the server, and this proxy's first rate there."""
         senders = self._subset.senders(server.pool, self._announced_fleet_size)
         if not (fleet_rate_per_s := self._settings.initial_rate_per_s):
             return replace(server, senders=senders)
-        fraction = self._context.fleet_set_up_fraction()
-        fraction = (
-            1.0 / (senders or self._announced_fleet_size)
-            if fraction is None
-            else min(1.0, fraction * self._subset.ready_per_selected())
-        )
-        return replace(server, senders=senders, initial_rate_per_s=fleet_rate_per_s * fraction)
+        rate_per_s = fleet_rate_per_s * self._fleet_fraction(senders)
+        return replace(server, senders=senders, initial_rate_per_s=rate_per_s)
+
+    def _fleet_fraction(self, senders: int | None) -> float:
+        """This proxy's fraction of the fleet's set-ups at one server, which ``senders`` proxies share.
+
+        A lease of a set-ups budget is a fraction of the fleet's set-ups at all servers; this proxy has it for
+        fewer servers, so at each of them its fraction is larger.
+        """
+        leased = self._context.fleet_set_up_fraction()
+        if leased is None:
+            return 1.0 / (senders or self._announced_fleet_size)
+        return min(1.0, leased * self._subset.ready_per_selected())
 
     def initial_delay_ms(self) -> float:
-        """See ``EndpointFilter``."""
+        """See ``EndpointFilter``: uniform, so that the fleet connects at ``connections_per_s``."""
         if not (per_s := self._settings.connections_per_s):
             return 0.0
         return self._rng.uniform(0.0, SECOND_MS * self._fleet_size() / per_s)
@@ -98,19 +102,21 @@
     # ------------------------------------------------------------------------------------
 
     def _has_calls(self, server_id: str) -> bool:
-        """Guards a release that is still on its way to a server against the end of our connection to it."""
+        """Whether a call of ours is at the server, or a release that it may not have received yet."""
         return self._context.exchange.has_calls_at(server_id) or self._context.servers.has_unsettled_releases(
             server_id
         )
 
     def _fleet_size(self) -> int:
-        return max(1, self._context.fleet_size() or self._instances)
+        """Proxies in the fleet, or in the settings where nothing counts them."""
+        return max(1, self._context.fleet_size() or self._configured_fleet_size)
 
     def _check_subset(self) -> None:
+        """Select again where a server can be released or the fleet's size has changed; repeats itself."""
+        change = abs(self._fleet_size() - self._announced_fleet_size)
         if (
             self._subset.can_release_endpoints()
-            or abs(self._fleet_size() - self._announced_fleet_size)
-            > FLEET_SIZE_CHANGE_FRACTION * self._announced_fleet_size
+            or change > FLEET_SIZE_CHANGE_FRACTION * self._announced_fleet_size
         ):
             self._context.servers.listed(False, [])
         self._context.scheduler.call_later(CHECK_INTERVAL_MS, self._check_subset)
--- a/canvasplank/cold_start/rendezvous_hashing.py
+++ b/canvasplank/cold_start/rendezvous_hashing.py
@@ -1,9 +1,9 @@
-"""Which call servers one of hundreds of proxies keeps to, and how many share each.
+"""Rendezvous hashing: which call servers belong to a proxy's subset, and how many proxies share a server.
 
-No I/O and no clock.  By rendezvous hashing: every proxy ranks the servers of each zone by a hash of both
-names and keeps to the first of its rankings, of each zone in proportion to its size.  So nobody has to agree
-on anything, a server that comes or goes moves few proxies but those that keep to it, and a proxy whose zone
-is cut off from the others still has servers.
+No I/O and no clock.  Each proxy ranks the servers of each zone by a hash of both names and selects the first
+of each ranking, of each zone in proportion to its size.  So the proxies need not communicate, a server that
+comes or goes changes few subsets but those that contain it, and a proxy whose zone is cut off from the others
+still has servers.
 """
 
 from __future__ import annotations
@@ -15,21 +15,24 @@
 
 from canvasplank.config.discovery_events import Endpoint
 
-# Roots of the mean: about one server in a thousand is shared by more than that over the mean.
+# Of the number of sharers, above the mean: about one server in a thousand is shared by more than that.
 SHARERS_STANDARD_DEVIATIONS = 3.0
+HASH_RANGE = 2**64
 Pools = frozenset[int]
 
 
-def _hash_fraction(name: str, of: str) -> float:
-    """From 0 to 1, the same everywhere; a machine's or version's own hash would differ."""
-    return xxhash.xxh64_intdigest(f"{name}\0{of}".encode()) / 2**64
+def _hash_fraction(name: str, key: str) -> float:
+    """A hash from 0 to 1, the same on every machine and in every version, which Python's own is not."""
+    return xxhash.xxh64_intdigest(f"{name}\0{key}".encode()) / HASH_RANGE
 
 
 def rank(name: str, servers: Iterable[Endpoint]) -> list[str]:
-    """All servers, those first that this proxy keeps to: any first few are of each zone by its size.
+    """All servers in this proxy's order of preference; any first few are of each zone in proportion to its
+    size.
 
-    The ranking of a zone with n servers stands at u/n, (1 + u)/n, ... (n - 1 + u)/n of the way, u being drawn
-    for the proxy: so each server is as likely among the first few, and no zone is missing by chance.
+    The n servers of a zone are placed at u/n, (1 + u)/n, ... (n - 1 + u)/n, with an offset u hashed from the
+    proxy and the zone, and the zones are merged by place.  So every server is as likely to be among the first
+    few, and no zone is missing by chance.
     """
     zones: dict[str, list[str]] = {}
     for server in servers:
@@ -38,15 +41,17 @@
     for zone, server_ids in zones.items():
         offset = _hash_fraction(name, f"zone {zone}")
         ranked = sorted(server_ids, key=lambda server_id: _hash_fraction(name, server_id))
-        places += [((place + offset) / len(ranked), server_id) for place, server_id in enumerate(ranked)]
+        places += [
+            ((position + offset) / len(ranked), server_id) for position, server_id in enumerate(ranked)
+        ]
     return [server_id for _, server_id in sorted(places)]
 
 
 def subset_size(servers: int, servers_per_class: int, min_fraction: float) -> int:
-    """How many of a group of servers a proxy keeps to: ``servers_per_class``, or what ``min_fraction`` of
-    them makes.
+    """The size of a subset of so many servers: ``servers_per_class``, or ``min_fraction`` of them if that is
+    more.
 
-    Guards a small fleet against servers that chance gives to none of its proxies, or to too few.
+    In a small fleet a fixed size would leave servers to no proxy at all, or to too few.
     """
     return min(servers, max(servers_per_class, math.ceil(min_fraction * servers)))
 
@@ -58,9 +63,10 @@
     servers_per_class: int,
     min_fraction: float = 0.0,
 ) -> set[str]:
-    """Of the servers that may take a class of call, by its ``Pools`` (None: any), the first of its ranking.
+    """The subset of a proxy: for each class of call, the first of the servers that may take it.
 
-    Guards a class that few servers may take against a subset with none of them.
+    ``groups``: the pools of each class of call (None: any).  Chosen from all servers at once, a subset might
+    contain none for a class that few may take.
     """
     chosen: set[str] = set()
     for pools in set(groups):
@@ -77,10 +83,10 @@
     proxies: int,
     min_fraction: float = 0.0,
 ) -> int:
-    """How many of so many proxies keep to a server of this cell: no more than this, but for rare chance.
+    """An upper bound, but for rare chance, on the proxies of a fleet that share a server of this cell.
 
     A proxy that has a server among the first of a larger group has it, but for a zone's rounding, among those
-    of a smaller one within it; so only the smallest groups add up.
+    of a smaller group within it; so only the smallest groups add up.
     """
     cells = [instance.cell for instance in ready]
     every = frozenset(cells)
@@ -88,8 +94,8 @@
     holding = {group for group in holding if cell in group}
     smallest = [group for group in holding if not any(other < group for other in holding)]
     sizes = [sum(each in group for each in cells) for group in smallest]
-    chance = sum(subset_size(size, servers_per_class, min_fraction) / size for size in sizes)
-    if chance >= 1.0:
+    probability = sum(subset_size(size, servers_per_class, min_fraction) / size for size in sizes)
+    if probability >= 1.0:
         return proxies
-    mean = proxies * chance
+    mean = proxies * probability
     return min(proxies, math.ceil(mean + SHARERS_STANDARD_DEVIATIONS * math.sqrt(mean)))
--- a/canvasplank/cold_start/rendezvous_subset.py
+++ b/canvasplank/cold_start/rendezvous_subset.py
@@ -1,4 +1,6 @@
-"""One proxy's servers as they come and go.  No I/O and no clock."""
+"""The subset of the call servers that one proxy connects to, as the endpoint list changes.  No I/O and no
+clock.
+"""
 
 from __future__ import annotations
 
@@ -13,7 +15,7 @@
 
 
 class RendezvousSubset:
-    """One proxy's servers as they come and go."""
+    """One proxy's subset; ``select`` updates it."""
 
     def __init__(
         self,
@@ -23,26 +25,25 @@
         has_calls: Callable[[str], bool],
         min_fraction: Callable[[], float] = float,
     ) -> None:
-        """``servers_per_class``: servers for each class of call, 0 for all; ``has_calls``: whether a server
-        has calls.
+        """The subset of the proxy of this name; ``groups``: the pools of each class of call (None: any).
 
-        ``min_fraction``: so large a part of them at least, which may change with the fleet.
+        ``servers_per_class``: servers for each class of call, 0 for all; ``min_fraction``: at least this
+        fraction of them, which may change with the fleet; ``has_calls``: whether a server has calls of ours.
         """
-        self._name, self._groups, self._servers_per_class, self._has_calls = (
-            name,
-            tuple(groups),
-            servers_per_class,
-            has_calls,
-        )
+        self._name = name
+        self._groups = tuple(groups)
+        self._servers_per_class = servers_per_class
+        self._has_calls = has_calls
         self._min_fraction = min_fraction
         self._listed: dict[str, Endpoint] = {}
         self._selected: set[str] = set()
 
     def select(self, complete: bool, instances: list[Endpoint]) -> list[Endpoint]:
-        """The whole of what this proxy keeps to after this news of the list, which may be none.
+        """Apply an update of the endpoint list, which may be empty; the complete subset after it.
 
-        One that is no longer among them drains: nothing new goes there, and it is kept until no call stands
-        there, so that their releases find somebody.
+        A server that leaves the subset is draining in it until it has no calls of ours, so that their
+        releases still find a connection.  One that is draining itself stays in the subset of those that have
+        it.
         """
         apply_event(self._listed, DiscoveryEvent(0, EndpointListUpdate(instances, reset=complete)))
         chosen = self._choose()
@@ -56,7 +57,7 @@
         return selected
 
     def senders(self, cell: int, proxies: int) -> int | None:
-        """How many of the proxies share a server of this cell; None: all do."""
+        """How many of the proxies share a server of this cell, at most; None: all do."""
         if not self._servers_per_class:
             return None
         return max_sharers(
@@ -64,21 +65,22 @@
         )
 
     def ready_per_selected(self) -> float:
-        """Over so many times as many servers as this one's the fleet's set-ups go."""
-        ready = len(self._ready())
-        kept = sum(i.lifecycle == READY and i.instance_id in self._selected for i in self._listed.values())
-        return max(1.0, ready / kept) if kept else 1.0
+        """Ready servers in the list, divided by those of them in the subset; at least 1."""
+        ready = self._ready()
+        selected = sum(instance.instance_id in self._selected for instance in ready)
+        return max(1.0, len(ready) / selected) if selected else 1.0
 
     def can_release_endpoints(self) -> bool:
-        """Whether a server is held still that this proxy no longer keeps to, and no call stands there now."""
-        left = self._selected - self._choose()
+        """Whether ``select`` would drop a server that has left the subset and now has no calls of ours."""
         return any(
-            self.is_listed(each) and self._listed[each].lifecycle == READY and not self._has_calls(each)
-            for each in left
+            self.is_listed(server_id)
+            and self._listed[server_id].lifecycle == READY
+            and not self._has_calls(server_id)
+            for server_id in self._selected - self._choose()
         )
 
     def is_listed(self, server_id: str) -> bool:
-        """Whether the list still names it, whoever keeps to it."""
+        """Whether the endpoint list names it, in the subset or not."""
         return server_id in self._listed
 
     def _choose(self) -> set[str]:
--- a/tests/test_cold_start.py
+++ b/tests/test_cold_start.py
@@ -1,4 +1,4 @@
-"""A fleet that starts at once, and a notice board in trouble: simulated by the hundred, and on processes."""
+"""Starts of a fleet and failing service discovery: simulated for hundreds, and with processes."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
 
 
 def polled(all_of_them, for_ms):
-    """When a board that is in trouble is polled, by proxies that start at once."""
+    """The times of the polls of proxies that start together, while every poll fails."""
     times = []
     for backoff in all_of_them:
         at = backoff.initial_delay()
@@ -52,12 +52,12 @@
 
 
 class TestPollBackoff:
-    """The rule without processes."""
+    """The delays without processes."""
 
     @pytest.mark.parametrize("count", [100, 300, 1000, 5000])
     def test_the_fleet_poll_rate_does_not_grow_with_the_fleet(self, count):
         period_ms = 1000 * count / 30
-        first_ms, lasts_ms = 4 * period_ms, 10 * period_ms  # until nobody is in step, and long enough to tell
+        first_ms, lasts_ms = 4 * period_ms, 10 * period_ms  # until spread, and long enough to measure
         times = polled(backoffs(count), first_ms + lasts_ms)
         lasting = [at for at in times if at > first_ms]
         assert 0.85 * 30 <= 1000 * len(lasting) / lasts_ms <= 1.15 * 30
@@ -67,7 +67,7 @@
 
     @pytest.mark.parametrize("count", [100, 300, 5000])
     def test_no_wait_is_much_longer_than_the_poll_period(self, count):
-        """Drawn from nothing to two turns each time, the unluckiest heard of the board's return 20 s late."""
+        """With delays from 0 to 2 periods, the unluckiest proxy noticed discovery's recovery 20 s late."""
         period_ms = 1000 * count / 30
         for backoff in backoffs(count)[:100]:
             backoff.initial_delay()
@@ -114,9 +114,12 @@
         ("Retry-After: 3", 3000.0),
         ("retry-after:  7 ", 7000.0),
         ("Retry-After: Tue, 01 Dec 2026 10:00:05 GMT\r\nDate: Tue, 01 Dec 2026 10:00:01 GMT", 4000.0),
-        ("Retry-After: Tue, 01 Dec 2026 10:00:00 GMT\r\nDate: Tue, 01 Dec 2026 10:00:01 GMT", 0.0),  # over
-        ("Retry-After: Tue, 01 Dec 2026 10:00:05 GMT", 0.0),  # against what
-        ("Retry-After: Tue, 01 Dec 2026 10:00:05\r\nDate: Tue, 01 Dec 2026 10:00:01 GMT", 0.0),  # of no zone
+        ("Retry-After: Tue, 01 Dec 2026 10:00:00 GMT\r\nDate: Tue, 01 Dec 2026 10:00:01 GMT", 0.0),  # past
+        ("Retry-After: Tue, 01 Dec 2026 10:00:05 GMT", 0.0),  # no date to compare
+        (
+            "Retry-After: Tue, 01 Dec 2026 10:00:05\r\nDate: Tue, 01 Dec 2026 10:00:01 GMT",
+            0.0,
+        ),  # no time zone
         ("Retry-After: soon", 0.0),
         ("Retry-After: -4", 0.0),
         ("Retry-After: \u0664", 0.0),
@@ -131,7 +134,7 @@
 
 
 def test_first_connections_are_spread_and_immediate_where_a_call_needs_one(tmp_path):
-    """Twelve processes that know the servers from the start: today each has a connection from all at once."""
+    """Twelve processes have the endpoint list from the start; unspread, all would connect at once."""
     count, per_s = 12, 4.0
     (tmp_path / "starting.toml").write_text(f"connections_per_s = {per_s}\n")
 
@@ -166,12 +169,12 @@
 
 
 class Rush:
-    """Processes that start at once and know nothing, and the polls at their board."""
+    """Processes that start together without an endpoint list, and their polls at service discovery."""
 
     def __init__(self, folder, started, environment) -> None:
         self.folder, self.started, self.environment = folder, started, environment
         self.discovery = started.discovery
-        started.in_configuration = False  # the board alone names the servers
+        started.in_configuration = False  # discovery alone names the servers
 
     async def start(self, names) -> None:
         await asyncio.gather(
@@ -185,7 +188,7 @@
         return [poll for poll in self.discovery.polls if poll > at]
 
     async def connected_after_s(self, count: int) -> float:
-        """How long until so many are connected to the server, which the board alone names."""
+        """How long until so many are connected to the server, which only discovery names, in seconds."""
         started = now_s()
         async with asyncio.timeout(WAIT_S):
             while self.started.servers[0].connections < count:
@@ -199,7 +202,7 @@
 
 @asynccontextmanager
 async def rush(folder, count, polls_per_s, with_fleet_store=False):
-    """So many processes to start, all with the fleet's pace."""
+    """The processes to start, with the fleet's poll rate."""
     (folder / "starting.toml").write_text(
         f"polls_per_s = {polls_per_s}\nfirst_per_s = 24.0\nready_with_list = true\n"
     )
@@ -212,8 +215,8 @@
 
 
 @pytest.mark.parametrize("with_fleet_store", [False, True], ids=["alone", "with the fleet's rows"])
-def test_twenty_four_processes_spare_a_failing_discovery_and_notice_its_recovery(tmp_path, with_fleet_store):
-    """A quarter of them crash over and over meanwhile."""
+def test_twenty_four_processes_spare_a_failing_discovery_and_detect_its_recovery(tmp_path, with_fleet_store):
+    """A quarter of them crash repeatedly meanwhile."""
     count, polls_per_s = 24, 8.0
 
     async def run():
@@ -226,7 +229,7 @@
                 await fresh.start([f"c{round_number}{n}" for n in range(6)])
             started = now_s()
             await asyncio.sleep(5.0)
-            # 24 alive at 8 a second; by the doubling waits alone there would be 30 a second.
+            # 24 alive at 8 a second; with the doubling backoff alone there would be 30 a second.
             assert len(fresh.polls_since(started)) / 5.0 <= 1.75 * polls_per_s
             assert most_in(sorted(fresh.discovery.polls), 0.1) <= 12
             fresh.discovery.in_trouble = False
@@ -236,13 +239,13 @@
             assert recovery_s <= (5.0 if with_fleet_store else 2 * count / polls_per_s + 2.0)
             settled = len(fresh.discovery.polls)
             await asyncio.sleep(2.0)
-            assert len(fresh.discovery.polls) <= settled + 1, "who hears it asks no more"
+            assert len(fresh.discovery.polls) <= settled + 1, "a connected proxy does not poll"
 
     asyncio.run(run())
 
 
 def test_half_of_the_processes_are_cut_off_from_discovery_and_the_others_are_served(tmp_path):
-    """Those beyond the cut are not ready, go on asking at the fleet's rate, and hear it once it is healed."""
+    """Those cut off are not ready, poll at the fleet's rate, and are connected once the link is back."""
     count, polls_per_s = 24, 8.0
 
     async def run():
@@ -255,7 +258,7 @@
             await fresh.connected_after_s(count // 2)
             started, connections_before = now_s(), far.connections
             await asyncio.sleep(4.0)
-            assert len(fresh.polls_since(started)) <= 2, "who hears it asks no more"
+            assert len(fresh.polls_since(started)) <= 2, "a connected proxy does not poll"
             assert (far.connections - connections_before) / 4.0 <= 1.75 * polls_per_s
             assert {proxy.name: await passes_test(proxy.address) for proxy in fresh.started.proxies[:8]} == {
                 proxy.name: proxy.name[0] == "n" for proxy in fresh.started.proxies[:8]
@@ -278,7 +281,7 @@
             await asyncio.sleep(4.0)
             assert len(fresh.polls_since(started)) / 4.0 <= 1.75 * polls_per_s
             fresh.discovery.stalled, fresh.discovery.busy_s = False, 60
-            await asyncio.sleep(2 * count / polls_per_s + 2.0)  # all have been told by now, or hang no more
+            await asyncio.sleep(2 * count / polls_per_s + 2.0)  # each has Retry-After, or has timed out
             started = now_s()
             await asyncio.sleep(2.0)
             assert not fresh.polls_since(started)
--- a/tests/test_rendezvous_subset.py
+++ b/tests/test_rendezvous_subset.py
@@ -1,4 +1,4 @@
-"""Which servers each of hundreds of proxies keeps to: by itself, in the module, and on processes."""
+"""Subsets of the call servers for hundreds of proxies: the choice, in the controller, and with processes."""
 
 from __future__ import annotations
 
@@ -47,7 +47,7 @@
 
     @pytest.mark.parametrize("sizes", [(8, 8, 8), (12, 8, 4), (20, 3, 1)])
     def test_each_zone_has_its_quota_and_each_server_about_as_many_proxies(self, sizes):
-        """Drawn from all at once, one proxy in sixty had no server in its own of three zones."""
+        """Ranked without zones, one proxy in sixty had no server in its own of three zones."""
         listed = [
             Endpoint(f"s-{zone}-{n}", "x:1", "ready", zone=f"z{zone}")
             for zone, size in enumerate(sizes)
@@ -63,13 +63,15 @@
         assert max(shared.values()) <= max_sharers(0, listed, ALL, 8, 600)
         assert min(shared.values()) >= 200 - 4 * math.sqrt(200)
 
-    @pytest.mark.parametrize(("proxies", "servers", "most"), [(300, 24, 8), (500, 12, 4), (5000, 200, 16)])
-    def test_sharers_are_about_even_and_bounded_by_max_sharers(self, proxies, servers, most):
+    @pytest.mark.parametrize(
+        ("proxies", "servers", "per_class"), [(300, 24, 8), (500, 12, 4), (5000, 200, 16)]
+    )
+    def test_sharers_are_about_even_and_bounded_by_max_sharers(self, proxies, servers, per_class):
         listed = instances(servers)
-        shared = Counter(s for name in names(proxies) for s in choose(name, listed, ALL, most))
-        bound = max_sharers(0, listed, ALL, most, proxies)
-        mean = proxies * most / servers
-        assert len(shared) == servers and sum(shared.values()) == proxies * most
+        shared = Counter(s for name in names(proxies) for s in choose(name, listed, ALL, per_class))
+        bound = max_sharers(0, listed, ALL, per_class, proxies)
+        mean = proxies * per_class / servers
+        assert len(shared) == servers and sum(shared.values()) == proxies * per_class
         assert min(shared.values()) > mean - 4 * math.sqrt(mean)
         assert max(shared.values()) <= 1.05 * bound and bound < 1.5 * mean
         assert sum(each > bound for each in shared.values()) <= servers / 100
@@ -79,14 +81,16 @@
     def test_no_server_is_left_out_or_overloaded_in_a_fleet_of_any_size_with_the_deployed_subset(
         self, proxies, servers
     ):
-        """With eight of 24 each, four proxies left 4 or 5 servers without any."""
+        """With eight of 24 each, four proxies left 4 or 5 servers without a proxy."""
         figures = tomllib.loads((ROOT / "deploy" / "subset.toml").read_text())
-        most, min_fraction = figures["servers_per_proxy"], figures["proxies_per_server"] / proxies
+        per_class, min_fraction = figures["servers_per_proxy"], figures["proxies_per_server"] / proxies
         listed = instances(servers)
-        shared = Counter(s for name in names(proxies) for s in choose(name, listed, ALL, most, min_fraction))
+        shared = Counter(
+            s for name in names(proxies) for s in choose(name, listed, ALL, per_class, min_fraction)
+        )
         assert len(shared) == servers
         assert max(shared.values()) <= 1.75 * sum(shared.values()) / servers
-        assert max(shared.values()) <= max_sharers(0, listed, ALL, most, proxies, min_fraction)
+        assert max(shared.values()) <= max_sharers(0, listed, ALL, per_class, proxies, min_fraction)
 
     def test_a_server_that_goes_moves_only_the_proxies_that_selected_it(self):
         listed = instances(24)
@@ -122,13 +126,13 @@
 
 
 class TestListChanges:
-    """A proxy's subset as the list changes."""
+    """A proxy's subset as the endpoint list changes."""
 
-    def subset(self, with_calls: set[str], most: int = 2) -> RendezvousSubset:
-        return RendezvousSubset("proxy-0", ALL, most, with_calls.__contains__)
+    def subset(self, with_calls: set[str], per_class: int = 2) -> RendezvousSubset:
+        return RendezvousSubset("proxy-0", ALL, per_class, with_calls.__contains__)
 
     def test_without_a_subset_size_all_are_selected(self):
-        assert len(self.subset(set(), most=0).select(True, instances(9))) == 9
+        assert len(self.subset(set(), per_class=0).select(True, instances(9))) == 9
 
     def test_a_replaced_server_drains_until_it_has_no_calls(self):
         first, second, third = rank("proxy-0", instances(3))
@@ -172,7 +176,7 @@
 
 
 class TestController:
-    """What the module makes of it."""
+    """What the controller does with the number of sharers and the initial rate."""
 
     def test_the_even_share_counts_only_the_proxies_that_share_the_server(self):
         """With three of twelve proxies at a server, a twelfth of it each would leave most of it idle."""
@@ -222,14 +226,14 @@
     ],
 )
 def test_a_server_stays_selected_while_a_release_to_it_is_unsettled(pending, unconfirmed, unsettled):
-    """It was let go with the release of its last call unsent, and would have kept that call's line."""
+    """It was dropped with the release of its last call unsent, and would have held that call's line."""
     servers = Servers.__new__(Servers)
     servers.scheduler = SimpleNamespace(now_ms=10_000.0)
     servers._peers = {
         "s-0": SimpleNamespace(pending_releases=pending, streams=[SimpleNamespace(unconfirmed=unconfirmed)])
     }
     assert servers.has_unsettled_releases("s-0") is unsettled and not servers.has_unsettled_releases("s-1")
-    host = Fake(100)
+    host = FakeContext(100)
     host.servers.has_unsettled_releases = servers.has_unsettled_releases
     start = ColdStartExtension(host, ColdStartSettings(servers_per_proxy=1))
     start.select(True, instances(1))
@@ -237,10 +241,10 @@
     assert (remaining.get("s-0") == "draining") is unsettled, "eight better ones have come"
 
 
-class Fake:
-    """A host with nothing behind it but what a start asks of it."""
+class FakeContext:
+    """An extension context with only what the cold start uses."""
 
-    def __init__(self, instances: int, members: int = 0, part: float | None = None) -> None:
+    def __init__(self, instances: int, members: int = 0, fraction: float | None = None) -> None:
         example = json.loads((ROOT / "examples" / "config.json").read_text())
         example["settings"]["instances"] = instances
         self.configuration = SimpleNamespace(settings=example["settings"], seed="1", name="proxy-0")
@@ -249,36 +253,36 @@
         self.servers = SimpleNamespace(
             processes=list, has_unsettled_releases=lambda _: False, use_endpoint_filter=lambda _: None
         )
-        self.fleet_size, self.fleet_set_up_fraction = lambda: members, lambda: part
+        self.fleet_size, self.fleet_set_up_fraction = lambda: members, lambda: fraction
 
 
 @pytest.mark.parametrize(
-    ("members", "part", "servers_per_proxy", "initial_rate_per_s"),
+    ("members", "fraction", "servers_per_proxy", "initial_rate_per_s"),
     [
-        (0, None, 0, 30.0 / 100),  # one of those that the settings name
-        (60, None, 0, 30.0 / 60),  # of those that the fleet's rows name
-        (60, 0.2, 0, 30.0 * 0.2),  # what the lease makes it
-        (0, None, 3, 30.0 / (100 // 4 + 15)),  # of those that share a server
-        (60, 0.01, 3, 30.0 * 0.01 * 4),  # its lease, over a quarter of the servers
-        (60, 0.9, 3, 30.0),  # and no more than all
+        (0, None, 0, 30.0 / 100),  # one of the number in the settings
+        (60, None, 0, 30.0 / 60),  # of the members of the fleet's database
+        (60, 0.2, 0, 30.0 * 0.2),  # its lease's fraction
+        (0, None, 3, 30.0 / (100 // 4 + 15)),  # one of the sharers of a server
+        (60, 0.01, 3, 30.0 * 0.01 * 4),  # its lease, at a quarter of the servers
+        (60, 0.9, 3, 30.0),  # at most all
     ],
 )
 def test_the_initial_rate_is_a_fraction_of_the_fleet_rate(
-    members, part, servers_per_proxy, initial_rate_per_s
+    members, fraction, servers_per_proxy, initial_rate_per_s
 ):
     settings_file = ColdStartSettings(initial_rate_per_s=30.0, servers_per_proxy=servers_per_proxy)
-    start = ColdStartExtension(Fake(100, members, part), settings_file)
+    start = ColdStartExtension(FakeContext(100, members, fraction), settings_file)
     start.select(True, instances(12))
     entry = start.annotate(api.Server("s-0", 0, api.ServerState.READY))
     assert entry.initial_rate_per_s == pytest.approx(initial_rate_per_s)
 
 
 def test_a_proxy_selects_more_servers_as_its_fleet_gets_smaller():
-    """By the settings' number of instances, or the fleet's rows where they are on."""
+    """By the number of instances in the settings, or of the fleet's members where the fleet is on."""
 
     def selected_by(members: int) -> int:
         start = ColdStartExtension(
-            Fake(100, members), ColdStartSettings(servers_per_proxy=3, proxies_per_server=25)
+            FakeContext(100, members), ColdStartSettings(servers_per_proxy=3, proxies_per_server=25)
         )
         selected = start.select(True, instances(24))
         assert all(start.annotate(to_server(i)).senders <= (members or 100) for i in selected)
@@ -288,10 +292,10 @@
 
 
 def test_initial_rates_of_all_proxies_sum_to_no_more_than_the_fleet_rate():
-    """By shares of a lease, however uneven, and by those who share each server."""
+    """Each takes one share of the sharers of each server."""
     listed, sums = instances(12), Counter()
     for name in names(100):
-        fake = Fake(100)
+        fake = FakeContext(100)
         fake.configuration.name = name
         start = ColdStartExtension(fake, ColdStartSettings(initial_rate_per_s=30.0, servers_per_proxy=3))
         for instance in start.select(True, listed):
@@ -300,10 +304,12 @@
 
 
 def test_twenty_four_processes_connect_to_four_of_twelve_servers_each(tmp_path):
-    """Connections, service, a server that drains, and the release of a call at one that others now have."""
-    count, most = 24, 4
+    """Connections, service, a draining server, and the release of a call at a server that has left the
+    subset.
+    """
+    count, per_class = 24, 4
     (tmp_path / "starting.toml").write_text(
-        f"servers_per_proxy = {most}\nconnections_per_s = 200.0\nbegin_per_s = 50.0\n"
+        f"servers_per_proxy = {per_class}\nconnections_per_s = 200.0\nbegin_per_s = 50.0\n"
     )
 
     async def run():
@@ -320,24 +326,24 @@
             callers = Callers(seed=1, pools=12)
             await asyncio.gather(*(callers.add_proxy(proxy.address) for proxy in started.proxies))
 
-            async def held(listed):
-                expected = Counter(s for n in range(count) for s in choose(f"n{n}", listed, ALL, most))
+            async def connected_to_subsets(listed):
+                expected = Counter(s for n in range(count) for s in choose(f"n{n}", listed, ALL, per_class))
                 async with asyncio.timeout(WAIT_S):
                     while any(server.connections != expected[server.name] for server in servers):
                         await asyncio.sleep(0.05)
 
-            await held(instances(10))
+            await connected_to_subsets(instances(10))
             made = [callers.place(time.time()) for _ in range(120)]
             await callers.settled(WAIT_S)
             assert sum(t.outcome == "served" for t in made) >= 0.95 * len(made)
-            standing = [t for t in made if t.outcome == "served"]
-            # Two more come, and take their places with some, while the calls stand at those they had.
+            established = [t for t in made if t.outcome == "served"]
+            # Two more come and enter some subsets, while calls are established at the servers they replace.
             await started.list(*servers)
             async with asyncio.timeout(WAIT_S):
-                while any(t.released_s is None for t in standing):
+                while any(t.released_s is None for t in established):
                     await asyncio.sleep(0.05)
-            assert all(t.released_s - t.answered_s < 2.5 + 1.0 for t in standing), "each by its own server"
-            await held(instances(12))
+            assert all(t.released_s - t.answered_s < 2.5 + 1.0 for t in established), "each by its own server"
+            await connected_to_subsets(instances(12))
             assert all(server.connections < count for server in servers)
             await callers.stop()
 
