--- a/canvasplank/warm_start/config.py
+++ b/canvasplank/warm_start/config.py
@@ -12,31 +12,34 @@
 
 from canvasplank.config.addresses import parse_address
 from canvasplank.config.extension_file import load_extension_settings
-from canvasplank.warm_start.start_hints import HALF_LIFE_MS, MOST_AGE_MS
+from canvasplank.warm_start.start_hints import HALF_LIFE_MS, MAX_AGE_MS
 
 Positive = Annotated[float, msgspec.Meta(gt=0, le=3_600_000)]
 
 
-class Learning(msgspec.Struct, forbid_unknown_fields=True):
+class WarmStartSettings(msgspec.Struct, forbid_unknown_fields=True):
     """Whom to ask at the start (``peer``, ``peers``), where to answer others (``listen``), how age counts."""
 
     peer: str = ""
     peers: list[str] = []
     listen: str = ""
-    bound_ms: Positive = 500.0
+    timeout_ms: Positive = msgspec.field(name="bound_ms", default=500.0)
     half_life_ms: Positive = HALF_LIFE_MS
-    most_age_ms: Positive = MOST_AGE_MS
+    max_age_ms: Positive = msgspec.field(name="most_age_ms", default=MAX_AGE_MS)
 
-    def asked(self) -> list[str]:
+    def peer_addresses(self) -> list[str]:
         """Every peer that may be asked, once."""
         return list(dict.fromkeys(filter(None, [self.peer, *self.peers])))
 
 
-def load_learning(path: str) -> Learning:
+def load_warm_start_settings(path: str) -> WarmStartSettings:
     """Read the file."""
-    return load_extension_settings(path, "learning", Learning, _check)
+    return load_extension_settings(path, "learning", WarmStartSettings, _check)
 
 
-def _check(learning: Learning) -> None:
-    for address in (*learning.asked(), *filter(None, [learning.listen])):
+load_learning = load_warm_start_settings  # the former name, until its last users have the new one
+
+
+def _check(settings: WarmStartSettings) -> None:
+    for address in (*settings.peer_addresses(), *filter(None, [settings.listen])):
         parse_address(address)
--- a/canvasplank/warm_start/server.py
+++ b/canvasplank/warm_start/server.py
@@ -12,26 +12,26 @@
 
 from canvasplank.config.addresses import parse_address
 from canvasplank.runtime.streams import close_writer
-from canvasplank.warm_start.peer_snapshot import ASK, PeerView, encode, framed
+from canvasplank.warm_start.peer_snapshot import VIEW_REQUEST, PeerSnapshot, encode, frame
 
 LOG = logging.getLogger(__name__)
-LINE_WAIT_S = 1.0
-MOST_AT_ONCE = 8  # new instances are few; more at once are closed unanswered
+REQUEST_TIMEOUT_S = 1.0
+MAX_CONNECTIONS = 8  # new instances are few; more at once are closed unanswered
 
 
-class Exporter:
+class SnapshotServer:
     """Answers ``view``; anything else, or nothing within a second, ends the connection unanswered."""
 
-    def __init__(self, produce: Callable[[], PeerView]) -> None:
+    def __init__(self, produce: Callable[[], PeerSnapshot]) -> None:
         self._produce = produce
         self._server: asyncio.Server | None = None
-        self._at_once = 0
+        self._connections = 0
         self.counts = {"asked": 0, "given": 0, "refused": 0}
 
     async def listen(self, address: str) -> None:
         """Open the listener for new instances."""
         host, port = parse_address(address)
-        self._server = await asyncio.start_server(self._serve, host, port, limit=len(ASK) + 64)
+        self._server = await asyncio.start_server(self._serve, host, port, limit=len(VIEW_REQUEST) + 64)
 
     def close(self) -> None:
         """Listen no more."""
@@ -39,21 +39,21 @@
             self._server.close()
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        self._at_once += 1
+        self._connections += 1
         self.counts["asked"] += 1
         try:
-            async with asyncio.timeout(LINE_WAIT_S):
+            async with asyncio.timeout(REQUEST_TIMEOUT_S):
                 line = await reader.readline()
-            if self._at_once > MOST_AT_ONCE or line != ASK:
+            if self._connections > MAX_CONNECTIONS or line != VIEW_REQUEST:
                 self.counts["refused"] += 1
                 return
-            writer.write(framed(encode(self._produce())))
-            async with asyncio.timeout(LINE_WAIT_S):
+            writer.write(frame(encode(self._produce())))
+            async with asyncio.timeout(REQUEST_TIMEOUT_S):
                 await writer.drain()
             self.counts["given"] += 1
         except (TimeoutError, ValueError, OSError) as error:
             self.counts["refused"] += 1
             LOG.info("a view was not given: %s", type(error).__name__)
         finally:
-            self._at_once -= 1
+            self._connections -= 1
             await close_writer(writer)
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -42,7 +42,7 @@
 from canvasplank.store.records import ANSWERED, OVER, Outcome
 from canvasplank.store.sqlite import Sqlite as StoreSqlite
 from canvasplank.warm_start import peer_snapshot
-from canvasplank.warm_start.peer_snapshot import Learned, PeerView, exported
+from canvasplank.warm_start.peer_snapshot import PeerSnapshot, ServerSnapshot, make_snapshot
 from canvasplank.worker import export_files, usage_ledger
 from canvasplank.worker.usage_ledger import Sum
 
@@ -160,7 +160,7 @@
         api.LearnedServer("core-a", START_MS - 5000.0, 12.5, False, False, START_MS - 100.0),
         api.LearnedServer("core-b", None, None, True, True, START_MS + 500.0),
     ]
-    return peer_snapshot.encode(exported("proxy-1", learned, float(START_MS)))
+    return peer_snapshot.encode(make_snapshot("proxy-1", learned, float(START_MS)))
 
 
 SUMS = [
@@ -341,18 +341,18 @@
 
 def test_a_peer_s_view_is_read_and_sent_the_same():
     data = (STORED / "peer-view.msgpack").read_bytes()
-    assert peer_snapshot.decode(data) == PeerView(
+    assert peer_snapshot.decode(data) == PeerSnapshot(
         1,
         "proxy-1",
         float(START_MS),
         [
-            Learned("core-a", START_MS - 5000.0, START_MS - 100.0, 12.5),
-            Learned("core-b", None, float(START_MS), None, True, True),
+            ServerSnapshot("core-a", START_MS - 5000.0, START_MS - 100.0, 12.5),
+            ServerSnapshot("core-b", None, float(START_MS), None, True, True),
         ],
     )
     assert peer_view() == data
-    assert peer_snapshot.ASK == b"view\n"
-    assert peer_snapshot.framed(data) == len(data).to_bytes(4, "big") + data
+    assert peer_snapshot.VIEW_REQUEST == b"view\n"
+    assert peer_snapshot.frame(data) == len(data).to_bytes(4, "big") + data
     sent = msgspec.msgpack.decode(data)
     assert list(sent) == ["version", "peer", "taken_ms", "servers"]
     assert list(sent["servers"][0]) == [
--- a/tests/test_warm_start.py
+++ b/tests/test_warm_start.py
@@ -7,33 +7,37 @@
 
 from canvasplank import interface as api
 from canvasplank.warm_start import peer_snapshot, start_hints
-from canvasplank.warm_start.peer_snapshot import Learned, PeerView, ViewError
-from canvasplank.warm_start.start_hints import Listed
+from canvasplank.warm_start.peer_snapshot import PeerSnapshot, ServerSnapshot, SnapshotError
+from canvasplank.warm_start.start_hints import ListedServer
 
 NOW = 1_800_000_000_000.0
 
 
-def seen(server: str = "s-1", age_ms: float = 0.0, started_ms: float | None = None, **more) -> Learned:
-    return Learned(server, started_ms, NOW - age_ms, **more)
+def server_snapshot(
+    server: str = "s-1", age_ms: float = 0.0, started_ms: float | None = None, **more
+) -> ServerSnapshot:
+    return ServerSnapshot(server, started_ms, NOW - age_ms, **more)
 
 
-def peer_view(*servers: Learned, taken_ms: float = NOW, version: int = peer_snapshot.VERSION) -> PeerView:
-    return PeerView(version, "n1", taken_ms, list(servers))
+def snapshot(
+    *servers: ServerSnapshot, taken_ms: float = NOW, version: int = peer_snapshot.FORMAT_VERSION
+) -> PeerSnapshot:
+    return PeerSnapshot(version, "n1", taken_ms, list(servers))
 
 
-def test_a_view_goes_and_comes_unchanged():
-    sent = peer_view(seen(rate_per_s=40.0, slow=True), seen("s-2", 800.0, 1.7e12))
+def test_a_snapshot_is_encoded_and_decoded_unchanged():
+    sent = snapshot(server_snapshot(rate_per_s=40.0, slow=True), server_snapshot("s-2", 800.0, 1.7e12))
     assert peer_snapshot.decode(peer_snapshot.encode(sent)) == sent
 
 
 @pytest.mark.parametrize(
     ("data", "why"),
     [
-        (peer_snapshot.encode(peer_view(seen()))[:-3], "cannot be read"),  # truncated
-        (b"\x00" * (peer_snapshot.MOST_BYTES + 1), "more than"),  # oversized
+        (peer_snapshot.encode(snapshot(server_snapshot()))[:-3], "cannot be read"),  # truncated
+        (b"\x00" * (peer_snapshot.MAX_BYTES + 1), "more than"),  # oversized
         (b"not a view", "cannot be read"),  # malformed
-        (peer_snapshot.encode(peer_view(seen(), version=2)), "version 2"),  # another release
-        (peer_snapshot.encode(peer_view(seen(age_ms=-5_000.0))), "after it was taken"),
+        (peer_snapshot.encode(snapshot(server_snapshot(), version=2)), "version 2"),  # another release
+        (peer_snapshot.encode(snapshot(server_snapshot(age_ms=-5_000.0))), "after it was taken"),
         (
             msgspec.msgpack.encode({"version": 1, "peer": "n1", "taken_ms": NOW, "servers": [], "extra": 1}),
             "cannot be read",
@@ -44,8 +48,8 @@
         ),
     ],
 )
-def test_a_view_that_is_not_whole_or_not_ours_is_refused(data, why):
-    with pytest.raises(ViewError, match=why):
+def test_an_incomplete_or_foreign_snapshot_is_rejected(data, why):
+    with pytest.raises(SnapshotError, match=why):
         peer_snapshot.decode(data)
 
 
@@ -54,54 +58,59 @@
     [(0, 1.0), (5_000, 0.5), (10_000, 0.25), (-50, 1.0), (60_000, 0.5**12), (60_001, 0.0)],
 )
 def test_weight_halves_with_each_half_life(age_ms, expected):
-    assert start_hints.weight(age_ms) == pytest.approx(expected)
+    assert start_hints.age_weight(age_ms) == pytest.approx(expected)
 
 
-def test_a_slowdown_seen_before_its_end_30_s_ago_is_not_kept():
+def test_a_slowdown_that_ended_30_s_ago_is_disregarded():
     """The hard case: the peer saw the server slow, the slowdown ended since, the new instance joins now."""
-    old = peer_view(seen(age_ms=30_000.0, rate_per_s=2.0, slow=True), taken_ms=NOW - 29_000.0)
-    [hint] = start_hints.hints(old, NOW, [Listed("s-1", None)], fresh_rate_per_s=50.0)
-    assert not hint.shun
+    old = snapshot(server_snapshot(age_ms=30_000.0, rate_per_s=2.0, slow=True), taken_ms=NOW - 29_000.0)
+    [hint] = start_hints.derive_start_hints(old, NOW, [ListedServer("s-1", None)], fresh_rate_per_s=50.0)
+    assert not hint.eject
     assert hint.rate_per_s == pytest.approx(50.0 - 48.0 / 64)
 
 
-def test_a_fresh_slowdown_is_taken():
-    [hint] = start_hints.hints(
-        peer_view(seen(age_ms=500.0, rate_per_s=2.0, slow=True)),
+def test_a_recent_slowdown_ejects_the_server():
+    [hint] = start_hints.derive_start_hints(
+        snapshot(server_snapshot(age_ms=500.0, rate_per_s=2.0, slow=True)),
         NOW,
-        [Listed("s-1", None)],
+        [ListedServer("s-1", None)],
         fresh_rate_per_s=50.0,
     )
-    assert hint.shun and hint.rate_per_s < 10.0
+    assert hint.eject and hint.rate_per_s < 10.0
 
 
 @pytest.mark.parametrize(
     "listed",
     [
         [],  # gone
-        [Listed("s-2", None)],  # another instanceId at its place
-        [Listed("s-1", NOW - 2_000.0)],  # the same name, a new process
+        [ListedServer("s-2", None)],  # another instanceId at its place
+        [ListedServer("s-1", NOW - 2_000.0)],  # the same name, a new process
     ],
 )
 def test_servers_gone_or_started_anew_are_dropped(listed):
-    assert start_hints.hints(peer_view(seen(rate_per_s=3.0, silent=True)), NOW, listed) == []
+    assert (
+        start_hints.derive_start_hints(snapshot(server_snapshot(rate_per_s=3.0, silent=True)), NOW, listed)
+        == []
+    )
 
 
 def test_a_peer_whose_clock_runs_ahead_is_not_used():
-    ahead = peer_view(seen(age_ms=-10_000.0, rate_per_s=1.0, silent=True), taken_ms=NOW + 10_000.0)
-    assert start_hints.hints(ahead, NOW, [Listed("s-1", None)]) == []
+    ahead = snapshot(server_snapshot(age_ms=-10_000.0, rate_per_s=1.0, silent=True), taken_ms=NOW + 10_000.0)
+    assert start_hints.derive_start_hints(ahead, NOW, [ListedServer("s-1", None)]) == []
 
 
-def test_without_a_fresh_figure_an_old_rate_is_not_kept():
-    [hint] = start_hints.hints(peer_view(seen(age_ms=20_000.0, rate_per_s=7.0)), NOW, [Listed("s-1", None)])
+def test_without_a_fresh_rate_an_old_rate_is_dropped():
+    [hint] = start_hints.derive_start_hints(
+        snapshot(server_snapshot(age_ms=20_000.0, rate_per_s=7.0)), NOW, [ListedServer("s-1", None)]
+    )
     assert hint.rate_per_s is None and hint.weight == pytest.approx(1 / 16)
 
 
-class TestTheModule:
+class TestController:
     """A running gateway's view, handed to a new one through the wire form, as the module hears it."""
 
     @staticmethod
-    def running(slowdown_at_ms: float) -> PeerView:
+    def running(slowdown_at_ms: float) -> PeerSnapshot:
         """A gateway that saw server a fall silent at that time, with b answering well."""
         from conftest import Gateway, ready
 
@@ -114,11 +123,13 @@
             peer.call(first=0)
             peer.until(peer.now + 300)
         return peer_snapshot.decode(
-            peer_snapshot.encode(peer_snapshot.exported("n1", peer.controller.learned_servers(), peer.now))
+            peer_snapshot.encode(
+                peer_snapshot.make_snapshot("n1", peer.controller.learned_servers(), peer.now)
+            )
         )
 
     @staticmethod
-    def joining(seen: PeerView, now_ms: float) -> int:
+    def joining(seen: PeerSnapshot, now_ms: float) -> int:
         """A new gateway takes the view, then gets 20 calls for pool 0 over 2 s while a is still silent and b
         answers; how many set-ups went to a."""
         from conftest import Gateway, ready
@@ -126,8 +137,10 @@
         new = Gateway(seed=2)
         new.now = now_ms
         new.servers(ready("a", 0), ready("b", 1))
-        listed = [Listed("a", None), Listed("b", None)]
-        for event in start_hints.told(start_hints.hints(seen, now_ms, listed, fresh_rate_per_s=None)):
+        listed = [ListedServer("a", None), ListedServer("b", None)]
+        for event in start_hints.to_warm_start_hints(
+            start_hints.derive_start_hints(seen, now_ms, listed, fresh_rate_per_s=None)
+        ):
             new.tell(event)
         new.alive["b"] = 40
         for _ in range(20):
@@ -135,16 +148,16 @@
             new.until(new.now + 100)
         return sum(isinstance(a, api.SetUp) and a.server_id == "a" for _, a in new.done)
 
-    def test_the_running_gateway_tells_what_it_saw(self):
+    def test_a_running_gateway_exports_what_it_saw(self):
         seen = self.running(0.0)
         by_id = {entry.instance_id: entry for entry in seen.servers}
         assert by_id["a"].silent and not by_id["b"].silent
 
-    def test_a_fresh_word_keeps_a_new_gateway_off_a_silent_server(self):
+    def test_a_recent_snapshot_keeps_a_new_gateway_off_a_silent_server(self):
         seen = self.running(0.0)
-        assert self.joining(seen, seen.taken_ms + 100) <= 2, "trials alone"
+        assert self.joining(seen, seen.taken_ms + 100) <= 2, "trials only"
 
-    def test_a_long_silence_is_told_as_fresh_as_its_last_trial(self):
+    def test_a_long_silence_is_dated_by_its_last_trial(self):
         """It was told as old as the server's last word, so that the longest silences were not believed."""
         from conftest import Gateway, ready
 
@@ -156,18 +169,20 @@
             peer.until(peer.now + 250)
         [seen] = [
             s
-            for s in peer_snapshot.exported("n1", peer.controller.learned_servers(), peer.now).servers
+            for s in peer_snapshot.make_snapshot("n1", peer.controller.learned_servers(), peer.now).servers
             if s.instance_id == "a"
         ]
-        assert seen.silent and peer.now - seen.learned_ms < 5_000
+        assert seen.silent and peer.now - seen.observed_ms < 5_000
 
-    def test_a_word_from_before_the_recovery_30_s_ago_is_not_kept(self):
+    def test_a_snapshot_from_before_the_recovery_30_s_ago_is_disregarded(self):
         seen = self.running(0.0)
-        alone = self.joining(PeerView(peer_snapshot.VERSION, "none", 0.0, []), seen.taken_ms + 30_000)
-        assert self.joining(seen, seen.taken_ms + 30_000) == alone > 2
+        without_snapshot = self.joining(
+            PeerSnapshot(peer_snapshot.FORMAT_VERSION, "none", 0.0, []), seen.taken_ms + 30_000
+        )
+        assert self.joining(seen, seen.taken_ms + 30_000) == without_snapshot > 2
 
     @pytest.mark.parametrize(("late", "slow"), [(1, False), (10, True)])
-    def test_slow_is_what_is_slow_usually(self, late, slow):
+    def test_slow_means_slow_in_most_responses(self, late, slow):
         """One late answer told of a slow server, and the new gateway shunned a server that was well."""
         from conftest import Gateway, ready
 
@@ -175,10 +190,10 @@
         peer.servers(ready("a", 0))
         peer.steady("a", first=0, count=10)
         peer.steady("a", first=0, count=late, gap_ms=1500, waited_ms=900)
-        [word] = peer_snapshot.exported("n1", peer.controller.learned_servers(), peer.now).servers
-        assert word.slow is slow
+        [exported] = peer_snapshot.make_snapshot("n1", peer.controller.learned_servers(), peer.now).servers
+        assert exported.slow is slow
 
-    def test_a_hinted_rate_may_be_cut_at_once(self):
+    def test_a_rate_from_a_start_hint_may_be_cut_at_once(self):
         """The hint passed for a cut of our own: a server that was worse by now was not cut for a second."""
         from conftest import Gateway, ready
 
@@ -189,7 +204,7 @@
         rates = {each.server_id: each.rate_per_s for each in new.controller.learned_servers()}
         assert rates["a"] < 50.0
 
-    def test_our_own_answers_come_before_a_peer_word(self):
+    def test_own_responses_override_a_start_hint(self):
         from conftest import Gateway, ready, sent_to
 
         new = Gateway()
