--- a/canvasplank/warm_start/__init__.py
+++ b/canvasplank/warm_start/__init__.py
@@ -1,1 +1,2 @@
-"""Learning from a running instance: a view of the call servers, handed over and weighed by its age."""
+"""Warm start: a new instance starts from a running peer's snapshot of the call servers, weighted by its
+age."""
--- a/canvasplank/warm_start/client.py
+++ b/canvasplank/warm_start/client.py
@@ -1,9 +1,8 @@
-"""The asking side: a new instance asks one running peer for its view, once, within a short bound.
+"""The client: a new instance fetches a snapshot from a running peer, once, within a short timeout.
 
-On the wire: the line ``view`` and, back, four bytes of big-endian length and that many bytes of the view
-(``learning.view``).  Whatever goes wrong (a refused address, a peer slow or silent, a view cut short, too
-large or not ours) is one log line and no view: the instance then starts as if it had asked no one, and its
-start is never held up past ``timeout_s``.
+Whatever goes wrong (a refused connection, a peer slow or silent, a snapshot truncated, too large or foreign)
+is one log line and no snapshot: the instance then starts without one, and its start is never delayed past the
+timeout.
 """
 
 from __future__ import annotations
@@ -25,56 +24,51 @@
 )
 
 LOG = logging.getLogger(__name__)
-MAX_PEERS = 3  # peers, one after another
-TIMEOUT_S = 0.5  # what a start may wait for a peer, all told
-
-
-class RefusedError(Exception):
-    """The peer's answer was no view; the message says why."""
+MAX_PEERS = 3  # tried one after another
+TIMEOUT_S = 0.5  # by which a start may be delayed, for all peers together
 
 
 async def fetch_snapshot(address: str, timeout_s: float = TIMEOUT_S) -> PeerSnapshot | None:
-    """The peer's view, or None with one log line."""
+    """The snapshot of the peer at this address, or None with one log line."""
     try:
         async with asyncio.timeout(timeout_s):
             return await _fetch(address)
     except TimeoutError:
-        why = f"no whole answer within {timeout_s * 1000:.0f} ms"
-    except (OSError, ValueError, RefusedError, asyncio.IncompleteReadError) as error:
+        why = f"no complete response within {timeout_s * 1000:.0f} ms"
+    except (OSError, ValueError, asyncio.IncompleteReadError) as error:
         why = " ".join(str(error).split()) or type(error).__name__
-    LOG.warning("no view taken from %s: %s; as one that asked no one", address, why)
+    LOG.warning("no view taken from %s: %s; starting without one", address, why)
     return None
 
 
 async def fetch_first_snapshot(addresses: Sequence[str], timeout_s: float = TIMEOUT_S) -> PeerSnapshot | None:
-    """The first view that one of them gives, asked one after another; all of it within ``timeout_s``.
+    """The first snapshot to be had from the first ``MAX_PEERS`` addresses, tried in order within
+    ``timeout_s``.
 
-    Each has an even part of what is left: guards against one that hangs taking the time of all.
+    Each has an equal share of the time that is left, so that one that hangs does not use all of it.
     """
-    until_s = time.monotonic() + timeout_s
-    for place, address in enumerate(addresses[:MAX_PEERS]):
-        left_s = until_s - time.monotonic()
+    deadline_s = time.monotonic() + timeout_s
+    tried = addresses[:MAX_PEERS]
+    for index, address in enumerate(tried):
+        left_s = deadline_s - time.monotonic()
         if left_s <= 0:
             break
-        if (
-            seen := await fetch_snapshot(address, left_s / (min(MAX_PEERS, len(addresses)) - place))
-        ) is not None:
-            return seen
+        snapshot = await fetch_snapshot(address, left_s / (len(tried) - index))
+        if snapshot is not None:
+            return snapshot
     return None
 
 
 async def _fetch(address: str) -> PeerSnapshot:
+    """Raises ``OSError``, ``IncompleteReadError``, or ``SnapshotError``."""
     host, port = parse_address(address)
     reader, writer = await asyncio.open_connection(host, port)
     try:
         writer.write(VIEW_REQUEST)
         (length,) = LENGTH.unpack(await reader.readexactly(LENGTH.size))
         if length > MAX_BYTES:
-            raise RefusedError(f"a view of {length} bytes announced, more than {MAX_BYTES}")
+            raise SnapshotError(f"a view of {length} bytes announced, more than {MAX_BYTES}")
         data = await reader.readexactly(length)
     finally:
         await close_writer(writer)
-    try:
-        return decode(data)
-    except SnapshotError as error:
-        raise RefusedError(str(error)) from None
+    return decode(data)
--- a/canvasplank/warm_start/extension.py
+++ b/canvasplank/warm_start/extension.py
@@ -1,4 +1,4 @@
-"""Learning from a running instance as a part of the program."""
+"""The warm start as an extension: serves this instance's snapshot, and starts from a peer's."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from canvasplank.extensions.extension import Extension, ExtensionContext, ExtensionFactory
 from canvasplank.warm_start.client import fetch_first_snapshot
 from canvasplank.warm_start.config import WarmStartSettings, load_warm_start_settings
-from canvasplank.warm_start.peer_snapshot import make_snapshot
+from canvasplank.warm_start.peer_snapshot import PeerSnapshot, make_snapshot
 from canvasplank.warm_start.server import SnapshotServer
 from canvasplank.warm_start.start_hints import ListedServer, derive_start_hints, to_warm_start_hints
 
@@ -16,43 +16,54 @@
 
 
 def load(path: str) -> ExtensionFactory:
-    """Read its file."""
+    """The extension with the settings of this file; raises ``ConfigurationError``."""
     settings = load_warm_start_settings(path)
     return lambda context: WarmStartExtension(context, settings)
 
 
 class WarmStartExtension(Extension):
-    """Offers what this instance learns to new ones, and asks a running one once, within the bound."""
+    """Serves what this instance learns to new ones, and fetches a running one's snapshot once, at the
+    start."""
 
     def __init__(self, context: ExtensionContext, settings: WarmStartSettings) -> None:
         self._context, self._settings = context, settings
 
     async def start(self) -> None:
         """See ``Extension``."""
-        context, settings = self._context, self._settings
-        if settings.listen:
-            name = context.configuration.name
-            snapshot_server = SnapshotServer(
-                lambda: make_snapshot(name, context.controller.learned_servers(), context.scheduler.now_ms)
-            )
-            await snapshot_server.listen(settings.listen)
-            LOG.info("views for new instances at %s", settings.listen)
-        peers = settings.peer_addresses()
-        if not peers:
-            return
+        if self._settings.listen:
+            await self._listen()
+        if peers := self._settings.peer_addresses():
+            await self._start_from_peer(peers)
+
+    async def _listen(self) -> None:
+        context, name = self._context, self._context.configuration.name
+        server = SnapshotServer(
+            lambda: make_snapshot(name, context.controller.learned_servers(), context.scheduler.now_ms)
+        )
+        await server.listen(self._settings.listen)
+        LOG.info("views for new instances at %s", self._settings.listen)
+
+    async def _start_from_peer(self, peers: list[str]) -> None:
+        """Fetch a snapshot and apply it; in random order, so that not all new instances request the same
+        peer's."""
+        context = self._context
         context.counters.add("learning.views_asked")
-        random.Random(int(context.configuration.seed, 16)).shuffle(peers)  # guards one against all asking it
-        seen = await fetch_first_snapshot(peers, settings.timeout_ms / 1000)
+        random.Random(int(context.configuration.seed, 16)).shuffle(peers)
+        snapshot = await fetch_first_snapshot(peers, self._settings.timeout_ms / 1000)
         context.scheduler.begin_iteration()
-        if seen is None:
+        if snapshot is None:
             context.counters.add("learning.views_refused")
-            return
+        else:
+            self._apply(snapshot)
+
+    def _apply(self, snapshot: PeerSnapshot) -> None:
+        context, settings = self._context, self._settings
         listed = [ListedServer(*entry) for entry in context.servers.processes()]
-        found = derive_start_hints(
-            seen, context.scheduler.now_ms, listed, None, settings.half_life_ms, settings.max_age_ms
+        hints = derive_start_hints(
+            snapshot, context.scheduler.now_ms, listed, None, settings.half_life_ms, settings.max_age_ms
         )
         context.counters.add("learning.views_taken")
-        context.exchange.apply_hints(to_warm_start_hints(found))
+        context.exchange.apply_hints(to_warm_start_hints(hints))
         LOG.info(
-            "took a view of %d servers from %s: %d still count", len(seen.servers), seen.peer, len(found)
+            "took a view of %d servers from %s: %d used", len(snapshot.servers), snapshot.peer, len(hints)
         )
--- a/tests/test_warm_start.py
+++ b/tests/test_warm_start.py
@@ -1,4 +1,4 @@
-"""A peer's view: read only when whole and ours, and weighed by its age."""
+"""A peer's snapshot: read only when complete and of our version, and weighted by its age."""
 
 from __future__ import annotations
 
@@ -62,7 +62,7 @@
 
 
 def test_a_slowdown_that_ended_30_s_ago_is_disregarded():
-    """The hard case: the peer saw the server slow, the slowdown ended since, the new instance joins now."""
+    """The hard case: the peer saw the server slow, the slowdown has ended, the new instance joins now."""
     old = snapshot(server_snapshot(age_ms=30_000.0, rate_per_s=2.0, slow=True), taken_ms=NOW - 29_000.0)
     [hint] = start_hints.derive_start_hints(old, NOW, [ListedServer("s-1", None)], fresh_rate_per_s=50.0)
     assert not hint.eject
@@ -107,18 +107,18 @@
 
 
 class TestController:
-    """A running gateway's view, handed to a new one through the wire form, as the module hears it."""
+    """A running gateway's snapshot, passed to a new one in the wire format, as its controller receives it."""
 
     @staticmethod
     def running(slowdown_at_ms: float) -> PeerSnapshot:
-        """A gateway that saw server a fall silent at that time, with b answering well."""
+        """A gateway that saw server a fall silent at that time, while b responded."""
         from conftest import Gateway, ready
 
         peer = Gateway()
         peer.now = slowdown_at_ms
         peer.servers(ready("a", 0), ready("b", 1))
         peer.steady("b", first=1, count=10)
-        peer.alive["b"] = 40  # b goes on answering; a never does
+        peer.alive["b"] = 40  # b goes on responding; a never does
         for _ in range(6):
             peer.call(first=0)
             peer.until(peer.now + 300)
@@ -130,8 +130,8 @@
 
     @staticmethod
     def joining(seen: PeerSnapshot, now_ms: float) -> int:
-        """A new gateway takes the view, then gets 20 calls for pool 0 over 2 s while a is still silent and b
-        answers; how many set-ups went to a."""
+        """A new gateway applies the snapshot, then gets 20 calls for pool 0 over 2 s while a is still silent
+        and b answers; how many set-ups went to a."""
         from conftest import Gateway, ready
 
         new = Gateway(seed=2)
@@ -153,12 +153,12 @@
         by_id = {entry.instance_id: entry for entry in seen.servers}
         assert by_id["a"].silent and not by_id["b"].silent
 
-    def test_a_recent_snapshot_keeps_a_new_gateway_off_a_silent_server(self):
+    def test_a_recent_snapshot_steers_a_new_gateway_away_from_a_silent_server(self):
         seen = self.running(0.0)
         assert self.joining(seen, seen.taken_ms + 100) <= 2, "trials only"
 
     def test_a_long_silence_is_dated_by_its_last_trial(self):
-        """It was told as old as the server's last word, so that the longest silences were not believed."""
+        """It was dated by the server's last response, so that the longest silences were disregarded."""
         from conftest import Gateway, ready
 
         peer = Gateway()
@@ -182,8 +182,8 @@
         assert self.joining(seen, seen.taken_ms + 30_000) == without_snapshot > 2
 
     @pytest.mark.parametrize(("late", "slow"), [(1, False), (10, True)])
-    def test_slow_means_slow_in_most_responses(self, late, slow):
-        """One late answer told of a slow server, and the new gateway shunned a server that was well."""
+    def test_slow_means_a_slow_usual_response(self, late, slow):
+        """One late response passed for a slow server, and the new gateway avoided a healthy one."""
         from conftest import Gateway, ready
 
         peer = Gateway()
@@ -194,7 +194,7 @@
         assert exported.slow is slow
 
     def test_a_rate_from_a_start_hint_may_be_cut_at_once(self):
-        """The hint passed for a cut of our own: a server that was worse by now was not cut for a second."""
+        """It passed for a cut of our own: a server that was worse by now was not cut for a second."""
         from conftest import Gateway, ready
 
         new = Gateway()
--- a/tests/test_warm_start_client.py
+++ b/tests/test_warm_start_client.py
@@ -1,4 +1,4 @@
-"""Asking a peer for its view: stand-in peers on loopback that answer well, late, never, short or wrongly."""
+"""Fetching a peer's snapshot: fake peers on loopback that respond well, late, never, truncated or wrongly."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 async def fake_peer(answer: bytes | None, delay_s: float = 0.0):
-    """A peer that waits, then writes ``answer``; None: it never says anything."""
+    """A peer that waits, then writes ``answer``; None: it never responds."""
 
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.readline()
@@ -63,21 +63,21 @@
 @pytest.mark.parametrize(
     ("answer", "delay_s", "logged"),
     [
-        (None, 0.0, "no whole answer within 300 ms"),  # never answers
-        (frame(peer_snapshot.encode(GOOD)), 5.0, "no whole answer"),  # slow
-        (frame(peer_snapshot.encode(GOOD))[:-4], 0.0, "bytes read"),  # cut short
+        (None, 0.0, "no complete response within 300 ms"),  # never responds
+        (frame(peer_snapshot.encode(GOOD)), 5.0, "no complete response"),  # slow
+        (frame(peer_snapshot.encode(GOOD))[:-4], 0.0, "bytes read"),  # truncated
         (b"\xff\xff\xff\xff", 0.0, "more than"),  # oversized
         (frame(b"\x93\x01\x02\x03"), 0.0, "cannot be read"),  # malformed
         (frame(peer_snapshot.encode(PeerSnapshot(2, "n1", 1.8e12, []))), 0.0, "version 2"),  # another release
     ],
 )
-def test_a_peer_that_fails_costs_one_line_and_at_most_the_timeout(answer, delay_s, logged, caplog):
+def test_a_peer_that_fails_costs_one_line_and_no_more_than_the_timeout(answer, delay_s, logged, caplog):
     with caplog.at_level(logging.WARNING):
         taken, took_s = fetched(answer, delay_s)
     assert taken is None
     assert took_s < TIMEOUT_S + 1.0, "the start is not held up"
     [line] = [r.getMessage() for r in caplog.records if r.name == "canvasplank.warm_start.client"]
-    assert logged in line and "asked no one" in line
+    assert logged in line and "starting without one" in line
 
 
 def test_a_refused_connection_is_one_line(caplog):
@@ -87,9 +87,9 @@
 
 
 def test_a_running_instance_sends_its_snapshot_on_request_and_nothing_else():
-    from canvasplank.warm_start.server import SnapshotServer
+    from canvasplank.warm_start.server import RequestCounts, SnapshotServer
 
-    async def run() -> tuple[PeerSnapshot | None, dict[str, int]]:
+    async def run() -> tuple[PeerSnapshot | None, RequestCounts]:
         snapshot_server = SnapshotServer(lambda: GOOD)
         await snapshot_server.listen("127.0.0.1:0")
         port = snapshot_server._server.sockets[0].getsockname()[1]
@@ -103,11 +103,11 @@
 
     taken, counts = asyncio.run(run())
     assert taken == GOOD
-    assert counts == {"asked": 2, "given": 1, "refused": 1}
+    assert counts == RequestCounts(accepted=2, served=1, rejected=1)
 
 
 def test_peers_are_tried_one_after_another_within_the_one_timeout():
-    """The first refuses, the second hangs for its part of the time, the third answers."""
+    """The first refuses, the second hangs for its share of the time, the third responds."""
 
     async def run() -> tuple[PeerSnapshot | None, float]:
         hangs, answers = await fake_peer(None), await fake_peer(frame(peer_snapshot.encode(GOOD)))
