--- a/benchmarks/learning_join.py
+++ b/benchmarks/learning_join.py
@@ -31,7 +31,7 @@
 
 
 @dataclass(frozen=True)
-class Played:
+class JoinResult:
     """One play: service of the new instance's callers and of the others, in its first seconds and later."""
 
     new_first: float
@@ -43,7 +43,7 @@
     steady_after_s: float  # until its service was no more clearly worse than the running ones'
 
     @staticmethod
-    def of(tries: list[Try], joined_s: float, new: str) -> Played:
+    def of(tries: list[Try], joined_s: float, new: str) -> JoinResult:
         """From what became of the calls due after the join."""
         since = [t for t in tries if t.due_s >= joined_s]
         first = [t for t in since if t.due_s < joined_s + FIRST_S]
@@ -53,7 +53,7 @@
             return service([t for t in some if (t.proxy == new) is by_new])
 
         mine = [t for t in since if t.proxy == new]
-        return Played(
+        return JoinResult(
             served(first, by_new=True),
             served(later, by_new=True),
             served(first, by_new=False),
@@ -70,9 +70,9 @@
 def _steady_after(since: list[Try], joined_s: float, new: str) -> float:
     """For how long from the join on its service, over spans of 2 s, stayed 0.15 or more under the others'."""
     for number in range(int(AFTER_S - STEADY_SPAN_S) + 1):
-        begin = joined_s + number
-        span = [t for t in since if begin <= t.due_s < begin + STEADY_SPAN_S]
-        mine, others = ([t for t in span if (t.proxy == new) is by_new] for by_new in (True, False))
+        span_start_s = joined_s + number
+        in_span = [t for t in since if span_start_s <= t.due_s < span_start_s + STEADY_SPAN_S]
+        mine, others = ([t for t in in_span if (t.proxy == new) is by_new] for by_new in (True, False))
         if not mine or not others or service(mine) >= service(others) - STEADY_LESS:
             return float(number)
     return AFTER_S
@@ -86,7 +86,9 @@
     return [first.address, *(proxy.address for proxy in rest)]
 
 
-async def play(seed: int, ask: bool, rate_per_s: float, slow: float, mend_s: float | None) -> Played:
+async def run_join(
+    seed: int, with_snapshot: bool, rate_per_s: float, slow: float, mend_s: float | None
+) -> JoinResult:
     """One play; with ``mend_s`` the slowdown ends so long before the join."""
     servers = [CallServer(f"s-{n}", CAPACITY_PER_S, hold_ms=2000.0) for n in range(3)]
     with tempfile.TemporaryDirectory() as folder:
@@ -105,29 +107,29 @@
                 await asyncio.sleep(mend_s)
             joining = Path(folder) / "joining.toml"
             joining.write_text(f'peer = "{view}"\n')
-            more = {"CANVASPLANK_LEARNING": str(joining)} if ask else {}
+            more = {"CANVASPLANK_LEARNING": str(joining)} if with_snapshot else {}
             new = await world.proxy("new", seed * 10 + 9, **more)
             await callers.add_proxy(new.address)
             joined_s = time.time()
             await load
             await callers.settled(5.0)
-            played = Played.of(
+            result = JoinResult.of(
                 [t for t in callers.tries.values() if t.due_s < joined_s + AFTER_S], joined_s, new.address
             )
             await callers.stop()
-            return played
+            return result
 
 
-async def _all(
-    plays: list[tuple[int, bool]], at_once: int, rate: float, slow: float, mend_s: float | None
-) -> list[Played]:
+async def _run_all(
+    runs: list[tuple[int, bool]], at_once: int, rate: float, slow: float, mend_s: float | None
+) -> list[JoinResult]:
     gate = asyncio.Semaphore(at_once)
 
-    async def one(seed: int, ask: bool) -> Played:
+    async def run_one(seed: int, with_snapshot: bool) -> JoinResult:
         async with gate:
-            return await play(seed, ask, rate, slow, mend_s)
+            return await run_join(seed, with_snapshot, rate, slow, mend_s)
 
-    return await asyncio.gather(*(one(*each) for each in plays))
+    return await asyncio.gather(*(run_one(*each) for each in runs))
 
 
 @click.command()
@@ -138,28 +140,28 @@
 @click.option("--mend", type=float, default=None, help="End the slowdown so many seconds before the join.")
 def main(seeds: int, at_once: int, rate: float, slow: float, mend: float | None) -> None:
     """Play and print the table."""
-    plays = [(seed, ask) for seed in range(1, seeds + 1) for ask in (False, True)]
+    runs = [(seed, with_snapshot) for seed in range(1, seeds + 1) for with_snapshot in (False, True)]
     with contextlib.suppress(KeyboardInterrupt):
-        results = dict(zip(plays, asyncio.run(_all(plays, at_once, rate, slow, mend)), strict=True))
+        results = dict(zip(runs, asyncio.run(_run_all(runs, at_once, rate, slow, mend)), strict=True))
         print(
             "| seed | asked | new, first 5 s | new, later | running, first 5 s | running, later "
             "| late | lost | steady after |"
         )
         print("| --- | --- | --- | --- | --- | --- | --- | --- | --- |")
-        for (seed, ask), p in results.items():
-            whom = "a running one" if ask else "no one"
+        for (seed, with_snapshot), p in results.items():
+            whom = "a running one" if with_snapshot else "no one"
             print(
                 f"| {seed} | {whom} | {p.new_first:.3f} | {p.new_later:.3f} | {p.old_first:.3f} "
                 f"| {p.old_later:.3f} | {p.late} | {p.lost} | {p.steady_after_s:.0f} s |"
             )
-        for ask in (False, True):
-            some = [p for (_, asked), p in results.items() if asked is ask]
+        for with_snapshot in (False, True):
+            some = [p for (_, fetched), p in results.items() if fetched is with_snapshot]
             first, later = (
                 statistics.mean(each)
                 for each in zip(*((p.new_first, p.new_later) for p in some), strict=True)
             )
             print(
-                f"mean, {'asked' if ask else 'alone'}: first 5 s {first:.3f}, later {later:.3f}, "
+                f"mean, {'asked' if with_snapshot else 'alone'}: first 5 s {first:.3f}, later {later:.3f}, "
                 f"late {sum(p.late for p in some)}, "
                 f"steady after at most {max(p.steady_after_s for p in some):.0f} s"
             )
