--- a/benchmarks/learning_join.py
+++ b/benchmarks/learning_join.py
@@ -1,11 +1,11 @@
-"""A new instance joins during a slowdown, having asked a running one or no one.
+"""A new instance joins during a slowdown, with a snapshot from a running one or without.
 
 ``python -m benchmarks.learning_join [--seeds N] [--at-once N]``
 
-Three call servers, two running instances and callers that come whatever happens.  One server slows, and some
-seconds later a third instance starts and gets its share of the callers.  Each seed is played twice, the new
-instance asking a running one for its view or no one; the table has the service that callers of the new
-instance got in its first 5 s and after them, and beside it that of the running instances at the same times.
+Three call servers, two running instances and an open load of callers.  One server slows, and some seconds
+later a third instance starts and gets its share of the callers.  Each seed is run twice, the new instance
+with a running one's snapshot and without; the table has the service that callers of the new instance got in
+its first 5 s and after them, and beside it that of the running instances at the same times.
 """
 
 from __future__ import annotations
@@ -26,13 +26,13 @@
 
 CAPACITY_PER_S = 20.0
 RUNNING = 2
-WARM_S, SLOW_S, AFTER_S = 8.0, 4.0, 15.0  # until the slowdown, until the join, and watched after it
-FIRST_S = 5.0  # the span within which the new instance is to be steady
+WARM_S, SLOW_S, AFTER_S = 8.0, 4.0, 15.0  # until the slowdown, until the join, measured after it
+FIRST_S = 5.0  # by when the new instance should be steady
 
 
 @dataclass(frozen=True)
 class JoinResult:
-    """One play: service of the new instance's callers and of the others, in its first seconds and later."""
+    """One run: service of the new instance's callers and of the others, in its first seconds and later."""
 
     new_first: float
     new_later: float
@@ -68,7 +68,7 @@
 
 
 def _steady_after(since: list[Try], joined_s: float, new: str) -> float:
-    """For how long from the join on its service, over spans of 2 s, stayed 0.15 or more under the others'."""
+    """How long after the join its service stayed ``STEADY_LESS`` or more below the others', in seconds."""
     for number in range(int(AFTER_S - STEADY_SPAN_S) + 1):
         span_start_s = joined_s + number
         in_span = [t for t in since if span_start_s <= t.due_s < span_start_s + STEADY_SPAN_S]
@@ -89,7 +89,7 @@
 async def run_join(
     seed: int, with_snapshot: bool, rate_per_s: float, slow: float, mend_s: float | None
 ) -> JoinResult:
-    """One play; with ``mend_s`` the slowdown ends so long before the join."""
+    """One run; with ``mend_s`` the slowdown ends that many seconds before the join."""
     servers = [CallServer(f"s-{n}", CAPACITY_PER_S, hold_ms=2000.0) for n in range(3)]
     with tempfile.TemporaryDirectory() as folder:
         async with fleet(Path(folder), servers, RUNNING + 1) as world:
