--- a/canvasplank/warm_start/peer_snapshot.py
+++ b/canvasplank/warm_start/peer_snapshot.py
@@ -33,9 +33,7 @@
     """What one instance has learned of one call server; None: not learned, which is not the same as zero."""
 
     instance_id: Annotated[str, msgspec.Meta(min_length=1, max_length=128)]
-    started_ms: (
-        NonNegative | None
-    )  # the start of the server's process, in Unix milliseconds, by the endpoint list
+    started_ms: NonNegative | None  # Unix milliseconds of its process's start, as the endpoint list has it
     # Unix milliseconds of the latest observation behind the figures.
     observed_ms: NonNegative = msgspec.field(name="learned_ms")
     rate_per_s: NonNegative | None = None  # set-ups a second it accepted after its last 'processor full'
