--- a/canvasplank/endpoint_cache/bootstrap.py
+++ b/canvasplank/endpoint_cache/bootstrap.py
@@ -1,6 +1,6 @@
-"""The list as it stands, folded from what the board told, and what a kept list is worth at a start.
+"""Whether and how to start from a cached endpoint list, by its age.
 
-Pure: no input or output, no clock of its own.
+No I/O and no clock: the caller passes the time, in Unix milliseconds.
 """
 
 from __future__ import annotations
@@ -8,86 +8,55 @@
 from dataclasses import dataclass
 
 from canvasplank import interface as api
-from canvasplank.config.discovery_events import DiscoveryEvent, Endpoint, apply_event
-from canvasplank.endpoint_cache.cached_list import VERSION, KeptList, KeptServer
+from canvasplank.config.discovery_events import Endpoint
+from canvasplank.endpoint_cache.cached_list import CachedEndpointList
 
 READY = "ready"
-TRUSTED_MS = 10_000.0  # the board's own news may come as late as this
-MOST_AGE_MS = 7 * 24 * 3_600_000.0
-START_PER_S = 6.0  # what all instances together send a server at first whose state is in doubt
-CLOCK_SLACK_MS = 1_000.0
-
-
-class Roster:
-    """What is to be kept, and whether it has changed since it was."""
-
-    def __init__(self, instances: list[Endpoint], now_ms: float) -> None:
-        self._instances = {instance.instance_id: instance for instance in instances}
-        self._as_of_ms = now_ms
-        self.known = bool(instances)  # whether anybody but the disk has told a list: guards the kept one
-        self.changed = self.known
-
-    def told(self, notice: DiscoveryEvent, now_ms: float) -> None:
-        """An event of the board."""
-        if notice.pool is not None and (self.known or notice.pool.reset):
-            if not self.known:
-                self._instances.clear()
-            apply_event(self._instances, notice)
-            self.known = self.changed = True
-            self._as_of_ms = max(self._as_of_ms, now_ms)
-
-    def confirmed(self, heard_ms: float) -> None:
-        """The board spoke then, and had nothing further to tell."""
-        self._as_of_ms = max(self._as_of_ms, heard_ms)
-
-    def kept(self) -> KeptList:
-        """For the disk."""
-        return KeptList(
-            VERSION,
-            self._as_of_ms,
-            [
-                KeptServer(i.instance_id, i.host_port, i.lifecycle, i.cell, i.started_at_ms)
-                for i in self._instances.values()
-            ],
-        )
+MAX_FRESH_AGE_MS = 10_000.0  # events of discovery itself may arrive as late as this
+MAX_AGE_MS = 7 * 24 * 3_600_000.0  # a week
+# The first rate at an endpoint of a stale list, of all proxies together: within the cold rule's budget
+# (docs/endpoint-cache.md, Measured).
+INITIAL_RATE_PER_S = 6.0
+CLOCK_TOLERANCE_MS = 1_000.0  # a list dated further ahead than this was written by another clock
 
 
 @dataclass(frozen=True, slots=True)
-class Start:
-    """Where to start from: the list, its age, and what the module is told besides."""
+class BootstrapPlan:
+    """The endpoints to start from, the age of the list, and the slow-start hints for the controller."""
 
-    instances: list[Endpoint]
-    age_ms: float
-    hints: list[api.WarmStartHint]
+    endpoints: list[Endpoint]
+    age_ms: float  # 0 where the list is dated ahead of the clock
+    hints: list[api.WarmStartHint]  # one for each endpoint of a stale list, none for a fresh one
 
     @property
-    def careful(self) -> bool:
-        """Whether the list is too old to be taken as told."""
+    def stale(self) -> bool:
+        """Whether the list is too old to be used like an event of discovery."""
         return bool(self.hints)
 
 
-def judge(
-    kept: KeptList,
+def plan_bootstrap(
+    cached: CachedEndpointList,
     now_ms: float,
-    gateways: int,
-    trusted_ms: float = TRUSTED_MS,
-    most_age_ms: float = MOST_AGE_MS,
-    start_per_s: float = START_PER_S,
-) -> Start | None:
-    """What a kept list is good for now; None: it is too old, or names nobody to try.
-
-    Guards against calls to servers since gone (one that drained then is not entered; the others refuse
-    connections while more are tried), and against overwhelming processors that have just started: past
-    ``trusted_ms`` any may have, so all instances together begin with ``start_per_s`` at each.
-    A list from the future tells that a clock was set back: its age is not known, so it is taken with care.
+    proxies: int,
+    max_fresh_age_ms: float = MAX_FRESH_AGE_MS,
+    max_age_ms: float = MAX_AGE_MS,
+    initial_rate_per_s: float = INITIAL_RATE_PER_S,
+) -> BootstrapPlan | None:
+    """The start that a cached list permits, for one of ``proxies`` proxies; None: too old, or nobody to use.
+
+    Up to ``max_fresh_age_ms`` the list is used unchanged.  After that, up to ``max_age_ms``, it is stale: its
+    endpoints may have gone or restarted since.  Only those that were ready are used then (calls to one that
+    has gone are refused and retried elsewhere), and all proxies together start with ``initial_rate_per_s`` at
+    each, so that a processor that has just started is not overloaded.  A list dated ahead of the clock shows
+    that a clock was set back; its age is unknown, so it is stale.
     """
-    age_ms = now_ms - kept.as_of_ms
-    if age_ms > most_age_ms:
+    age_ms = now_ms - cached.as_of_ms
+    if age_ms > max_age_ms:
         return None
-    doubted = age_ms > trusted_ms or age_ms < -CLOCK_SLACK_MS
-    instances = [s.instance() for s in kept.servers if s.lifecycle == READY or not doubted]
-    if not instances:
+    stale = age_ms > max_fresh_age_ms or age_ms < -CLOCK_TOLERANCE_MS
+    endpoints = [e.to_endpoint() for e in cached.endpoints if e.lifecycle == READY or not stale]
+    if not endpoints:
         return None
-    rate_per_s = start_per_s / max(1, gateways)
-    hints = [api.WarmStartHint(i.instance_id, rate_per_s, shun=False) for i in instances] if doubted else []
-    return Start(instances, max(0.0, age_ms), hints)
+    rate_per_s = initial_rate_per_s / max(1, proxies)
+    hints = [api.WarmStartHint(e.instance_id, rate_per_s, shun=False) for e in endpoints] if stale else []
+    return BootstrapPlan(endpoints, max(0.0, age_ms), hints)
--- a/canvasplank/endpoint_cache/writer.py
+++ b/canvasplank/endpoint_cache/writer.py
@@ -1,104 +1,94 @@
-"""Keeps the roster on disk: read once at the start, written after news and while the board speaks."""
+"""Writes the endpoint list to disk after changes, and now and then while discovery confirms it."""
 
 from __future__ import annotations
 
 import asyncio
 import contextlib
 import logging
-import os
 from collections.abc import Callable
-from pathlib import Path
 
 from canvasplank.config.discovery_events import DiscoveryEvent
-from canvasplank.endpoint_cache.bootstrap import Roster
-from canvasplank.endpoint_cache.cached_list import MOST_BYTES, KeptError, KeptList, decode, encode
+from canvasplank.endpoint_cache.cache_file import write_cached_list
+from canvasplank.endpoint_cache.endpoint_list import EndpointList
 from canvasplank.runtime.scheduler import Scheduler
 from canvasplank.runtime.worker_thread import WorkerThread, WorkerThreadBusyError
 
 LOG = logging.getLogger(__name__)
-WRITE_EVERY_MS = 1_000.0  # so that a release, which tells dozens of events, writes a few times
-CONFIRM_EVERY_MS = 10_000.0
-LAST_WRITE_S = 0.2  # at the end of the program
-PAUSE_MS, PAUSE_MOST_MS = 1_000.0, 60_000.0  # after a write that failed, doubling
+WRITE_INTERVAL_MS = 1_000.0  # a release sends dozens of events a second: these are a few writes
+CONFIRM_INTERVAL_MS = 10_000.0  # where nothing changes, a file is about this old at a crash
+FINAL_WRITE_TIMEOUT_S = 0.2  # at the end of the program
+INITIAL_BACKOFF_MS, MAX_BACKOFF_MS = 1_000.0, 60_000.0  # after a failed write; doubles with each failure
 
 
-def read(path: str) -> KeptList | None:
-    """The kept list, or None with one log line; no file at all is a first start and worth a line, too."""
-    try:
-        with open(path, "rb") as file:
-            return decode(file.read(MOST_BYTES + 1))
-    except (OSError, KeptError) as error:
-        LOG.warning("no list of servers taken from %s: %s", path, error)
-        return None
-
-
-def write(path: str, kept: KeptList) -> None:
-    """Put a new file in the old one's place; guards against a crash that leaves half a list."""
-    fresh = f"{path}.new"
-    with open(fresh, "wb") as file:
-        file.write(encode(kept))
-        file.flush()
-        os.fsync(file.fileno())
-    os.replace(fresh, path)
-    folder = os.open(Path(path).parent, os.O_RDONLY)
-    try:
-        os.fsync(folder)
-    finally:
-        os.close(folder)
-
-
-class Keeper:
-    """Writes the roster; the serving never waits for it."""
+class EndpointListWriter:
+    """Writes an endpoint list to its file on its own thread, so that serving never waits for a disk."""
 
     def __init__(
-        self, path: str, roster: Roster, scheduler: Scheduler, heard_ms: Callable[[], float | None]
+        self,
+        path: str,
+        endpoint_list: EndpointList,
+        scheduler: Scheduler,
+        last_received_ms: Callable[[], float | None],
     ) -> None:
-        self._path, self._roster, self._scheduler, self._heard_ms = path, roster, scheduler, heard_ms
+        """``last_received_ms``: when discovery last sent data, in Unix milliseconds; None: not connected."""
+        self._path = path
+        self._endpoint_list = endpoint_list
+        self._scheduler = scheduler
+        self._last_received_ms = last_received_ms
         self._thread = WorkerThread("membership")
         self._written_ms = 0.0
-        self._pause_ms = PAUSE_MS
-        self._not_before_ms = 0.0
+        self._backoff_ms = INITIAL_BACKOFF_MS
+        self._retry_at_ms = 0.0
         self._failing = False
-        self._task: asyncio.Task | None = None
+        self._write_task: asyncio.Task[None] | None = None
 
-    def told(self, notice: DiscoveryEvent) -> None:
-        """An event of the board."""
-        self._roster.told(notice, self._scheduler.now_ms)
+    def on_discovery_event(self, event: DiscoveryEvent) -> None:
+        """Service discovery has sent an event."""
+        self._endpoint_list.on_discovery_event(event, self._scheduler.now_ms)
 
     def start(self) -> None:
-        """Look now and then whether there is something to write."""
-        self._scheduler.call_later(WRITE_EVERY_MS, self.start)
+        """Check every ``WRITE_INTERVAL_MS`` whether a write is due."""
+        self._check()
+
+    def _check(self) -> None:
+        self._scheduler.call_later(WRITE_INTERVAL_MS, self._check)
         now_ms = self._scheduler.now_ms
-        if not self._roster.known or now_ms < self._not_before_ms:
+        if not self._endpoint_list.is_complete or now_ms < self._retry_at_ms:
             return
-        if (heard_ms := self._heard_ms()) is not None:
-            self._roster.confirmed(heard_ms)
-            due = now_ms - self._written_ms >= CONFIRM_EVERY_MS
-        else:
-            due = False  # a board that is silent confirms nothing: the list keeps its age
-        if (self._roster.changed or due) and (self._task is None or self._task.done()):
-            self._task = asyncio.get_running_loop().create_task(self._write())
+        # While discovery is silent the list is not confirmed and keeps its age: nothing to refresh.
+        refresh_due = False
+        if (last_received_ms := self._last_received_ms()) is not None:
+            self._endpoint_list.confirm(last_received_ms)
+            refresh_due = now_ms - self._written_ms >= CONFIRM_INTERVAL_MS
+        idle = self._write_task is None or self._write_task.done()
+        if (self._endpoint_list.is_dirty or refresh_due) and idle:
+            self._write_task = asyncio.get_running_loop().create_task(self._write())
 
     async def _write(self) -> None:
-        kept, self._roster.changed = self._roster.kept(), False
-        began_ms = self._scheduler.now_ms
+        snapshot = self._endpoint_list.snapshot()
+        self._endpoint_list.mark_saved()
+        started_ms = self._scheduler.now_ms
         try:
-            await self._thread.run(lambda: write(self._path, kept))
+            await self._thread.run(lambda: write_cached_list(self._path, snapshot))
         except (OSError, WorkerThreadBusyError) as error:
-            self._roster.changed = True
-            self._not_before_ms = began_ms + self._pause_ms
-            self._pause_ms = min(PAUSE_MOST_MS, 2 * self._pause_ms)
-            if not self._failing:
-                LOG.warning("the list of servers is not kept at %s: %s", self._path, error)
-            self._failing = True
+            self._endpoint_list.mark_unsaved()
+            self._on_write_failed(started_ms, error)
             return
         if self._failing:
-            LOG.info("the list of servers is kept again at %s", self._path)
-        self._failing, self._pause_ms, self._written_ms = False, PAUSE_MS, began_ms
+            LOG.info("the endpoint list is written again to %s", self._path)
+        self._failing, self._backoff_ms, self._written_ms = False, INITIAL_BACKOFF_MS, started_ms
+
+    def _on_write_failed(self, started_ms: float, error: Exception) -> None:
+        """Log the first failure of a series, and back off."""
+        self._retry_at_ms = started_ms + self._backoff_ms
+        self._backoff_ms = min(MAX_BACKOFF_MS, 2 * self._backoff_ms)
+        if not self._failing:
+            LOG.warning("the endpoint list is not written to %s: %s", self._path, error)
+        self._failing = True
 
     async def close(self) -> None:
-        """Write what has changed, as far as that goes at once."""
-        if self._roster.known and self._roster.changed:
+        """Write unsaved changes, for at most ``FINAL_WRITE_TIMEOUT_S``."""
+        if self._endpoint_list.is_complete and self._endpoint_list.is_dirty:
             with contextlib.suppress(TimeoutError):
-                async with asyncio.timeout(LAST_WRITE_S):
+                async with asyncio.timeout(FINAL_WRITE_TIMEOUT_S):
                     await self._write()
--- a/canvasplank/warm_start/config.py
+++ b/canvasplank/warm_start/config.py
@@ -1,7 +1,6 @@
-"""The switch and figures of learning from a running instance, from a file of its own (TOML).
+"""The settings of the warm start: a file (TOML) named by ``CANVASPLANK_LEARNING``.
 
-The file is named by ``CANVASPLANK_LEARNING``; without it learning is off, as on platforms where instances may
-not talk to each other.
+Without the file the warm start is off, as on platforms where instances may not communicate.
 """
 
 from __future__ import annotations
@@ -12,31 +11,35 @@
 
 from canvasplank.config.addresses import parse_address
 from canvasplank.config.extension_file import load_extension_settings
-from canvasplank.warm_start.start_hints import HALF_LIFE_MS, MOST_AGE_MS
+from canvasplank.warm_start.start_hints import HALF_LIFE_MS, MAX_AGE_MS
 
-Positive = Annotated[float, msgspec.Meta(gt=0, le=3_600_000)]
+PositiveMs = Annotated[float, msgspec.Meta(gt=0, le=3_600_000)]
 
 
-class Learning(msgspec.Struct, forbid_unknown_fields=True):
-    """Whom to ask at the start (``peer``, ``peers``), where to answer others (``listen``), how age counts."""
+class WarmStartSettings(msgspec.Struct, forbid_unknown_fields=True):
+    """From which peers to fetch a snapshot, where to serve our own, and how age counts; times in
+    milliseconds."""
 
-    peer: str = ""
-    peers: list[str] = []
-    listen: str = ""
-    bound_ms: Positive = 500.0
-    half_life_ms: Positive = HALF_LIFE_MS
-    most_age_ms: Positive = MOST_AGE_MS
+    peer: str = ""  # host:port
+    peers: list[str] = []  # more of them
+    listen: str = ""  # host:port; empty: serve none
+    timeout_ms: PositiveMs = msgspec.field(name="bound_ms", default=500.0)  # for all peers together
+    half_life_ms: PositiveMs = HALF_LIFE_MS
+    max_age_ms: PositiveMs = msgspec.field(name="most_age_ms", default=MAX_AGE_MS)
 
-    def asked(self) -> list[str]:
-        """Every peer that may be asked, once."""
+    def peer_addresses(self) -> list[str]:
+        """The addresses of ``peer`` and ``peers``, without duplicates."""
         return list(dict.fromkeys(filter(None, [self.peer, *self.peers])))
 
 
-def load_learning(path: str) -> Learning:
-    """Read the file."""
-    return load_extension_settings(path, "learning", Learning, _check)
+def load_warm_start_settings(path: str) -> WarmStartSettings:
+    """The settings in a file; raises ``ConfigurationError`` for a file that cannot be used."""
+    return load_extension_settings(path, "learning", WarmStartSettings, _check)
 
 
-def _check(learning: Learning) -> None:
-    for address in (*learning.asked(), *filter(None, [learning.listen])):
+load_learning = load_warm_start_settings  # the former name, until its last users have the new one
+
+
+def _check(settings: WarmStartSettings) -> None:
+    for address in (*settings.peer_addresses(), *filter(None, [settings.listen])):
         parse_address(address)
