--- a/canvasplank/network/callers.py
+++ b/canvasplank/network/callers.py
@@ -10,8 +10,8 @@
 from canvasplank.exchange.call_records import FinalAnswer
 from canvasplank.exchange.exchange import Exchange
 from canvasplank.network.caller_stream import SILENT_MS, CallerStream
-from canvasplank.network.listening import Listener
-from canvasplank.network.set_ups import call_of, is_possible
+from canvasplank.network.listener import Listener
+from canvasplank.network.set_up_parser import call_of, is_possible
 from canvasplank.network.stream import BufferBudget
 
 CAUSES = {
--- a/canvasplank/network/discovery.py
+++ b/canvasplank/network/discovery.py
@@ -13,7 +13,7 @@
 from canvasplank.codecs import sse
 from canvasplank.codecs.errors import BadMessageError
 from canvasplank.config.discovery_events import DISCOVERY_EVENT_DECODER, DiscoveryEvent
-from canvasplank.network.connecting import Backoff, Connecting
+from canvasplank.network.connection_attempt import Backoff, Connecting
 from canvasplank.network.stream import BufferBudget, Stream
 from canvasplank.runtime.scheduler import Scheduler
 
--- a/canvasplank/network/server_stream.py
+++ b/canvasplank/network/server_stream.py
@@ -9,7 +9,7 @@
 from canvasplank.codecs import sip
 from canvasplank.exchange.call_records import CallRecord
 from canvasplank.exchange.exchange import Exchange
-from canvasplank.network.connecting import Backoff, Connecting
+from canvasplank.network.connection_attempt import Backoff, Connecting
 from canvasplank.network.stream import BufferBudget, Stream
 
 QUIET_MS = 2500.0  # a server that reports its circuits and has said nothing for so long may be cut off
--- a/canvasplank/network/servers.py
+++ b/canvasplank/network/servers.py
@@ -17,7 +17,7 @@
 from canvasplank.config.platform_settings import ConnectionLimits, LoadReportReader
 from canvasplank.exchange.call_records import CallRecord
 from canvasplank.exchange.exchange import UNWANTED_ANSWER_CAUSE, Exchange
-from canvasplank.network.connecting import Backoff, Connecting
+from canvasplank.network.connection_attempt import Backoff, Connecting
 from canvasplank.network.server_messages import figures, refusal
 from canvasplank.network.server_stream import QUIET_MS, Peer, ServerStream, WaitingSetUp
 from canvasplank.network.stream import BufferBudget
--- /dev/null
+++ b/tests/race_conditions.py
@@ -0,0 +1,106 @@
+"""What the tests of race conditions share: messages, the callers' side alone, and reading to the end."""
+
+from __future__ import annotations
+
+import asyncio
+import re
+import socket
+from collections.abc import Callable
+from pathlib import Path
+from types import SimpleNamespace
+
+from test_operations import free_port
+
+from canvasplank import interface as api
+from canvasplank.codecs import isup
+from canvasplank.config.platform_settings import RequestBounds
+from canvasplank.counters import Counters
+from canvasplank.exchange.exchange import Exchange
+from canvasplank.network.callers import Callers
+from canvasplank.network.stream import BufferBudget
+from canvasplank.runtime.event_loop import PipeEventLoop
+from canvasplank.runtime.scheduler import Scheduler, TimerQueue
+
+ROOT = Path(__file__).parent.parent
+WAIT_S = 20.0  # bounds every wait here; none depends on speed
+ID = "aa" * 8
+TEST = isup.encode(isup.Message(isup.Kind.TEST, ID, {isup.Parameter.CAUSE: b"\0"}))
+RELEASE = isup.release(ID, 16)
+
+
+def set_up(call_id: str = ID, wait_ms: int = 9000) -> bytes:
+    return isup.encode(
+        isup.Message(
+            isup.Kind.SET_UP,
+            call_id,
+            {
+                isup.Parameter.CLASS: b"low",
+                isup.Parameter.WAIT: b"%d" % wait_ms,
+                isup.Parameter.NUMBER: b"7f3a",
+                isup.Parameter.FIGURES: b"dest:0;width:1;via:-1",
+                isup.Parameter.DESCRIPTION: b"v=0 offer",
+            },
+        )
+    )
+
+
+def read_to_the_end(peer: socket.socket) -> bytes:
+    """All that comes; a reset is an error."""
+    came = b""
+    while chunk := peer.recv(65536):
+        came += chunk
+    return came
+
+
+class Edge:
+    """The callers' side alone, on a clock of our own, with a module that holds every call."""
+
+    def __init__(self, sockets: int = 64) -> None:
+        self.now_ms = 0.0
+        self.scheduler = Scheduler(TimerQueue(), clock=lambda: self.now_ms)
+        self.exchange = Exchange(
+            self.scheduler, lambda now_ms, event: self.decide(event), Counters(), 100, 1e6
+        )
+        self.decide: Callable[[api.Event], list[api.Action]] = lambda event: []
+        self.released: list[str] = []
+        self.exchange.attach_servers(
+            SimpleNamespace(
+                release=lambda _, call_id, __: self.released.append(call_id),
+                set_up=lambda *_: None,
+                cancel=lambda *_: None,
+            )
+        )
+        figures = RequestBounds(frozenset({"low"}), frozenset(), None, None)
+        self.callers = Callers(self.exchange, figures, sockets, 1000.0, BufferBudget(1e6))
+        self.exchange.attach_callers(self.callers)
+        self.port = free_port()
+
+    async def caller(self) -> socket.socket:
+        """A connection that was tested, and has nothing open."""
+        peer = socket.create_connection(("127.0.0.1", self.port), timeout=WAIT_S)
+        peer.sendall(TEST)
+        loop = asyncio.get_running_loop()
+        assert len(await loop.run_in_executor(None, peer.recv, 64)) == 15
+        return peer
+
+    async def taken(self) -> None:
+        """Until a set-up has been read; the caller bounds the wait."""
+        while not self.exchange.open_calls:
+            await asyncio.sleep(0.005)
+
+    def idle(self) -> None:
+        self.now_ms += 5000.0
+        self.scheduler.now_ms = self.now_ms
+        self.callers._look_for_idle()
+
+    def for_room(self) -> None:
+        self.callers.limit(1)
+        self.callers._make_room()
+
+
+def _run(coroutine: object) -> object:
+    with asyncio.Runner(loop_factory=PipeEventLoop) as runner:
+        return runner.run(coroutine)
+
+
+ANSWERED = re.compile(rb"\x00.\x0c(.{8})", re.DOTALL)
--- a/tests/test_connecting.py
+++ b/tests/test_connection_attempt.py
@@ -7,7 +7,7 @@
 import struct
 
 from canvasplank.codecs import sip
-from canvasplank.network.connecting import Connecting
+from canvasplank.network.connection_attempt import Connecting
 from canvasplank.network.stream import BufferBudget, Stream
 from canvasplank.runtime.scheduler import Scheduler, TimerQueue
 
--- /dev/null
+++ b/tests/test_race_conditions_servers.py
@@ -0,0 +1,129 @@
+"""Race conditions on connections to call servers: each is forced, on real sockets."""
+
+from __future__ import annotations
+
+import asyncio
+import contextlib
+import re
+import socket
+import time
+
+import msgspec
+import pytest
+from exchange_replay import Player
+from race_conditions import ID, WAIT_S, _run, set_up
+
+from canvasplank import interface as api
+from canvasplank.codecs import sip
+from canvasplank.config.discovery_events import Endpoint
+from canvasplank.config.platform_settings import ConnectionLimits, LoadReportReader
+from canvasplank.counters import Counters
+from canvasplank.exchange.call_records import CallRecord
+from canvasplank.exchange.exchange import Exchange
+from canvasplank.network.servers import Servers
+from canvasplank.network.stream import BufferBudget
+from canvasplank.runtime.scheduler import Scheduler, TimerQueue
+
+
+@pytest.fixture
+def player(tmp_path):
+    player = Player(tmp_path)
+    yield player
+    player.stop()
+
+
+def test_a_server_is_told_how_long_is_left_when_its_connection_came_up_late(player):
+    """It was told how long was left before, and may have worked on for as long as that took."""
+    player.step('settings {"ceilings": {"connect_timeout_ms": 15000.0}}')
+    player.step("known b never")
+    player.start()
+    player.caller("1").stream.sendall(set_up(wait_ms=9000))
+    player.step("wait 1100")
+    player.step("server b comes_up")
+    server = player.parties["server b"]
+    server.stream.settimeout(WAIT_S)
+    while b"X-Deadline" not in server.came:
+        server.came += server.stream.recv(65536)
+    assert int(re.search(rb"X-Deadline: (\d+)", server.came)[1]) <= 9000 - 1100
+
+
+def test_what_is_sent_on_the_news_of_a_restart_goes_to_the_new_process():
+    """It went out on the half-open connection to the old one, which was then dropped as dead."""
+
+    async def run() -> tuple[bytes, bytes]:
+        scheduler, loop = (
+            Scheduler(TimerQueue(), clock=lambda: time.time() * 1000),
+            asyncio.get_running_loop(),
+        )
+        call = CallRecord(ID, "low", "7f3a", 0, False, float("inf"), b"v=0 offer", None)
+        decide = lambda now_ms, event: (  # noqa: E731
+            [api.SetUp(ID, "s-a", 9000)] if isinstance(event, api.ServerList) and exchange.open_calls else []
+        )
+        exchange = Exchange(scheduler, decide, Counters(), 100, 1e6)
+        limits = ConnectionLimits(conn_idle_ms=60_000.0, connect_timeout_ms=15_000.0, max_open=100)
+        servers = Servers(exchange, limits, 500.0, BufferBudget(1e6), LoadReportReader([]))
+        exchange.attach_servers(servers)
+        with socket.create_server(("127.0.0.1", 0)) as listener:
+            listener.settimeout(WAIT_S)
+            entry = Endpoint("s-a", f"127.0.0.1:{listener.getsockname()[1]}", lifecycle="ready")
+            servers.listed(True, [entry])
+            old, _ = await loop.run_in_executor(None, listener.accept)
+            while exchange.counters["sockets.servers"] == 0:
+                await asyncio.sleep(0.005)
+            exchange.offer(call)
+            scheduler.begin_iteration()
+            servers.listed(False, [msgspec.structs.replace(entry, started_at_ms=scheduler.now_ms + 1)])
+            new, _ = await loop.run_in_executor(None, listener.accept)
+            new.settimeout(WAIT_S)
+            came = await loop.run_in_executor(None, new.recv, 65536)
+            old.settimeout(WAIT_S)
+            with contextlib.suppress(ConnectionResetError):
+                return await loop.run_in_executor(None, old.recv, 65536), came
+            return b"", came
+
+    to_old, to_new = _run(run())
+    assert to_old == b""
+    assert b"INVITE" in to_new
+
+
+@pytest.mark.parametrize("told_every_ms", [500.0, 3_000.0, 6_000.0])
+def test_a_server_that_tells_its_lines_less_often_keeps_its_connection(told_every_ms: float):
+    """Where they are told every 3 s, a new connection was made every 2.5 s: fitted to one deployment."""
+
+    async def run() -> int:
+        now_ms, writers = [0.0], []
+        scheduler = Scheduler(TimerQueue(), clock=lambda: now_ms[0])
+        exchange = Exchange(scheduler, lambda _, event: [], Counters(), 100, 1e6)
+        servers = Servers(
+            exchange,
+            ConnectionLimits(15_000.0, 60_000.0, 100),
+            500.0,
+            BufferBudget(1e6),
+            LoadReportReader(["free", "size"]),
+        )
+        exchange.attach_servers(servers)
+        notify = sip.request("NOTIFY", "lines", ID, 1, {"X-Gauges": "free:12;size:40"})
+
+        def joined(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+            writers.append(writer)
+            writer.write(notify)
+
+        server = await asyncio.start_server(joined, "127.0.0.1", 0)
+        servers.listed(True, [Endpoint("s-a", f"127.0.0.1:{server.sockets[0].getsockname()[1]}", "ready")])
+        async with asyncio.timeout(WAIT_S):
+            while not writers:
+                await asyncio.sleep(0.005)
+            for step in range(1, 401):  # 40 s
+                now_ms[0] += 100.0
+                if step * 100.0 % told_every_ms == 0:
+                    for writer in writers:
+                        writer.write(notify)
+                for _ in range(3):
+                    scheduler.begin_iteration()
+                    await asyncio.sleep(0.001)
+        for writer in writers:
+            writer.close()
+        server.close()
+        return len(writers)
+
+    assert asyncio.run(run()) <= 3, "two are made in vain until it is known"
