--- a/canvasplank/codecs/errors.py
+++ b/canvasplank/codecs/errors.py
@@ -1,6 +1,6 @@
 """What all the parsers have in common: the size limit and the error."""
 
-MESSAGE_MOST = 16 * 1024  # bytes of one message, all counted
+MAX_MESSAGE_BYTES = 16 * 1024  # bytes of one message, all counted
 
 
 class BadMessageError(ValueError):
--- a/canvasplank/codecs/isup.py
+++ b/canvasplank/codecs/isup.py
@@ -7,12 +7,12 @@
 from collections.abc import Iterator
 from dataclasses import dataclass, field
 
-from canvasplank.codecs.errors import MESSAGE_MOST, BadMessageError
+from canvasplank.codecs.errors import MAX_MESSAGE_BYTES, BadMessageError
 
 _LENGTH = struct.Struct(">H")
 _HEAD = struct.Struct(">HB8s")
 _PARAMETER = struct.Struct(">BH")
-_LEAST = _HEAD.size - _LENGTH.size  # type and call
+_MIN_LENGTH = _HEAD.size - _LENGTH.size  # type and call
 
 
 class Kind(enum.IntEnum):
@@ -22,7 +22,7 @@
     PROGRESS = 6
     ANSWER = 9
     RELEASE = 12
-    RELEASE_HEARD = 16
+    RELEASE_CONFIRMED = 16
     GROUP_STATE = 43
     TEST = 52
     TEST_RESULT = 53
@@ -36,7 +36,7 @@
     TENANT = 106
     NUMBER = 112
     FIGURES = 115
-    STAY_AWAY = 118
+    RETRY_AFTER = 118
     CAUSE = 142
     DESCRIPTION = 145
 
@@ -105,9 +105,9 @@
         while len(self._buffer) >= _LENGTH.size:
             (length,) = _LENGTH.unpack_from(self._buffer)
             size = length + _LENGTH.size
-            if length < _LEAST or size > MESSAGE_MOST:
-                most = MESSAGE_MOST - _LENGTH.size
-                raise BadMessageError(f"length {length} is not between {_LEAST} and {most}")
+            if length < _MIN_LENGTH or size > MAX_MESSAGE_BYTES:
+                max_length = MAX_MESSAGE_BYTES - _LENGTH.size
+                raise BadMessageError(f"length {length} is not between {_MIN_LENGTH} and {max_length}")
             if len(self._buffer) < size:
                 return
             raw = bytes(self._buffer[:size])
@@ -134,7 +134,7 @@
 def encode(message: Message) -> bytes:
     """The bytes of a message."""
     body = b"".join(_PARAMETER.pack(code, len(value)) + value for code, value in message.parameters.items())
-    return _HEAD.pack(_LEAST + len(body), message.kind, bytes.fromhex(message.call_id)) + body
+    return _HEAD.pack(_MIN_LENGTH + len(body), message.kind, bytes.fromhex(message.call_id)) + body
 
 
 def answer(call_id: str, description: bytes) -> bytes:
@@ -142,17 +142,20 @@
     return encode(Message(Kind.ANSWER, call_id, {Parameter.DESCRIPTION: description}))
 
 
-def release(call_id: str, cause: int, stay_away_ms: float | None = None) -> bytes:
+def release(call_id: str, cause: int, retry_after_ms: float | None = None) -> bytes:
     """Refused, failed or over, by the cause and by what went before; a refusal may name a wait."""
     parameters: dict[int, bytes] = {Parameter.CAUSE: bytes([cause])}
-    if stay_away_ms is not None:
-        parameters[Parameter.STAY_AWAY] = b"%d" % stay_away_ms
+    if retry_after_ms is not None:
+        parameters[Parameter.RETRY_AFTER] = b"%d" % retry_after_ms
     return encode(Message(Kind.RELEASE, call_id, parameters))
 
 
-def release_heard(call_id: str) -> bytes:
+def release_confirmed(call_id: str) -> bytes:
     """A release has arrived."""
-    return encode(Message(Kind.RELEASE_HEARD, call_id))
+    return encode(Message(Kind.RELEASE_CONFIRMED, call_id))
+
+
+release_heard = release_confirmed  # the name that the emulators import
 
 
 def progress(call_id: str) -> bytes:
--- a/canvasplank/codecs/sip.py
+++ b/canvasplank/codecs/sip.py
@@ -6,19 +6,19 @@
 from collections.abc import Iterator
 from dataclasses import dataclass
 
-from canvasplank.codecs.errors import MESSAGE_MOST, BadMessageError
+from canvasplank.codecs.errors import MAX_MESSAGE_BYTES, BadMessageError
 
 _HEAD_END = b"\r\n\r\n"
-_START_LINE_PARTS = 3
-_STATUS_BEGIN = b"SIP/2.0 "
-_REQUEST_BEGIN = re.compile(rb"[A-Z]{1,16}( .*)?", re.DOTALL)
+_START_LINE_FIELDS = 3
+_STATUS_PREFIX = b"SIP/2.0 "
+_REQUEST_PREFIX = re.compile(rb"[A-Z]{1,16}( .*)?", re.DOTALL)
 _CONTROL = re.compile(rb"[\x00-\x08\x0b\x0c\x0e-\x1f\x7f]")
 _LENGTH = re.compile(r"[0-9]{1,10}")
 _CSEQ = re.compile(r"([0-9]{1,10})\s+([A-Z]+)")
 _STATUS = re.compile(r"[1-6][0-9]{2}")
 _QUOTED = re.compile(r'"[^"]*"')
 _CAUSE = re.compile(r"[0-9]{1,3}")
-_CAUSE_MOST = 127  # Q.850 has seven bits for it
+_MAX_CAUSE = 127  # Q.850 has seven bits for it
 _NO_CAUSE = 31  # Q.850: normal, unspecified
 
 
@@ -54,7 +54,7 @@
             for name, _, value in (parameter.partition("=") for parameter in parameters):
                 if protocol.upper() == "Q.850" and name.strip().lower() == "cause":
                     value = value.strip()
-                    known = _CAUSE.fullmatch(value) and 0 < int(value) <= _CAUSE_MOST
+                    known = _CAUSE.fullmatch(value) and 0 < int(value) <= _MAX_CAUSE
                     return int(value) if known else _NO_CAUSE
         return None
 
@@ -65,7 +65,7 @@
     def __init__(self) -> None:
         self._buffer = bytearray()
         self._head: tuple[str, int, dict[str, str]] | None = None
-        self._wanted = 0  # bytes of the body
+        self._body_length = 0  # bytes of the body
 
     @property
     def in_message(self) -> bool:
@@ -86,23 +86,23 @@
         """Messages completed by these bytes."""
         self._buffer += data
         while self._head is not None or self._read_head():
-            if len(self._buffer) < self._wanted:
+            if len(self._buffer) < self._body_length:
                 return
-            body = bytes(self._buffer[: self._wanted])
-            del self._buffer[: self._wanted]
+            body = bytes(self._buffer[: self._body_length])
+            del self._buffer[: self._body_length]
             method, status, headers = self._head
             self._head = None
             if body:  # a length that does not fit shows in what follows; no body, nothing spoilt
-                self._check_begun()
+                self._check_prefix()
             yield Message(method, status, headers, body)
 
     def _read_head(self) -> bool:
         self._skip_blank_lines()
         end = self._buffer.find(_HEAD_END)
         if end < 0:
-            self._check_begun()
-            if len(self._buffer) > MESSAGE_MOST:
-                raise BadMessageError(f"no end of the headers within {MESSAGE_MOST} bytes")
+            self._check_prefix()
+            if len(self._buffer) > MAX_MESSAGE_BYTES:
+                raise BadMessageError(f"no end of the headers within {MAX_MESSAGE_BYTES} bytes")
             return False
         try:
             lines = self._buffer[:end].decode().split("\r\n")
@@ -112,9 +112,9 @@
             raise BadMessageError("headers hold control characters")
         del self._buffer[: end + len(_HEAD_END)]
         headers = _headers(lines[1:])
-        self._wanted = _length(headers)
-        if end + len(_HEAD_END) + self._wanted > MESSAGE_MOST:
-            raise BadMessageError(f"message of over {MESSAGE_MOST} bytes")
+        self._body_length = _length(headers)
+        if end + len(_HEAD_END) + self._body_length > MAX_MESSAGE_BYTES:
+            raise BadMessageError(f"message of over {MAX_MESSAGE_BYTES} bytes")
         self._head = (*_start(lines[0], headers), headers)
         return True
 
@@ -123,14 +123,14 @@
         while self._buffer.startswith(b"\r\n"):
             del self._buffer[:2]
 
-    def _check_begun(self) -> None:
+    def _check_prefix(self) -> None:
         """Guards against waiting for the end of what is no message: its first bytes tell."""
         self._skip_blank_lines()
         if self._buffer == b"\r":
             return
-        begun = bytes(self._buffer[: len(_STATUS_BEGIN)])
-        if begun and not _STATUS_BEGIN.startswith(begun) and not _REQUEST_BEGIN.fullmatch(begun):
-            raise BadMessageError(f"no message begins with {begun!r}")
+        prefix = bytes(self._buffer[: len(_STATUS_PREFIX)])
+        if prefix and not _STATUS_PREFIX.startswith(prefix) and not _REQUEST_PREFIX.fullmatch(prefix):
+            raise BadMessageError(f"no message begins with {prefix!r}")
 
 
 def _headers(lines: list[str]) -> dict[str, str]:
@@ -155,14 +155,14 @@
 
 
 def _start(line: str, headers: dict[str, str]) -> tuple[str, int]:
-    parts = line.split(" ", _START_LINE_PARTS - 1)
-    if len(parts) == _START_LINE_PARTS and parts[0] == "SIP/2.0" and _STATUS.fullmatch(parts[1]):
+    fields = line.split(" ", _START_LINE_FIELDS - 1)
+    if len(fields) == _START_LINE_FIELDS and fields[0] == "SIP/2.0" and _STATUS.fullmatch(fields[1]):
         match = _CSEQ.match(headers.get("cseq", ""))
         if match is None:
             raise BadMessageError(f"CSeq {headers.get('cseq', '')[:40]!r} names no method")
-        return match[2], int(parts[1])
-    if len(parts) == _START_LINE_PARTS and parts[2] == "SIP/2.0" and parts[0].isalpha():
-        return parts[0], 0
+        return match[2], int(fields[1])
+    if len(fields) == _START_LINE_FIELDS and fields[2] == "SIP/2.0" and fields[0].isalpha():
+        return fields[0], 0
     raise BadMessageError(f"not a start line: {line[:80]!r}")
 
 
@@ -186,9 +186,9 @@
     return "\r\n".join(lines).encode() + _HEAD_END + body
 
 
-def response(status: int, reason: str, asked: Message) -> bytes:
+def response(status: int, reason: str, answered: Message) -> bytes:
     """The bytes of a response to a request, with the headers that a response repeats."""
     repeated = {"via": "Via", "from": "From", "to": "To", "call-id": "Call-ID", "cseq": "CSeq"}
     lines = [f"SIP/2.0 {status} {reason}"]
-    lines += [f"{name}: {asked.headers[key]}" for key, name in repeated.items() if key in asked.headers]
+    lines += [f"{name}: {answered.headers[key]}" for key, name in repeated.items() if key in answered.headers]
     return "\r\n".join([*lines, "Content-Length: 0"]).encode() + _HEAD_END
--- a/canvasplank/codecs/sse.py
+++ b/canvasplank/codecs/sse.py
@@ -6,10 +6,10 @@
 from collections.abc import Iterator, Mapping
 from dataclasses import dataclass
 
-from canvasplank.codecs.errors import MESSAGE_MOST, BadMessageError
+from canvasplank.codecs.errors import MAX_MESSAGE_BYTES, BadMessageError
 
-_EVENT_MOST = 16 * MESSAGE_MOST  # a whole list of servers is one event
-_STATUS_PARTS = 2
+_MAX_EVENT_BYTES = 16 * MAX_MESSAGE_BYTES  # a whole list of servers is one event
+_STATUS_FIELDS = 2
 _SECONDS = re.compile(r"[0-9]{1,9}", re.ASCII)
 _CHUNK_LENGTH = re.compile(rb"[0-9A-Fa-f]{1,8}")
 
@@ -69,22 +69,29 @@
             self._text += self._raw
             self._raw.clear()
         yield from self._events()
-        if len(self._text) > _EVENT_MOST or sum(map(len, self._data)) + len(self._data) > _EVENT_MOST:
-            raise BadMessageError(f"event of over {_EVENT_MOST} bytes")
+        if (
+            len(self._text) > _MAX_EVENT_BYTES
+            or sum(map(len, self._data)) + len(self._data) > _MAX_EVENT_BYTES
+        ):
+            raise BadMessageError(f"event of over {_MAX_EVENT_BYTES} bytes")
 
     def _read_head(self) -> bool:
         end = self._raw.find(b"\r\n\r\n")
         if end < 0:
-            if len(self._raw) > MESSAGE_MOST:
-                raise BadMessageError(f"no end of the headers within {MESSAGE_MOST} bytes")
+            if len(self._raw) > MAX_MESSAGE_BYTES:
+                raise BadMessageError(f"no end of the headers within {MAX_MESSAGE_BYTES} bytes")
             return False
         status, *lines = self._raw[:end].decode("latin-1").split("\r\n")
         del self._raw[: end + 4]
-        parts = status.split(" ")
+        status_fields = status.split(" ")
         fields = (line.partition(":") for line in lines)
         headers = {name.strip().lower(): value.strip() for name, _, value in fields}
-        if len(parts) < _STATUS_PARTS or not parts[0].startswith("HTTP/1.") or parts[1] != "200":
-            self.retry_after_ms = _named_wait_ms(headers)
+        if (
+            len(status_fields) < _STATUS_FIELDS
+            or not status_fields[0].startswith("HTTP/1.")
+            or status_fields[1] != "200"
+        ):
+            self.retry_after_ms = _retry_after_ms(headers)
             raise BadMessageError(f"not a success: {status[:80]!r}")
         self._chunked = headers.get("transfer-encoding", "").lower() == "chunked"
         self._in_body = True
@@ -94,14 +101,14 @@
         """Move what is whole out of the chunks; a chunk's length line may itself be split."""
         while self._raw:
             if self._chunk_left:
-                part = self._raw[: self._chunk_left]
-                self._text += part
-                del self._raw[: len(part)]
-                self._chunk_left -= len(part)
+                piece = self._raw[: self._chunk_left]
+                self._text += piece
+                del self._raw[: len(piece)]
+                self._chunk_left -= len(piece)
                 continue
             end = self._raw.find(b"\r\n")
             if end < 0:
-                if len(self._raw) > MESSAGE_MOST:
+                if len(self._raw) > MAX_MESSAGE_BYTES:
                     raise BadMessageError("chunk without a length")
                 return
             line = bytes(self._raw[:end]).split(b";")[0].strip()
@@ -127,15 +134,15 @@
                 self._data.append(value.removeprefix(" "))
 
 
-def _named_wait_ms(headers: Mapping[str, str]) -> float:
+def _retry_after_ms(headers: Mapping[str, str]) -> float:
     """RFC 9110's ``Retry-After``: seconds, or a date against the answer's own; 0: none that can be read."""
-    named = headers.get("retry-after", "")
-    if _SECONDS.fullmatch(named):
-        return float(named) * 1000
+    retry_after = headers.get("retry-after", "")
+    if _SECONDS.fullmatch(retry_after):
+        return float(retry_after) * 1000
     from email.utils import parsedate_to_datetime  # only here: costs every start what few refusals need
 
     try:
-        until, said = parsedate_to_datetime(named), parsedate_to_datetime(headers.get("date", ""))
-        return max(0.0, (until - said).total_seconds() * 1000)
+        retry_at, sent_at = parsedate_to_datetime(retry_after), parsedate_to_datetime(headers.get("date", ""))
+        return max(0.0, (retry_at - sent_at).total_seconds() * 1000)
     except (ValueError, TypeError, OverflowError):  # TypeError: one of them names its zone and the other not
         return 0.0
--- a/canvasplank/network/discovery.py
+++ b/canvasplank/network/discovery.py
@@ -13,7 +13,7 @@
 from canvasplank.codecs import sse
 from canvasplank.codecs.errors import BadMessageError
 from canvasplank.config.discovery_events import DISCOVERY_EVENT_DECODER, DiscoveryEvent
-from canvasplank.network.connection_attempt import Backoff, Connecting
+from canvasplank.network.connection_attempt import Backoff, ConnectionAttempt
 from canvasplank.network.stream import BufferBudget, Stream
 from canvasplank.runtime.scheduler import Scheduler
 
@@ -40,21 +40,21 @@
         self._discovery = discovery
         self.made_ms = self.scheduler.now_ms
 
-    def connected(self) -> None:
+    def on_connected(self) -> None:
         """Ask for what is new."""
         self.made_ms = self.scheduler.now_ms
-        self._discovery.watches()
+        self._discovery.on_watch_started()
         self.write(sse.request(PATH, self._discovery.address, self._discovery.last_id))
 
-    def received(self, data: memoryview) -> None:
+    def on_received(self, data: memoryview) -> None:
         """Read events."""
-        self._discovery.spoke(self)
+        self._discovery.on_received(self)
         for event in self.messages(data):
             self._discovery.event(event)
 
-    def ended(self, error: Exception | None) -> None:
+    def on_disconnected(self, error: Exception | None) -> None:
         """Ask again."""
-        self._discovery.left(self)
+        self._discovery.on_disconnected(self)
 
 
 class PollBackoff(Protocol):
@@ -92,13 +92,13 @@
         self.last_id = last_id
         self._on_event = on_event
         self._stream: DiscoveryWatch | None = None
-        self._connecting: Connecting | None = None
+        self._connecting: ConnectionAttempt | None = None
         self._backoff = Backoff(scheduler, BACKOFF_MS, MAX_BACKOFF_MS)
         self._poll_backoff: PollBackoff | None = None  # None: by the doubling waits alone
         # After a move and until the first event: the next such time.
         self._unconfirmed_move_ms: float | None = None
         self._rewatch_at_ms = float("inf")  # when the watch is given up for another
-        self._unread = 0  # times in a row that the next event could not be read
+        self._failed_reads = 0  # times in a row that the next event could not be read
 
     def use_poll_backoff(self, poll_backoff: PollBackoff) -> None:
         """Poll after this backoff's delays instead of the doubling ones; before ``start``."""
@@ -108,7 +108,7 @@
     def last_received_ms(self) -> float | None:
         """When it last spoke on the connection that is open; None: none is, or it has told nothing yet."""
         stream = self._stream
-        return stream.heard_ms if stream is not None and stream.is_open and self.last_id else None
+        return stream.last_received_ms if stream is not None and stream.is_open and self.last_id else None
 
     def start(self) -> None:
         """Connect, and keep looking whether it still speaks."""
@@ -151,35 +151,35 @@
         if self._stream is not None:  # a wait from before the service moved
             return
         stream = self._stream = DiscoveryWatch(self)
-        self._connecting = Connecting(
-            stream, self.address, CONNECT_TIMEOUT_MS, lambda why: self._failed(stream, why)
+        self._connecting = ConnectionAttempt(
+            stream, self.address, CONNECT_TIMEOUT_MS, lambda reason: self._on_attempt_failed(stream, reason)
         )
 
-    def _failed(self, stream: DiscoveryWatch, why: str) -> None:
+    def _on_attempt_failed(self, stream: DiscoveryWatch, reason: str) -> None:
         if self._backoff.failures == 0:
-            LOG.info("notice board: no connection: %s", why)
-        self.left(stream)
+            LOG.info("notice board: no connection: %s", reason)
+        self.on_disconnected(stream)
 
-    def left(self, stream: DiscoveryWatch) -> None:
+    def on_disconnected(self, stream: DiscoveryWatch) -> None:
         """A connection has ended."""
         if self._stream is stream:
             self._stream = None
-            self._backoff.then(
+            self._backoff.schedule(
                 self._connect,
                 None
                 if self._poll_backoff is None
                 else self._poll_backoff.retry_delay(self.scheduler.now_ms, stream.parser.retry_after_ms),
             )
 
-    def spoke(self, stream: DiscoveryWatch) -> None:
+    def on_received(self, stream: DiscoveryWatch) -> None:
         """It says something, and has for a while: a later break is a fresh one.
 
         Guards against asking a service that answers with errors over and over at the shortest wait.
         """
         if self.scheduler.now_ms - stream.made_ms > MAX_BACKOFF_MS:
-            self._backoff.succeeded()
+            self._backoff.reset_delay()
 
-    def watches(self) -> None:
+    def on_watch_started(self) -> None:
         """A watch is up; guards against one where the service has moved to that was taken and then forgotten.
 
         One that has told an event is known to be well: asking that again would only be load.
@@ -200,14 +200,14 @@
         try:
             discovery_event = DISCOVERY_EVENT_DECODER.decode(event.data)
         except (ValueError, RecursionError, msgspec.MsgspecError) as error:
-            self._unread += 1
+            self._failed_reads += 1
             # Guards against an event that can never be read keeping all later ones from us.
-            if self._unread < MAX_READS:
+            if self._failed_reads < MAX_READS:
                 raise BadMessageError(f"event {number}: {error}") from None
             LOG.warning("notice board: event %d is passed over, unread: %s", number, error)
             discovery_event = None
-        self._unread = 0
-        self._backoff.succeeded()
+        self._failed_reads = 0
+        self._backoff.reset_delay()
         self._unconfirmed_move_ms, self._rewatch_at_ms = None, float("inf")
         if self._poll_backoff is not None:
             self._poll_backoff.reset()
@@ -221,11 +221,11 @@
         if (
             stream is not None
             and stream.is_open
-            and self.scheduler.now_ms - stream.heard_ms > SILENCE_TIMEOUT_MS
+            and self.scheduler.now_ms - stream.last_received_ms > SILENCE_TIMEOUT_MS
         ):
             LOG.info("notice board: silent, connecting again")
             stream.transport.abort()
-            self.left(stream)
+            self.on_disconnected(stream)
         elif stream is not None and stream.is_open and self.scheduler.now_ms >= self._rewatch_at_ms:
             stream.transport.abort()
             self._stream = None
--- a/canvasplank/network/listener.py
+++ b/canvasplank/network/listener.py
@@ -13,7 +13,7 @@
 LOG = logging.getLogger(__name__)
 BACKLOG = 512
 PAUSE_MS = 1000.0  # after a want of descriptors or memory
-SHORT_OF = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
+EXHAUSTION_ERRORS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
 
 
 class Listener:
@@ -28,14 +28,14 @@
         scheduler: Scheduler,
         host: str,
         port: int,
-        at_once: int,
+        max_accepts: int,
         protocol: Callable[[], asyncio.BaseProtocol],
     ) -> None:
         """The port is shared (``SO_REUSEPORT``): a new version listens beside this one."""
-        self.at_once = at_once
+        self.max_accepts = max_accepts
         self._scheduler, self._protocol = scheduler, protocol
         self._loop = asyncio.get_running_loop()
-        self._taken: set[asyncio.Task] = set()
+        self._accepting: set[asyncio.Task] = set()
         self._socket = socket.socket(
             socket.AF_INET6 if ":" in host else socket.AF_INET, socket.SOCK_STREAM, socket.IPPROTO_TCP
         )
@@ -48,7 +48,7 @@
         except OSError:
             self._socket.close()
             raise
-        self._begin()
+        self._resume_accepting()
 
     def close(self) -> None:
         """Take who is there already, and nobody else."""
@@ -58,9 +58,9 @@
         self._take(BACKLOG)
         self._socket.close()
 
-    def _begin(self) -> None:
+    def _resume_accepting(self) -> None:
         if self._socket.fileno() >= 0:
-            self._loop.add_reader(self._socket, lambda: self._take(self.at_once))
+            self._loop.add_reader(self._socket, lambda: self._take(self.max_accepts))
 
     def _take(self, most: int) -> None:
         for _ in range(most):
@@ -69,14 +69,14 @@
             except BlockingIOError:
                 return
             except OSError as error:
-                if error.errno not in SHORT_OF:
+                if error.errno not in EXHAUSTION_ERRORS:
                     continue  # it broke before it was taken, and accept(2) tells its fault
                 # Guards against a loop that does nothing but fail to accept.
                 LOG.error("no connection is taken for a second: %s", error)
                 self._loop.remove_reader(self._socket)
-                self._scheduler.call_later(PAUSE_MS, self._begin)
+                self._scheduler.call_later(PAUSE_MS, self._resume_accepting)
                 return
             accepted.setblocking(False)
             task = self._loop.create_task(self._loop.connect_accepted_socket(self._protocol, accepted))
-            self._taken.add(task)
-            task.add_done_callback(self._taken.discard)
+            self._accepting.add(task)
+            task.add_done_callback(self._accepting.discard)
--- a/canvasplank/network/server_messages.py
+++ b/canvasplank/network/server_messages.py
@@ -17,15 +17,15 @@
 PROCESSOR_FULL, NUMBER_BUSY = "cpu_full", "number_busy"
 # From the start of a word only: guards against seconds spent on a long body that holds no figures.
 GAUGE = re.compile(r"\b([A-Za-z_]\w*)\s*[=:]\s*(-?\d+(?:\.\d+)?(?:[eE][+-]?\d{1,2})?)(?![\w.])")
-WAITED = re.compile(r"\d{1,9}(?:\.\d{1,9})?")
+WAIT = re.compile(r"\d{1,9}(?:\.\d{1,9})?")
 
 
-def refusal(message: sip.Message, load_reports: LoadReportReader) -> tuple[api.Outcome, RefusalDetails]:
+def parse_refusal(message: sip.Message, load_reports: LoadReportReader) -> tuple[api.Outcome, RefusalDetails]:
     """How an attempt ended by a final answer that is no success."""
     outcome = OUTCOMES.get(message.status, api.Outcome.ERROR)
     note = message.headers.get("x-outcome", "")
     busy = note == NUMBER_BUSY and outcome is api.Outcome.ERROR
-    report = load_reports.report(figures(message), _waited_ms(message))
+    report = load_reports.report(figures(message), _processor_wait_ms(message))
     return outcome, RefusalDetails(note == PROCESSOR_FULL, busy, report)
 
 
@@ -35,7 +35,7 @@
     return {name: float(value) for name, value in GAUGE.findall(text)}
 
 
-def _waited_ms(message: sip.Message) -> float | None:
+def _processor_wait_ms(message: sip.Message) -> float | None:
     """The wait at a full processor, which it tells where the settings say so."""
     text = message.headers.get("x-waited", "")
-    return float(text) if WAITED.fullmatch(text) else None
+    return float(text) if WAIT.fullmatch(text) else None
--- a/canvasplank/network/server_stream.py
+++ b/canvasplank/network/server_stream.py
@@ -9,10 +9,12 @@
 from canvasplank.codecs import sip
 from canvasplank.exchange.call_records import CallRecord
 from canvasplank.exchange.exchange import Exchange
-from canvasplank.network.connection_attempt import Backoff, Connecting
+from canvasplank.network.connection_attempt import Backoff, ConnectionAttempt
 from canvasplank.network.stream import BufferBudget, Stream
 
-QUIET_MS = 2500.0  # a server that reports its circuits and has said nothing for so long may be cut off
+SILENCE_TIMEOUT_MS = (
+    2500.0  # a server that reports its circuits and has said nothing for so long may be cut off
+)
 UNTIMED_REPORTS = 2  # the first on a connection, which say nothing of how often they come
 
 
@@ -26,12 +28,12 @@
     started_ms: float | None
     backoff: Backoff
     current: ServerStream | None = None  # where the next message goes; it may still be connecting
-    heard_ms: float = 0.0  # when it last said anything, or a connection came up
+    last_received_ms: float = 0.0  # when it last said anything, or a connection came up
     reports_circuits: bool = False  # it has reported its circuits
-    quiet_ms: float = QUIET_MS  # so long it may say nothing
+    silence_timeout_ms: float = SILENCE_TIMEOUT_MS  # so long it may say nothing
     streams: list[ServerStream] = field(default_factory=list)  # all that are up
     pending_releases: dict[str, int] = field(default_factory=dict)  # causes, for the next connection
-    opens_ms: float = 0.0  # no sooner is its first connection made, unless a set-up wants it
+    first_connection_ms: float = 0.0  # no sooner is its first connection made, unless a set-up wants it
 
 
 class WaitingSetUp(NamedTuple):
@@ -49,13 +51,13 @@
     budget: BufferBudget
     disconnecting: bool  # the program ends: nothing is heeded any more
 
-    def joined(self, stream: ServerStream) -> None:
+    def on_connected(self, stream: ServerStream) -> None:
         """It is up."""
 
-    def take(self, stream: ServerStream, message: sip.Message) -> None:
+    def on_message(self, stream: ServerStream, message: sip.Message) -> None:
         """It has brought a message."""
 
-    def left(self, stream: ServerStream) -> None:
+    def on_disconnected(self, stream: ServerStream) -> None:
         """It has ended."""
 
 
@@ -68,63 +70,73 @@
         self.servers = servers
         self.peer = peer
         self.address = peer.address
-        self.open: dict[str, int] = {}  # set-ups sent here and not ended, with the numbers of their attempts
+        self.open_set_ups: dict[
+            str, int
+        ] = {}  # set-ups sent here and not ended, with the numbers of their attempts
         self.waiting: dict[str, WaitingSetUp] = {}  # for when it is up
         self.reported_ms = -1.0  # when the circuits were last reported here
-        self.reports = 0  # and how often
+        self.report_count = 0  # and how often
         self.unconfirmed: dict[str, tuple[int, float]] = {}  # releases sent here: cause, time
         self.established: set[str] = set()  # calls set up here: the server releases them here
         self.replaced_ms = -1.0  # when another took its place
-        self.connecting: Connecting | None = None
+        self.connecting: ConnectionAttempt | None = None
         self.made_ms = self.scheduler.now_ms
-        self.asked_ms = -1.0  # when the first set-up was sent here of those after the last word
+        self.unanswered_since_ms = -1.0  # when the first set-up was sent here of those after the last word
 
-    def connected(self) -> None:
+    def on_connected(self) -> None:
         """Send what has waited."""
-        self.made_ms = self.peer.heard_ms = self.scheduler.now_ms
-        self.servers.joined(self)
+        self.made_ms = self.peer.last_received_ms = self.scheduler.now_ms
+        self.servers.on_connected(self)
 
-    def received(self, data: memoryview) -> None:
+    def on_received(self, data: memoryview) -> None:
         """Read what it says."""
-        self.peer.heard_ms = self.scheduler.now_ms
+        self.peer.last_received_ms = self.scheduler.now_ms
         for message in self.messages(data):
             if not self.servers.disconnecting:
-                self.servers.take(self, message)
+                self.servers.on_message(self, message)
 
-    def reported(self) -> None:
+    def on_circuits_reported(self) -> None:
         """The circuits were reported; where that is often, silence is found soon.
 
         The first comes with the connection, the second at any time after it: they say nothing of that.
         """
         self.peer.reports_circuits = True
-        self.reports += 1
-        if self.reports > UNTIMED_REPORTS and self.scheduler.now_ms - self.reported_ms < QUIET_MS:
-            self.peer.quiet_ms = QUIET_MS
+        self.report_count += 1
+        if (
+            self.report_count > UNTIMED_REPORTS
+            and self.scheduler.now_ms - self.reported_ms < SILENCE_TIMEOUT_MS
+        ):
+            self.peer.silence_timeout_ms = SILENCE_TIMEOUT_MS
         self.reported_ms = self.scheduler.now_ms
 
-    def is_cut_short(self, limit_ms: float) -> bool:
+    def is_message_overdue(self, limit_ms: float) -> bool:
         """Whether the rest of a message is overdue: all that follows would be taken for it."""
-        late = self.scheduler.now_ms - self.begun_ms > limit_ms
+        late = self.scheduler.now_ms - self.message_started_ms > limit_ms
         return self.is_open and late and self.parser.in_message
 
     def is_hung(self, limit_ms: float) -> bool:
         """Whether it has brought not a word since a set-up went out on it."""
-        return self.asked_ms > self.heard_ms and self.scheduler.now_ms - self.asked_ms > limit_ms
+        return (
+            self.unanswered_since_ms > self.last_received_ms
+            and self.scheduler.now_ms - self.unanswered_since_ms > limit_ms
+        )
 
-    def is_left_over(self, limit_ms: float) -> bool:
+    def is_superseded(self, limit_ms: float) -> bool:
         """Whether it has been replaced and nothing more is to come on it.
 
         Guards against losing the release of an established call, on its way while we end the connection: its
         successor is up already, and the server would not tell it again.
         """
-        spoke_again = self.heard_ms > self.replaced_ms and self.scheduler.now_ms - self.used_ms < limit_ms
-        return not self.open and not (self.established and spoke_again)
+        spoke_again = (
+            self.last_received_ms > self.replaced_ms and self.scheduler.now_ms - self.last_used_ms < limit_ms
+        )
+        return not self.open_set_ups and not (self.established and spoke_again)
 
     @property
-    def broke_off(self) -> bool:
+    def ended_unreadably(self) -> bool:
         """Whether it ended amid what could not be read: an answer may have been lost with it."""
-        return self.spoilt or self.parser.in_message
+        return self.unreadable or self.parser.in_message
 
-    def ended(self, error: Exception | None) -> None:
+    def on_disconnected(self, error: Exception | None) -> None:
         """Its set-ups broke on their way."""
-        self.servers.left(self)
+        self.servers.on_disconnected(self)
--- a/canvasplank/network/set_up_parser.py
+++ b/canvasplank/network/set_up_parser.py
@@ -15,11 +15,11 @@
 NUMBER = re.compile(r"[A-Za-z0-9*#+._-]{1,64}")  # what a server can read in the first line
 FIGURES = ("dest", "width", "via", "again")
 FIGURE = re.compile(r"-?[0-9]{1,9}")
-WAIT_MOST_MS = 3_600_000.0  # no caller waits for an hour; a longer figure is no server's to read
-DESCRIPTION_MOST = 15 * 1024  # with the server side's headers it still is one message
+MAX_WAIT_MS = 3_600_000.0  # no caller waits for an hour; a longer figure is no server's to read
+MAX_DESCRIPTION_BYTES = 15 * 1024  # with the server side's headers it still is one message
 
 
-def call_of(
+def parse_set_up(
     stream: CallerStream, message: isup.Message, known: RequestBounds, scheduler: Scheduler
 ) -> CallRecord:
     """The call that a set-up asks for; one that no server could read is a bad message.
@@ -33,13 +33,13 @@
         wait_ms = float(wait_text)
     except ValueError as error:
         raise BadMessageError(f"set-up {message.call_id}: {error}") from None
-    if not 0 < wait_ms <= WAIT_MOST_MS:  # a 'nan' is not, either
+    if not 0 < wait_ms <= MAX_WAIT_MS:  # a 'nan' is not, either
         raise BadMessageError(f"set-up {message.call_id}: a wait of {wait_text[:20]!r}")
     number = message.text(isup.Parameter.NUMBER)
     if message.call_id == NO_CALL or not NUMBER.fullmatch(number):
         raise BadMessageError(f"set-up {message.call_id}: no id, or a number of {number[:20]!r}")
     description = message.parameters.get(isup.Parameter.DESCRIPTION, b"")
-    if not 0 < len(description) <= DESCRIPTION_MOST:
+    if not 0 < len(description) <= MAX_DESCRIPTION_BYTES:
         raise BadMessageError(f"set-up {message.call_id}: a description of {len(description)} bytes")
     return CallRecord(
         id=message.call_id,
@@ -55,7 +55,7 @@
     )
 
 
-def is_possible(call: CallRecord, message: isup.Message, known: RequestBounds) -> bool:
+def is_within_bounds(call: CallRecord, message: isup.Message, known: RequestBounds) -> bool:
     """Whether class, tenant and figures are within what the settings know."""
     if call.class_name not in known.classes or (known.tenants and call.tenant not in known.tenants):
         return False
--- a/canvasplank/network/stream.py
+++ b/canvasplank/network/stream.py
@@ -10,16 +10,16 @@
 from collections.abc import Iterator
 from typing import Protocol, TypeVar
 
-from canvasplank.codecs.errors import MESSAGE_MOST, BadMessageError
+from canvasplank.codecs.errors import MAX_MESSAGE_BYTES, BadMessageError
 from canvasplank.runtime.scheduler import Scheduler
 
 LOG = logging.getLogger(__name__)
-UNSENT_MOST = 1024 * 1024  # bytes that a peer may leave unread before its connection is ended
+MAX_UNSENT_BYTES = 1024 * 1024  # bytes that a peer may leave unread before its connection is ended
 LINGER_MS = 2000.0  # a peer may take so long to read the rest once its connection is to end
-READS_MOST = 256  # of what is left on a connection that was reset
-UNSENT_PAUSE = 16 * 1024  # bytes left unread from which on nothing more is taken from the peer
+MAX_READS_AFTER_RESET = 256  # of what is left on a connection that was reset
+PAUSE_READING_UNSENT_BYTES = 16 * 1024  # bytes left unread from which on nothing more is taken from the peer
 
-BUFFERED_PART = 1 / 8  # of the memory: the most that all connections together may hold
+BUFFERED_FRACTION = 1 / 8  # of the memory: the most that all connections together may hold
 
 Message = TypeVar("Message", covariant=True)
 
@@ -56,9 +56,9 @@
 
     def limit(self, memory_bytes: float) -> None:
         """Hold no more than the configuration has room for."""
-        self._most = BUFFERED_PART * memory_bytes
+        self._most = BUFFERED_FRACTION * memory_bytes
 
-    def note(self, stream: Stream, size: int) -> None:
+    def update(self, stream: Stream, size: int) -> None:
         """What a connection holds now."""
         self.total += size - self._by_stream.pop(stream, 0)
         if size:
@@ -74,15 +74,15 @@
             largest = max(self._by_stream, key=self._by_stream.__getitem__)
             size = self._by_stream.pop(largest)
             self.total -= size
-            largest.end_spoilt(f"leaves {size} bytes unread or without an end")
+            largest.abort_unreadable(f"leaves {size} bytes unread or without an end")
 
 
 class Stream(asyncio.BufferedProtocol):
-    """One connection; subclasses read with ``received`` and hear of the end in ``ended``."""
+    """One connection; subclasses read with ``on_received`` and hear of the end in ``on_disconnected``."""
 
     # What was read lies here until buffer_updated, which follows get_buffer at once, hands it to a parser.
     # One for all: guards against 16 KiB for each of hundreds of idle connections.
-    _buffer = bytearray(MESSAGE_MOST)
+    _buffer = bytearray(MAX_MESSAGE_BYTES)
 
     def __init__(self, scheduler: Scheduler, label: str, parser: Parser, budget: BufferBudget) -> None:
         self.scheduler = scheduler
@@ -90,25 +90,27 @@
         self.budget = budget
         self.label = label
         self.transport: asyncio.Transport | None = None
-        self.heard_ms = scheduler.now_ms
-        self.used_ms = scheduler.now_ms
-        self.begun_ms = scheduler.now_ms  # when the message began that is not whole, if there is one
-        self.spoilt = False  # whether it was ended for a bad message
-        self.finishing = False  # whether it is only read any more
+        self.last_received_ms = scheduler.now_ms
+        self.last_used_ms = scheduler.now_ms
+        self.message_started_ms = (
+            scheduler.now_ms
+        )  # when the message began that is not whole, if there is one
+        self.unreadable = False  # whether it was ended for a bad message
+        self.writing_closed = False  # whether it is only read any more
 
     @property
     def is_open(self) -> bool:
         """Whether something may still be written."""
-        return self.transport is not None and not self.finishing and not self.transport.is_closing()
+        return self.transport is not None and not self.writing_closed and not self.transport.is_closing()
 
-    def connected(self) -> None:
+    def on_connected(self) -> None:
         """The connection is up."""
 
-    def received(self, data: memoryview) -> None:
+    def on_received(self, data: memoryview) -> None:
         """Bytes came in."""
         raise NotImplementedError
 
-    def ended(self, error: Exception | None) -> None:
+    def on_disconnected(self, error: Exception | None) -> None:
         """The connection is over."""
 
     def messages(self, data: memoryview) -> Iterator[Message]:
@@ -118,21 +120,21 @@
             was_in_message = False
             yield message
         if not was_in_message:
-            self.begun_ms = self.scheduler.now_ms
+            self.message_started_ms = self.scheduler.now_ms
 
     def write(self, data: bytes) -> None:
         """Send; a peer that never reads loses its connection and not our memory."""
         if not self.is_open:
             return
-        self.used_ms = self.scheduler.now_ms
+        self.last_used_ms = self.scheduler.now_ms
         self.transport.write(data)
-        self._note_buffered()
-        if self.unsent > UNSENT_MOST:
+        self._update_buffered()
+        if self.unsent > MAX_UNSENT_BYTES:
             LOG.warning("%s: closed, leaves %d bytes unread", self.label, self.unsent)
             self.transport.abort()
 
-    def _note_buffered(self) -> None:
-        self.budget.note(self, self.buffered)
+    def _update_buffered(self) -> None:
+        self.budget.update(self, self.buffered)
 
     @property
     def buffered(self) -> int:
@@ -151,14 +153,14 @@
                 self.scheduler.call_later(LINGER_MS, self.transport.abort)
             self.transport.close()
 
-    def finish(self) -> None:
+    def close_writing(self) -> None:
         """Say no more, and read on until the peer has ended it too, or for as long as it may linger.
 
         Guards against losing what crosses our end of it, as the release of an established call: a socket that
         is closed answers that with a reset.
         """
         if self.is_open:
-            self.finishing = True
+            self.writing_closed = True
             self.transport.write_eof()
             self.scheduler.call_later(LINGER_MS, self.transport.abort)
 
@@ -168,9 +170,9 @@
         """See asyncio."""
         self.scheduler.begin_iteration()
         self.transport = transport
-        transport.set_write_buffer_limits(high=UNSENT_PAUSE)
-        self.heard_ms = self.used_ms = self.scheduler.now_ms
-        self.connected()
+        transport.set_write_buffer_limits(high=PAUSE_READING_UNSENT_BYTES)
+        self.last_received_ms = self.last_used_ms = self.scheduler.now_ms
+        self.on_connected()
 
     def get_buffer(self, sizehint: int) -> bytearray:
         """See asyncio."""
@@ -179,39 +181,39 @@
     def buffer_updated(self, nbytes: int) -> None:
         """See asyncio."""
         self.scheduler.begin_iteration()
-        self.heard_ms = self.used_ms = self.scheduler.now_ms
+        self.last_received_ms = self.last_used_ms = self.scheduler.now_ms
         try:
-            self.received(memoryview(self._buffer)[:nbytes])
-            self._note_buffered()
+            self.on_received(memoryview(self._buffer)[:nbytes])
+            self._update_buffered()
         except BadMessageError as error:
             # Guards against a bad message ending the program: it ends its own connection, with one line.
-            self.end_spoilt(str(error))
+            self.abort_unreadable(str(error))
         except Exception:
             # Guards against a fault of ours passing for an ordinary end: what may be there is released.
             LOG.exception("%s: reading failed", self.label)
-            self.end_spoilt("its message met a fault of ours")
+            self.abort_unreadable("its message met a fault of ours")
 
-    def end_spoilt(self, why: str) -> None:
+    def abort_unreadable(self, reason: str) -> None:
         """What the peer says can be of no further use."""
-        LOG.warning("%s: closed, %s", self.label, why)
-        self.spoilt = True
+        LOG.warning("%s: closed, %s", self.label, reason)
+        self.unreadable = True
         self.parser.clear()  # now, and not at the end of a turn that brings hundreds like it
         if self.transport is not None:
             self.transport.abort()
 
-    def read_out(self, left: socket.socket) -> None:
+    def read_remaining(self, remaining: socket.socket) -> None:
         """Read what had come before a connection was reset.
 
         Guards against losing it, as the release of an established call, where a write of ours or the end of
         connecting met the reset first: asyncio then reads no more.
         """
         with contextlib.suppress(OSError):
-            for _ in range(READS_MOST):
-                count = 0 if self.spoilt else left.recv_into(self._buffer)
+            for _ in range(MAX_READS_AFTER_RESET):
+                count = 0 if self.unreadable else remaining.recv_into(self._buffer)
                 if not count:
                     break
                 self.buffer_updated(count)
-        self.budget.note(self, 0)  # guards the bound against counting what is over, for good
+        self.budget.update(self, 0)  # guards the bound against counting what is over, for good
 
     def pause_writing(self) -> None:
         """The peer does not read: take nothing more from it meanwhile."""
@@ -229,7 +231,7 @@
         if exc is not None:
             with contextlib.suppress(OSError):
                 descriptor = os.dup(self.transport.get_extra_info("socket").fileno())
-                with socket.socket(fileno=descriptor) as left:
-                    self.read_out(left)
-        self.ended(exc)
-        self.budget.note(self, 0)
+                with socket.socket(fileno=descriptor) as remaining:
+                    self.read_remaining(remaining)
+        self.on_disconnected(exc)
+        self.budget.update(self, 0)
--- a/examples/toy_caller.py
+++ b/examples/toy_caller.py
@@ -32,7 +32,7 @@
                 if message.kind == isup.Kind.ANSWER:
                     print("stands:", message.parameters[isup.Parameter.DESCRIPTION].decode(), flush=True)
                 if message.kind == isup.Kind.RELEASE:
-                    stream.sendall(isup.release_heard(call_id))
+                    stream.sendall(isup.release_confirmed(call_id))
                     print("over, cause", message.cause, flush=True)
                     return
 
--- a/tests/race_conditions.py
+++ b/tests/race_conditions.py
@@ -91,7 +91,7 @@
     def idle(self) -> None:
         self.now_ms += 5000.0
         self.scheduler.now_ms = self.now_ms
-        self.callers._look_for_idle()
+        self.callers._close_idle_connections()
 
     def for_room(self) -> None:
         self.callers.limit(1)
--- a/tests/test_codecs.py
+++ b/tests/test_codecs.py
@@ -9,11 +9,11 @@
 from hypothesis import strategies as st
 
 from canvasplank.codecs import isup, sip, sse
-from canvasplank.codecs.errors import MESSAGE_MOST, BadMessageError
+from canvasplank.codecs.errors import MAX_MESSAGE_BYTES, BadMessageError
 from canvasplank.network import server_messages
 
 ID = "9e847923b2a4a452"
-ISUP = isup.answer(ID, b"v=0") + isup.release(ID, 42) + isup.release_heard(ID)
+ISUP = isup.answer(ID, b"v=0") + isup.release(ID, 42) + isup.release_confirmed(ID)
 SIP = (
     sip.request("INVITE", "7f3a", ID, 1, {"X-Tier": "voice"}, b"a\r\n\r\nb")
     + b"\r\n"
@@ -43,7 +43,7 @@
 def test_what_is_read():
     answer, release, heard = read(isup.Parser, ISUP)
     assert (answer.call_id, answer.parameters[isup.Parameter.DESCRIPTION], release.cause) == (ID, b"v=0", 42)
-    assert heard.kind == isup.Kind.RELEASE_HEARD
+    assert heard.kind == isup.Kind.RELEASE_CONFIRMED
     invite, full, bye = read(sip.Parser, SIP)
     assert (invite.method, invite.call_id, invite.sequence, invite.body) == ("INVITE", ID, 1, b"a\r\n\r\nb")
     assert (full.method, full.status, full.sequence) == ("INVITE", 503, 12)
@@ -64,10 +64,14 @@
         (sip.Parser, b"HELLO\r\nContent-Length: 0\r\n\r\n", "not a start line"),
         (sip.Parser, b"BYE sip:x SIP/2.0\r\nContent-Length: -1\r\n\r\n", "is not a number"),
         (sip.Parser, b"BYE sip:x SIP/2.0\r\nno colon\r\n\r\n", "not a header"),
-        (sip.Parser, b"BYE sip:x SIP/2.0\r\nContent-Length: 16384\r\n\r\n", f"over {MESSAGE_MOST} bytes"),
+        (
+            sip.Parser,
+            b"BYE sip:x SIP/2.0\r\nContent-Length: 16384\r\n\r\n",
+            f"over {MAX_MESSAGE_BYTES} bytes",
+        ),
         (sip.Parser, b"SIP/2.0 200 OK\r\nContent-Length: 0\r\n\r\n", "names no method"),
         (sip.Parser, "SIP/2.0 \u00b200 X\r\nContent-Length: 0\r\n\r\n".encode(), "not a start line"),
-        (sip.Parser, b"X" * (MESSAGE_MOST + 1), "no end of the headers"),
+        (sip.Parser, b"X" * (MAX_MESSAGE_BYTES + 1), "no end of the headers"),
         (sip.Parser, b"\xff\r\n\r\n", "not UTF-8"),
         (sip.Parser, b"\xffnoise", "no message begins with"),
         (sip.Parser, b"SIP/2.1", "no message begins with"),
--- a/tests/test_connection_attempt.py
+++ b/tests/test_connection_attempt.py
@@ -7,7 +7,7 @@
 import struct
 
 from canvasplank.codecs import sip
-from canvasplank.network.connection_attempt import Connecting
+from canvasplank.network.connection_attempt import ConnectionAttempt
 from canvasplank.network.stream import BufferBudget, Stream
 from canvasplank.runtime.scheduler import Scheduler, TimerQueue
 
@@ -19,10 +19,10 @@
         super().__init__(Scheduler(TimerQueue()), "server", sip.Parser(), BufferBudget(1e6))
         self.told: list[bytes | str] = []
 
-    def connected(self) -> None:
+    def on_connected(self) -> None:
         self.told.append("up")
 
-    def received(self, data: memoryview) -> None:
+    def on_received(self, data: memoryview) -> None:
         self.told.append(bytes(data))
         assert not list(self.messages(data)), "it is not whole"
 
@@ -30,7 +30,7 @@
 async def connect(listener: socket.socket, resets: bool) -> Heard:
     """One connection, on which the other side says BYE; it may reset it before we are told that it is up."""
     heard, port = Heard(), listener.getsockname()[1]
-    Connecting(heard, f"127.0.0.1:{port}", 20_000, lambda _: heard.told.append("failed"))
+    ConnectionAttempt(heard, f"127.0.0.1:{port}", 20_000, lambda _: heard.told.append("failed"))
     await asyncio.sleep(0)  # it has begun to connect, and hears of nothing until the next wait
     peer, _ = listener.accept()
     peer.sendall(b"BYE")
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -34,7 +34,7 @@
                 scheduler.begin_iteration()
                 await asyncio.sleep(0.01)
         server.close()
-        return now[0] - first.heard_ms
+        return now[0] - first.last_received_ms
 
     assert COMMENT_MS < asyncio.run(run()) < 2 * COMMENT_MS
 
--- a/tests/test_race_conditions_callers.py
+++ b/tests/test_race_conditions_callers.py
@@ -31,7 +31,7 @@
         pytest.param(Edge.for_room, set_up(), b"", id="room-set-up"),
         pytest.param(Edge.for_room, RELEASE, b"", id="room-release"),
         pytest.param(
-            lambda edge: edge.callers.quiesce(), RELEASE, isup.release_heard(ID), id="quiesce-release"
+            lambda edge: edge.callers.quiesce(), RELEASE, isup.release_confirmed(ID), id="quiesce-release"
         ),
     ],
 )
@@ -74,7 +74,7 @@
         peer.sendall(set_up())
         async with asyncio.timeout(WAIT_S):
             await edge.taken()
-        next(iter(edge.callers.streams)).end_spoilt("it cannot be read")
+        next(iter(edge.callers.streams)).abort_unreadable("it cannot be read")
         edge.exchange.on_established("a", ID, 0, b"v=0 answer")
         await asyncio.sleep(0.05)
         peer.close()
--- a/tests/test_race_conditions_shutdown.py
+++ b/tests/test_race_conditions_shutdown.py
@@ -189,7 +189,7 @@
         peer.settimeout(WAIT_S)
         peer.connect(("127.0.0.1", ended.port))
         peer.sendall(TEST)  # who has asked nothing is ended for that
-        while not any(stream.asked for stream in program._callers.streams):
+        while not any(stream.has_received_message for stream in program._callers.streams):
             await asyncio.sleep(0.01)
         stream = next(iter(program._callers.streams))
         stream.transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
