--- a/canvasplank/codecs/isup.py
+++ b/canvasplank/codecs/isup.py
@@ -8,15 +8,17 @@
 from dataclasses import dataclass, field
 
 from canvasplank.codecs.errors import MAX_MESSAGE_BYTES, BadMessageError
+from canvasplank.codecs.q850 import ReleaseCause
 
 _LENGTH = struct.Struct(">H")
 _HEAD = struct.Struct(">HB8s")
 _PARAMETER = struct.Struct(">BH")
 _MIN_LENGTH = _HEAD.size - _LENGTH.size  # type and call
+Cause = ReleaseCause  # the name that the emulators import
 
 
 class Kind(enum.IntEnum):
-    """The message types in use; a type not named here is passed over by whoever reads it."""
+    """The message types in use; what to do with any other is up to the receiver."""
 
     SET_UP = 1
     PROGRESS = 6
@@ -41,15 +43,6 @@
     DESCRIPTION = 145
 
 
-class Cause(enum.IntEnum):
-    """The causes of a release that this program gives or tells apart."""
-
-    NORMAL = 16
-    INVALID_INFORMATION = 100
-    TEMPORARY_FAILURE = 41
-    CONGESTION = 42
-
-
 @dataclass(frozen=True, slots=True)
 class Message:
     """One message; the call is 16 hex digits, as the other codecs have it."""
@@ -59,48 +52,48 @@
     parameters: dict[int, bytes] = field(default_factory=dict)
 
     def text(self, code: Parameter) -> str:
-        """A parameter's text; a missing one is an error that names it."""
+        """A parameter's text; raises ``BadMessageError`` where it is missing, or not printable words."""
         value = self.parameters.get(code)
         if value is None:
             raise BadMessageError(f"parameter {code.value} ({code.name.lower()}) is missing")
         try:
             text = value.decode()
-        except UnicodeDecodeError:
-            raise BadMessageError(f"parameter {code.value} ({code.name.lower()}) is not text") from None
+        except UnicodeDecodeError as error:
+            raise BadMessageError(f"parameter {code.value} ({code.name.lower()}) is not text") from error
         if not text.isprintable() or " " in text:
-            # Guards the other side's lines: what is passed on must not be able to end one early.
+            # It is passed on within lines of SIP, and must not be able to end one early.
             raise BadMessageError(f"parameter {code.value} ({code.name.lower()}) holds blanks or controls")
         return text
 
     @property
     def cause(self) -> int:
-        """The cause, or an ordinary end where none is given."""
+        """The Q.850 cause, or normal clearing where none is given."""
         value = self.parameters.get(Parameter.CAUSE, b"")
-        return value[0] if value else Cause.NORMAL
+        return value[0] if value else ReleaseCause.NORMAL_CLEARING
 
 
 class Parser:
-    """Takes bytes in any split and gives back whole messages."""
+    """Takes bytes in any split and yields complete messages."""
 
     def __init__(self) -> None:
         self._buffer = bytearray()
 
     @property
     def in_message(self) -> bool:
-        """Whether a message has begun and is not whole."""
+        """Whether a message has started and is incomplete."""
         return bool(self._buffer)
 
     @property
     def buffered(self) -> int:
-        """Bytes of a message that is not whole."""
+        """Bytes of the incomplete message."""
         return len(self._buffer)
 
     def clear(self) -> None:
-        """Forget it."""
+        """Discard the incomplete message."""
         self._buffer.clear()
 
     def feed(self, data: bytes | memoryview) -> Iterator[Message]:
-        """Messages completed by these bytes."""
+        """Messages completed by these bytes; raises ``BadMessageError``."""
         self._buffer += data
         while len(self._buffer) >= _LENGTH.size:
             (length,) = _LENGTH.unpack_from(self._buffer)
@@ -132,18 +125,21 @@
 
 
 def encode(message: Message) -> bytes:
-    """The bytes of a message."""
+    """The bytes of a message, head and parameters."""
     body = b"".join(_PARAMETER.pack(code, len(value)) + value for code, value in message.parameters.items())
     return _HEAD.pack(_MIN_LENGTH + len(body), message.kind, bytes.fromhex(message.call_id)) + body
 
 
 def answer(call_id: str, description: bytes) -> bytes:
-    """The call stands."""
+    """The encoded answer: the call is established."""
     return encode(Message(Kind.ANSWER, call_id, {Parameter.DESCRIPTION: description}))
 
 
 def release(call_id: str, cause: int, retry_after_ms: float | None = None) -> bytes:
-    """Refused, failed or over, by the cause and by what went before; a refusal may name a wait."""
+    """An encoded release: rejected, failed or ended, by the cause and by what went before.
+
+    ``retry_after_ms``: how long a rejected caller is to wait before it calls again.
+    """
     parameters: dict[int, bytes] = {Parameter.CAUSE: bytes([cause])}
     if retry_after_ms is not None:
         parameters[Parameter.RETRY_AFTER] = b"%d" % retry_after_ms
@@ -151,7 +147,7 @@
 
 
 def release_confirmed(call_id: str) -> bytes:
-    """A release has arrived."""
+    """The encoded confirmation of a release."""
     return encode(Message(Kind.RELEASE_CONFIRMED, call_id))
 
 
@@ -159,10 +155,10 @@
 
 
 def progress(call_id: str) -> bytes:
-    """The call is being worked on: free, and means nothing."""
+    """Encoded progress of a set-up: it may be sent at any time, and means nothing."""
     return encode(Message(Kind.PROGRESS, call_id))
 
 
 def test_result(call_id: str, passed: bool) -> bytes:
-    """What a test gave."""
+    """The encoded result of a test: whether new callers may be sent here."""
     return encode(Message(Kind.TEST_RESULT, call_id, {Parameter.CAUSE: bytes([passed])}))
--- /dev/null
+++ b/canvasplank/codecs/q850.py
@@ -0,0 +1,19 @@
+"""Causes of a release (ITU-T Q.850), which both wire formats carry as a number."""
+
+from __future__ import annotations
+
+import enum
+
+MAX_CAUSE = 127  # a cause has seven bits
+
+
+class ReleaseCause(enum.IntEnum):
+    """The causes that this program gives or tells apart; any other number is passed on as it came."""
+
+    NORMAL_CLEARING = 16  # the ordinary end of a call
+    NORMAL_UNSPECIFIED = 31
+    TEMPORARY_FAILURE = 41
+    SWITCHING_CONGESTION = 42
+    INVALID_INFORMATION = 100  # invalid information element contents
+
+    NORMAL = NORMAL_CLEARING  # an alias, for the emulators
--- a/canvasplank/codecs/sip.py
+++ b/canvasplank/codecs/sip.py
@@ -5,8 +5,10 @@
 import re
 from collections.abc import Iterator
 from dataclasses import dataclass
+from typing import NamedTuple
 
 from canvasplank.codecs.errors import MAX_MESSAGE_BYTES, BadMessageError
+from canvasplank.codecs.q850 import MAX_CAUSE, ReleaseCause
 
 _HEAD_END = b"\r\n\r\n"
 _START_LINE_FIELDS = 3
@@ -18,8 +20,6 @@
 _STATUS = re.compile(r"[1-6][0-9]{2}")
 _QUOTED = re.compile(r'"[^"]*"')
 _CAUSE = re.compile(r"[0-9]{1,3}")
-_MAX_CAUSE = 127  # Q.850 has seven bits for it
-_NO_CAUSE = 31  # Q.850: normal, unspecified
 
 
 @dataclass(frozen=True, slots=True)
@@ -33,98 +33,106 @@
 
     @property
     def call_id(self) -> str:
-        """What matches messages of one call."""
+        """The Call-ID, which matches the messages of one call; empty: there is none."""
         return self.headers.get("call-id", "")
 
     @property
     def sequence(self) -> int:
-        """The number in CSeq."""
+        """The number in CSeq; 0: there is none."""
         match = _CSEQ.match(self.headers.get("cseq", ""))
         return int(match[1]) if match else 0
 
     @property
     def cause(self) -> int | None:
-        """The Q.850 cause in ``Reason``, where there is one; one that is no cause is as good as unspecified.
+        """The Q.850 cause in ``Reason`` (RFC 3326), if any; one out of range counts as unspecified.
 
-        Guards against a cause that the callers' one byte cannot hold: the release was told to nobody, and the
-        call stood for ever.
+        Callers are given it in one byte: a release whose cause that cannot hold would be passed on to nobody,
+        and the call stay established for ever.
         """
         for reason in _QUOTED.sub("", self.headers.get("reason", "")).split(","):
             protocol, *parameters = (part.strip() for part in reason.split(";"))
             for name, _, value in (parameter.partition("=") for parameter in parameters):
                 if protocol.upper() == "Q.850" and name.strip().lower() == "cause":
                     value = value.strip()
-                    known = _CAUSE.fullmatch(value) and 0 < int(value) <= _MAX_CAUSE
-                    return int(value) if known else _NO_CAUSE
+                    known = _CAUSE.fullmatch(value) and 0 < int(value) <= MAX_CAUSE
+                    return int(value) if known else ReleaseCause.NORMAL_UNSPECIFIED
         return None
 
 
+class _Head(NamedTuple):
+    """A parsed start line and the headers after it."""
+
+    method: str
+    status: int
+    headers: dict[str, str]
+
+
 class Parser:
-    """Takes bytes in any split and gives back whole messages."""
+    """Takes bytes in any split and yields complete messages."""
 
     def __init__(self) -> None:
         self._buffer = bytearray()
-        self._head: tuple[str, int, dict[str, str]] | None = None
-        self._body_length = 0  # bytes of the body
+        self._head: _Head | None = None  # of the message whose body is incomplete
+        self._body_length = 0  # of that message, in bytes
 
     @property
     def in_message(self) -> bool:
-        """Whether a message has begun and is not whole."""
+        """Whether a message has started and is incomplete."""
         return bool(self._buffer) or self._head is not None
 
     @property
     def buffered(self) -> int:
-        """Bytes of a message that is not whole."""
+        """Bytes of the incomplete message, but for its head once that is parsed."""
         return len(self._buffer)
 
     def clear(self) -> None:
-        """Forget it."""
+        """Discard the incomplete message."""
         self._buffer.clear()
         self._head = None
 
     def feed(self, data: bytes | memoryview) -> Iterator[Message]:
-        """Messages completed by these bytes."""
+        """Messages completed by these bytes; raises ``BadMessageError``."""
         self._buffer += data
-        while self._head is not None or self._read_head():
+        while (head := self._head or self._read_head()) is not None:
             if len(self._buffer) < self._body_length:
                 return
             body = bytes(self._buffer[: self._body_length])
             del self._buffer[: self._body_length]
-            method, status, headers = self._head
             self._head = None
-            if body:  # a length that does not fit shows in what follows; no body, nothing spoilt
+            if body:  # a wrong Content-Length shows in what follows
                 self._check_prefix()
-            yield Message(method, status, headers, body)
+            yield Message(head.method, head.status, head.headers, body)
 
-    def _read_head(self) -> bool:
+    def _read_head(self) -> _Head | None:
+        """Parse the next head, where it is complete, and keep it until its body is."""
         self._skip_blank_lines()
         end = self._buffer.find(_HEAD_END)
         if end < 0:
             self._check_prefix()
             if len(self._buffer) > MAX_MESSAGE_BYTES:
                 raise BadMessageError(f"no end of the headers within {MAX_MESSAGE_BYTES} bytes")
-            return False
+            return None
         try:
             lines = self._buffer[:end].decode().split("\r\n")
-        except UnicodeDecodeError:
-            raise BadMessageError("headers are not UTF-8") from None
+        except UnicodeDecodeError as error:
+            raise BadMessageError("headers are not UTF-8") from error
         if _CONTROL.search(self._buffer, 0, end):
             raise BadMessageError("headers hold control characters")
         del self._buffer[: end + len(_HEAD_END)]
-        headers = _headers(lines[1:])
-        self._body_length = _length(headers)
+        headers = _parse_headers(lines[1:])
+        self._body_length = _content_length(headers)
         if end + len(_HEAD_END) + self._body_length > MAX_MESSAGE_BYTES:
             raise BadMessageError(f"message of over {MAX_MESSAGE_BYTES} bytes")
-        self._head = (*_start(lines[0], headers), headers)
-        return True
+        self._head = _parse_start_line(lines[0], headers)
+        return self._head
 
     def _skip_blank_lines(self) -> None:
-        """RFC 3261 7.5: empty lines between messages mean nothing."""
+        """Empty lines between messages are ignored (RFC 3261 7.5)."""
         while self._buffer.startswith(b"\r\n"):
             del self._buffer[:2]
 
     def _check_prefix(self) -> None:
-        """Guards against waiting for the end of what is no message: its first bytes tell."""
+        """Raise ``BadMessageError`` where the first bytes are no message's, instead of awaiting its end."""
         self._skip_blank_lines()
         if self._buffer == b"\r":
             return
@@ -133,7 +141,7 @@
             raise BadMessageError(f"no message begins with {prefix!r}")
 
 
-def _headers(lines: list[str]) -> dict[str, str]:
+def _parse_headers(lines: list[str]) -> dict[str, str]:
     headers: dict[str, str] = {}
     for line in lines:
         name, colon, value = line.partition(":")
@@ -145,7 +153,7 @@
     return headers
 
 
-def _length(headers: dict[str, str]) -> int:
+def _content_length(headers: dict[str, str]) -> int:
     text = headers.get("content-length")
     if text is None:
         raise BadMessageError("Content-Length is missing")
@@ -154,15 +162,15 @@
     return int(text)
 
 
-def _start(line: str, headers: dict[str, str]) -> tuple[str, int]:
+def _parse_start_line(line: str, headers: dict[str, str]) -> _Head:
     fields = line.split(" ", _START_LINE_FIELDS - 1)
     if len(fields) == _START_LINE_FIELDS and fields[0] == "SIP/2.0" and _STATUS.fullmatch(fields[1]):
         match = _CSEQ.match(headers.get("cseq", ""))
         if match is None:
             raise BadMessageError(f"CSeq {headers.get('cseq', '')[:40]!r} names no method")
-        return match[2], int(fields[1])
+        return _Head(match[2], int(fields[1]), headers)
     if len(fields) == _START_LINE_FIELDS and fields[2] == "SIP/2.0" and fields[0].isalpha():
-        return fields[0], 0
+        return _Head(fields[0], 0, headers)
     raise BadMessageError(f"not a start line: {line[:80]!r}")
 
 
@@ -187,7 +195,7 @@
 
 
 def response(status: int, reason: str, answered: Message) -> bytes:
-    """The bytes of a response to a request, with the headers that a response repeats."""
+    """The bytes of a response to a request, with the headers that it repeats (RFC 3261 8.2.6.2)."""
     repeated = {"via": "Via", "from": "From", "to": "To", "call-id": "Call-ID", "cseq": "CSeq"}
     lines = [f"SIP/2.0 {status} {reason}"]
     lines += [f"{name}: {answered.headers[key]}" for key, name in repeated.items() if key in answered.headers]
--- a/canvasplank/codecs/sse.py
+++ b/canvasplank/codecs/sse.py
@@ -1,4 +1,4 @@
-"""Server-sent events in an HTTP response: the notice board's stream."""
+"""Server-sent events in an HTTP response (the HTML standard's event stream): what service discovery sends."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 from canvasplank.codecs.errors import MAX_MESSAGE_BYTES, BadMessageError
 
-_MAX_EVENT_BYTES = 16 * MAX_MESSAGE_BYTES  # a whole list of servers is one event
+_MAX_EVENT_BYTES = 16 * MAX_MESSAGE_BYTES  # the complete list of servers is one event
 _STATUS_FIELDS = 2
 _SECONDS = re.compile(r"[0-9]{1,9}", re.ASCII)
 _CHUNK_LENGTH = re.compile(rb"[0-9A-Fa-f]{1,8}")
@@ -16,14 +16,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Event:
-    """One event."""
+    """One event: its id, and the lines of its data."""
 
     id: str
     data: str
 
 
 def request(path: str, host: str, last_id: int) -> bytes:
-    """Ask for all events after one."""
+    """The bytes of a request for all events after one."""
     return (
         f"GET {path} HTTP/1.1\r\nHost: {host}\r\nAccept: text/event-stream\r\n"
         f"Last-Event-ID: {last_id}\r\nConnection: close\r\n\r\n"
@@ -31,35 +31,36 @@
 
 
 class Parser:
-    """Takes the bytes of one response in any split and gives back whole events."""
+    """Takes the bytes of one response in any split and yields complete events."""
 
     def __init__(self) -> None:
-        self._raw = bytearray()  # as it came
-        self._text = bytearray()  # the body, freed of its chunks
-        self.retry_after_ms = 0.0  # a refusal asks to be left alone for so long
+        self._raw = bytearray()  # as received
+        self._text = bytearray()  # the body, without its chunks' heads
+        self.retry_after_ms = 0.0  # what a refusal has named; 0: nothing
         self._in_body = False
         self._chunked = False
         self._chunk_left = 0
-        self._id, self._data = "", []
+        self._id = ""
+        self._data: list[str] = []  # lines of the incomplete event
 
     @property
     def in_message(self) -> bool:
-        """Whether an event has begun and is not whole."""
+        """Whether an event has started and is incomplete."""
         return bool(self.buffered)
 
     @property
     def buffered(self) -> int:
-        """Bytes of an event that is not whole."""
+        """Bytes of the incomplete event."""
         return len(self._raw) + len(self._text) + sum(map(len, self._data))
 
     def clear(self) -> None:
-        """Forget it."""
+        """Discard the incomplete event."""
         self._raw.clear()
         self._text.clear()
         self._data = []
 
     def feed(self, data: bytes | memoryview) -> Iterator[Event]:
-        """Events completed by these bytes; comments are passed over."""
+        """Events completed by these bytes; comments are passed over.  Raises ``BadMessageError``."""
         self._raw += data
         if not self._in_body and not self._read_head():
             return
@@ -98,7 +99,7 @@
         return True
 
     def _unchunk(self) -> None:
-        """Move what is whole out of the chunks; a chunk's length line may itself be split."""
+        """Move complete chunks to the text (RFC 9112 7.1); a chunk's length line may itself be split."""
         while self._raw:
             if self._chunk_left:
                 piece = self._raw[: self._chunk_left]
@@ -115,7 +116,7 @@
             del self._raw[: end + 2]
             if not line:  # the line end behind a chunk
                 continue
-            if not _CHUNK_LENGTH.fullmatch(line):  # guards against waiting for ever for less than nothing
+            if not _CHUNK_LENGTH.fullmatch(line):  # a negative length would never be reached
                 raise BadMessageError(f"chunk length {line[:20]!r} is not a number")
             self._chunk_left = int(line, 16)
 
@@ -135,7 +136,7 @@
 
 
 def _retry_after_ms(headers: Mapping[str, str]) -> float:
-    """RFC 9110's ``Retry-After``: seconds, or a date against the answer's own; 0: none that can be read."""
+    """``Retry-After`` (RFC 9110 10.2.3): seconds, or a date against the response's own; 0: none readable."""
     retry_after = headers.get("retry-after", "")
     if _SECONDS.fullmatch(retry_after):
         return float(retry_after) * 1000
--- /dev/null
+++ b/canvasplank/network/caller_releases.py
@@ -0,0 +1,58 @@
+"""Releases of established calls to callers: on the call's own connection, on another, or on the next."""
+
+from __future__ import annotations
+
+from canvasplank.counters import Counters
+from canvasplank.network.caller_pool import CallerPool
+from canvasplank.network.caller_stream import CallerStream
+from canvasplank.network.release_retransmission import CONFIRMATION_WINDOW_MS
+from canvasplank.runtime.scheduler import Scheduler
+
+MAX_PENDING_RELEASES = 20_000  # that wait for a connection
+# For so long a pending release waits for a connection that carries calls; then any will do.
+PENDING_RELEASE_DELAY_MS = 500.0
+
+
+class CallerReleases:
+    """Sends releases to callers, and again where the first may not have been read."""
+
+    def __init__(self, scheduler: Scheduler, counters: Counters, pool: CallerPool) -> None:
+        self._scheduler, self._counters, self._pool = scheduler, counters, pool
+        self._pending: dict[str, int] = {}  # causes of those that wait for a connection
+
+    def send(self, stream: CallerStream | None, call_id: str, cause: int) -> None:
+        """Send here where it can be written to, else on the newest that carries calls, or later."""
+        if stream is None or not stream.is_open or stream.half_closed:
+            stream = self._pool.newest(carrying_calls=True)
+        if stream is not None:
+            self._counters.add("sent.releases_to_callers")
+            stream.send_release(call_id, cause)
+        elif len(self._pending) < MAX_PENDING_RELEASES:
+            self._pending[call_id] = cause
+            self._send_pending_later()
+
+    def on_connected(self) -> None:
+        """A connection is up: pending releases go there unless one that carries calls comes first."""
+        if self._pending:
+            self._send_pending_later()
+
+    def send_pending(self, stream: CallerStream) -> None:
+        """Write all that have waited for a connection."""
+        pending, self._pending = self._pending, {}
+        for call_id, cause in pending.items():
+            self._counters.add("sent.releases_to_callers")
+            stream.send_release(call_id, cause)
+
+    def resend_unconfirmed(self, stream: CallerStream) -> None:
+        """Send again what may have crossed the caller's end of this connection."""
+        since_ms = self._scheduler.now_ms - CONFIRMATION_WINDOW_MS
+        for call_id, cause in stream.unconfirmed.take_sent_after(since_ms):
+            self.send(None, call_id, cause)
+
+    def _send_pending_later(self) -> None:
+        self._scheduler.call_later(PENDING_RELEASE_DELAY_MS, self._send_pending_on_any)
+
+    def _send_pending_on_any(self) -> None:
+        stream = self._pool.newest(carrying_calls=False)
+        if stream is not None:
+            self.send_pending(stream)
--- a/canvasplank/network/listener.py
+++ b/canvasplank/network/listener.py
@@ -1,4 +1,4 @@
-"""A listener whose end loses nobody: what the machine has let in is taken before it closes."""
+"""A listener that loses nobody when it closes: what the kernel has queued is accepted before."""
 
 from __future__ import annotations
 
@@ -11,16 +11,16 @@
 from canvasplank.runtime.scheduler import Scheduler
 
 LOG = logging.getLogger(__name__)
-BACKLOG = 512
-PAUSE_MS = 1000.0  # after a want of descriptors or memory
+BACKLOG = 512  # connections that the kernel queues
+EXHAUSTION_PAUSE_MS = 1000.0  # after accept(2) has failed for want of descriptors or memory
 EXHAUSTION_ERRORS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
 
 
 class Listener:
-    """Takes connections, so many in one go at most, and hands each to a protocol of its own.
+    """Accepts connections, a limited number in one go, and gives each a protocol of its own.
 
-    asyncio's own server drops those that it has accepted, and the machine resets those in its queue, where
-    it is closed in the same turn: found by a process that was stopped through its last moments.
+    asyncio's own server, closed in the iteration in which it has accepted somebody, drops them, and the
+    kernel resets those in its queue: found with a process that was stopped through its last moments.
     """
 
     def __init__(
@@ -31,11 +31,14 @@
         max_accepts: int,
         protocol: Callable[[], asyncio.BaseProtocol],
     ) -> None:
-        """The port is shared (``SO_REUSEPORT``): a new version listens beside this one."""
-        self.max_accepts = max_accepts
+        """Listen; raises ``OSError``.
+
+        The port is shared (``SO_REUSEPORT``): on an upgrade the new process listens beside the old one.
+        """
+        self._max_accepts = max_accepts
         self._scheduler, self._protocol = scheduler, protocol
         self._loop = asyncio.get_running_loop()
-        self._accepting: set[asyncio.Task] = set()
+        self._tasks: set[asyncio.Task[object]] = set()  # of connections being handed to their protocols
         self._socket = socket.socket(
             socket.AF_INET6 if ":" in host else socket.AF_INET, socket.SOCK_STREAM, socket.IPPROTO_TCP
         )
@@ -48,35 +51,39 @@
         except OSError:
             self._socket.close()
             raise
-        self._resume_accepting()
+        self._start_accepting()
+
+    def limit(self, max_accepts: int) -> None:
+        """Accept no more than so many connections in one go."""
+        self._max_accepts = max_accepts
 
     def close(self) -> None:
-        """Take who is there already, and nobody else."""
+        """Accept those in the kernel's queue, and nobody after them."""
         if self._socket.fileno() < 0:
             return
         self._loop.remove_reader(self._socket)
-        self._take(BACKLOG)
+        self._accept(BACKLOG)
         self._socket.close()
 
-    def _resume_accepting(self) -> None:
+    def _start_accepting(self) -> None:
         if self._socket.fileno() >= 0:
-            self._loop.add_reader(self._socket, lambda: self._take(self.max_accepts))
+            self._loop.add_reader(self._socket, lambda: self._accept(self._max_accepts))
 
-    def _take(self, most: int) -> None:
-        for _ in range(most):
+    def _accept(self, max_accepts: int) -> None:
+        for _ in range(max_accepts):
             try:
                 accepted, _address = self._socket.accept()
             except BlockingIOError:
                 return
             except OSError as error:
                 if error.errno not in EXHAUSTION_ERRORS:
-                    continue  # it broke before it was taken, and accept(2) tells its fault
-                # Guards against a loop that does nothing but fail to accept.
+                    continue  # the connection broke in the queue, and accept(2) reports its error
+                # Pause, or the loop would do nothing but fail to accept.
                 LOG.error("no connection is taken for a second: %s", error)
                 self._loop.remove_reader(self._socket)
-                self._scheduler.call_later(PAUSE_MS, self._resume_accepting)
+                self._scheduler.call_later(EXHAUSTION_PAUSE_MS, self._start_accepting)
                 return
             accepted.setblocking(False)
             task = self._loop.create_task(self._loop.connect_accepted_socket(self._protocol, accepted))
-            self._accepting.add(task)
-            task.add_done_callback(self._accepting.discard)
+            self._tasks.add(task)
+            task.add_done_callback(self._tasks.discard)
--- /dev/null
+++ b/canvasplank/network/peer_table.py
@@ -0,0 +1,162 @@
+"""The call servers of the endpoint list: those that are added, drain, restart, move or go.
+
+A server is known by the ``instanceId`` of service discovery; its address may be another's later.
+"""
+
+from __future__ import annotations
+
+from typing import Protocol
+
+from canvasplank import interface as api
+from canvasplank.config.discovery_events import Endpoint, to_server
+from canvasplank.exchange.exchange import Exchange
+from canvasplank.network.reconnect_backoff import ReconnectBackoff
+from canvasplank.network.server_connections import ServerConnections
+from canvasplank.network.server_stream import SILENCE_TIMEOUT_MS, Peer, ServerStream
+
+MIN_RECONNECT_DELAY_MS, MAX_RECONNECT_DELAY_MS = 50.0, 800.0
+GONE_CHECK_INTERVAL_MS = 250.0  # between two checks of a server that is gone and still sends
+
+
+class EndpointFilter(Protocol):
+    """Which servers one of many proxies connects to, and when: see ``cold_start``."""
+
+    def select(self, complete: bool, instances: list[Endpoint]) -> list[Endpoint]:
+        """The complete list of this proxy's servers after this update of the endpoint list."""
+
+    def annotate(self, server: api.Server) -> api.Server:
+        """An entry with what else the decision module is to know of it."""
+
+    def initial_delay_ms(self) -> float:
+        """The delay of the first connection to a server."""
+
+    def is_still_listed(self, server_id: str) -> bool:
+        """Whether a server no longer selected is still in the endpoint list, with no call of ours there."""
+
+
+class PeerTable:
+    """Keeps the table of servers to the endpoint list, and notifies the exchange of what has changed."""
+
+    def __init__(self, exchange: Exchange, connections: ServerConnections) -> None:
+        self._exchange = exchange
+        self._scheduler = exchange.scheduler
+        self._connections = connections
+        self._peers = connections.peers
+        self._endpoint_filter: EndpointFilter | None = None  # None: all servers, connected to at once
+
+    def use_endpoint_filter(self, endpoint_filter: EndpointFilter) -> None:
+        """Connect only to the servers that the filter selects; before the first list."""
+        self._endpoint_filter = endpoint_filter
+
+    def known_and_excluded(self) -> tuple[int, int]:
+        """How many servers are listed, and how many of them are draining or cannot be reached now."""
+        listed = [p for p in self._peers.values() if p.state is not api.ServerState.GONE]
+        excluded = [p for p in listed if p.state is not api.ServerState.READY or p.backoff.failures > 0]
+        return len(listed), len(excluded)
+
+    def on_list_updated(self, complete: bool, instances: list[Endpoint]) -> None:
+        """Take an update of the endpoint list: all of it where ``complete``, else the entries that changed.
+
+        Servers that are ready are added before the decision module is notified, since it may send there at
+        once; a new server must not seem unreachable to it.  All else follows after, and so meets the module's
+        new view of the list.
+        """
+        if self._endpoint_filter is not None:
+            complete, instances = True, self._endpoint_filter.select(complete, instances)
+        entries = {instance.instance_id: instance for instance in instances}
+        kind = api.ListKind.COMPLETE if complete else api.ListKind.CHANGES
+        missing = [p for p in self._peers.values() if complete and p.server_id not in entries]
+        for entry in entries.values():
+            self._add_or_update(entry)
+        self._exchange.endpoints_changed(kind, tuple(self._describe(entry) for entry in entries.values()))
+        for peer in missing:
+            if self._endpoint_filter is not None and self._endpoint_filter.is_still_listed(peer.server_id):
+                self._deselect(peer)
+            else:
+                self._on_gone(peer)
+        for entry in entries.values():
+            self._apply_state(entry)
+
+    def _describe(self, entry: Endpoint) -> api.Server:
+        """The entry as the decision module is given it."""
+        server = to_server(entry)
+        return server if self._endpoint_filter is None else self._endpoint_filter.annotate(server)
+
+    def _add_or_update(self, entry: Endpoint) -> None:
+        """What is needed before the decision module is notified: the server, its address and a connection."""
+        server = to_server(entry)
+        if server.state is api.ServerState.GONE:
+            return
+        peer = self._peers.get(server.id)
+        if peer is None:
+            peer = self._add(server, entry.host_port)
+        elif entry.host_port != peer.address:
+            peer.address = entry.host_port
+            self._connections.replace_current(peer, "its address has changed")
+        elif server.started_ms != peer.started_ms and peer.current in self._connections_before(
+            peer, server.started_ms
+        ):
+            # What the module sends on this notification must not go out on the old process's connection.
+            peer.current = None
+        if server.state is api.ServerState.READY:
+            peer.state = server.state
+        self._connections.connect(peer)
+
+    def _add(self, server: api.Server, address: str) -> Peer:
+        backoff = ReconnectBackoff(self._scheduler, MIN_RECONNECT_DELAY_MS, MAX_RECONNECT_DELAY_MS)
+        peer = Peer(server.id, address, server.state, server.started_ms, backoff)
+        peer.last_received_ms = self._scheduler.now_ms
+        if self._endpoint_filter is not None:
+            peer.connect_after_ms = self._scheduler.now_ms + self._endpoint_filter.initial_delay_ms()
+        self._peers[server.id] = peer
+        return peer
+
+    def _apply_state(self, entry: Endpoint) -> None:
+        """What follows once the decision module is notified: the server is gone, restarted, or draining."""
+        server = to_server(entry)
+        peer = self._peers.get(server.id)
+        if peer is None:
+            return
+        if server.state is api.ServerState.GONE:
+            self._on_gone(peer)
+            return
+        if server.started_ms != peer.started_ms:
+            peer.started_ms = server.started_ms
+            self._on_restarted(peer)
+        peer.state = server.state
+        if server.state is api.ServerState.DRAINING:
+            self._connections.withdraw_set_ups(peer)
+        self._connections.connect(peer)
+
+    def _connections_before(self, peer: Peer, started_ms: float | None) -> list[ServerStream]:
+        """Connections to a process before the one that started then, or now where that is not known."""
+        return [s for s in peer.streams if s.connected_ms < (started_ms or self._scheduler.now_ms)]
+
+    def _on_restarted(self, peer: Peer) -> None:
+        """A new process under the same id: the old one's calls have ended, its connections are dead."""
+        self._connections.abort(self._connections_before(peer, peer.started_ms))
+        self._exchange.process_ended(peer.server_id, peer.started_ms or self._scheduler.now_ms)
+
+    def _deselect(self, peer: Peer) -> None:
+        """It goes on without this proxy, which has nothing there: end its connections."""
+        del self._peers[peer.server_id]
+        self._connections.fail_connecting(peer, "left to others")
+        for stream in list(peer.streams):
+            stream.close_writing()
+
+    def _on_gone(self, peer: Peer) -> None:
+        """It has stopped; while it still sends to us it can release its calls itself."""
+        peer.state = api.ServerState.GONE
+        self._connections.withdraw_set_ups(peer)
+        now_ms = self._scheduler.now_ms
+        if any(s.is_open and now_ms - s.last_received_ms < SILENCE_TIMEOUT_MS for s in peer.streams):
+            self._scheduler.call_later(GONE_CHECK_INTERVAL_MS, lambda: self._check_gone(peer))
+            return
+        self._peers.pop(peer.server_id, None)
+        self._connections.fail_connecting(peer, "gone")
+        self._exchange.process_ended(peer.server_id, float("inf"))
+        self._connections.abort(list(peer.streams))
+
+    def _check_gone(self, peer: Peer) -> None:
+        if self._peers.get(peer.server_id) is peer and peer.state is api.ServerState.GONE:
+            self._on_gone(peer)
--- /dev/null
+++ b/canvasplank/network/server_connections.py
@@ -0,0 +1,211 @@
+"""The upkeep of connections to call servers: one to each listed server, checked, replaced and ended."""
+
+from __future__ import annotations
+
+import logging
+from collections.abc import Callable
+
+from canvasplank import interface as api
+from canvasplank.codecs import sip
+from canvasplank.codecs.q850 import ReleaseCause
+from canvasplank.config.platform_settings import ConnectionLimits
+from canvasplank.exchange.exchange import Exchange
+from canvasplank.network.server_stream import MAX_SILENCE_TIMEOUT_MS, Peer, ServerStream
+from canvasplank.network.stream import BufferBudget
+
+LOG = logging.getLogger(__name__)
+# No message and no connection for so long: a call whose caller has ended it is released within 8 s.
+UNREACHABLE_MS = 7000.0
+DEFAULT_RESEND_MS = 500.0  # until a caller sends a set-up again, where the settings name no time
+MESSAGE_TIMEOUT_FRACTION = 0.25  # of it: the rest of a message that has not come by then never will
+CHECK_INTERVAL_FRACTION = 0.2  # of it: between two checks of the connections
+
+
+class ServerConnections:
+    """Keeps a current connection up to each listed server, whether or not calls go there.
+
+    Releases of established calls and reports of circuits come on it, too.
+    """
+
+    def __init__(
+        self,
+        exchange: Exchange,
+        limits: ConnectionLimits,
+        resend_ms: float | None,
+        budget: BufferBudget,
+        on_message: Callable[[ServerStream, sip.Message], None],
+    ) -> None:
+        """``on_message`` is given each message that is read, and raises ``BadMessageError``."""
+        self.exchange = exchange
+        self.budget = budget
+        self.on_message = on_message
+        self.disconnecting = False
+        self.peers: dict[str, Peer] = {}  # by server id: the endpoint list, and who is gone and still speaks
+        self._scheduler = exchange.scheduler
+        self._limits = limits
+        self._resend_ms = resend_ms or DEFAULT_RESEND_MS
+        self._schedule_check()
+
+    def disconnect(self) -> None:
+        """Shut down: act on nothing more, so that no release is confirmed that cannot be passed on.
+
+        Connections are closed for writing and read on, so that what was sent last is not lost to a reset.
+        """
+        self.disconnecting = True
+        for stream in [s for peer in self.peers.values() for s in peer.streams]:
+            stream.close_writing()
+
+    def is_listed(self, peer: Peer) -> bool:
+        """Whether this is the entry of its server, and that is not gone."""
+        return self.peers.get(peer.server_id) is peer and peer.state is not api.ServerState.GONE
+
+    def connect(self, peer: Peer, *, requested: bool = False) -> None:
+        """Have a current connection, up or connecting; the first one not before its time, unless requested.
+
+        Hundreds of proxies that start at once would otherwise connect to a server in one instant.
+        """
+        if self.disconnecting or (self._scheduler.now_ms < peer.connect_after_ms and not requested):
+            return
+        current = peer.current
+        if current is not None and (current.is_open or current.connecting is not None):
+            return
+        stream = peer.current = ServerStream(self, peer)
+        stream.connect(
+            self._limits.connect_timeout_ms, lambda reason: self._on_connection_failed(stream, reason)
+        )
+
+    def fail_connecting(self, peer: Peer, reason: str) -> None:
+        """Give up the attempt to connect that is under way, if there is one."""
+        if peer.current is not None and peer.current.connecting is not None:
+            self._on_connection_failed(peer.current, reason)
+
+    def replace_current(self, peer: Peer, reason: str) -> None:
+        """Its address has changed: open set-ups stay where they are, new ones go to another connection."""
+        current, peer.current = peer.current, None
+        if current is not None and current.connecting is not None:
+            self._on_connection_failed(current, reason)
+
+    def abort(self, streams: list[ServerStream]) -> None:
+        """End connections to a process that has ended: half-open ones would never end by themselves."""
+        for stream in streams:
+            stream.abort()
+            self.on_disconnected(stream)
+
+    def withdraw_set_ups(self, peer: Peer) -> None:
+        """Let nothing new reach it, not even what waits for a connection or is unsent in one (rule 3)."""
+        streams = list(peer.streams)
+        if peer.current is not None and peer.current not in streams:
+            streams.append(peer.current)
+        for stream in streams:
+            for call_id, waiting in list(stream.waiting.items()):
+                del stream.waiting[call_id]
+                self._end_attempt(peer, call_id, waiting.attempt, api.Outcome.NO_CONNECTION)
+            if stream.open_set_ups and stream.unsent:
+                stream.abort()
+
+    def on_connected(self, stream: ServerStream) -> None:
+        """See ``ServerStreamOwner``."""
+        peer = stream.peer
+        peer.backoff.on_success()
+        peer.streams.append(stream)
+        self.exchange.counters.add("sockets.servers")
+        # Releases first: a pending one for an earlier attempt would end the call's next.
+        pending, peer.pending_releases = peer.pending_releases, {}
+        for call_id, cause in pending.items():
+            stream.send_release(call_id, cause)
+        for waiting in stream.waiting.values():
+            stream.send_set_up(waiting)
+        stream.waiting.clear()
+        self._close_superseded(peer)
+
+    def on_disconnected(self, stream: ServerStream) -> None:
+        """See ``ServerStreamOwner``: RESET for each set-up that was open on it."""
+        peer = stream.peer
+        if stream not in peer.streams:
+            return
+        peer.streams.remove(stream)
+        if peer.current is stream:
+            peer.current = None
+        peer.resend_unconfirmed(stream)
+        interrupted, stream.open_set_ups = stream.open_set_ups, {}
+        for call_id, attempt in interrupted.items():
+            if stream.ended_unreadably:
+                # Its answer may have come and not been readable: the call would be established for nobody.
+                peer.send_release(call_id, ReleaseCause.NORMAL_UNSPECIFIED)
+            self._end_attempt(peer, call_id, attempt, api.Outcome.RESET)
+        self._reconnect_later(peer)
+
+    def _on_connection_failed(self, stream: ServerStream, reason: str) -> None:
+        """It did not come up: the set-ups that waited for it were never sent."""
+        peer = stream.peer
+        stream.cancel_connecting()
+        if peer.current is stream:
+            peer.current = None
+        if peer.backoff.failures == 0:
+            LOG.info("%s: no connection: %s", stream.label, reason)
+        self.exchange.counters.add("sockets.servers_failed")
+        unsent, stream.waiting = stream.waiting, {}
+        for call_id, waiting in unsent.items():
+            self._end_attempt(peer, call_id, waiting.attempt, api.Outcome.NO_CONNECTION)
+        self._reconnect_later(peer)
+
+    def _end_attempt(self, peer: Peer, call_id: str, attempt: int, outcome: api.Outcome) -> None:
+        self.exchange.on_attempt_ended(peer.server_id, call_id, attempt, outcome)
+
+    def _reconnect_later(self, peer: Peer) -> None:
+        """Connect again after the backoff's delay, as long as the server is listed."""
+        if peer.current is None:
+            peer.backoff.schedule(lambda: self._connect_if_listed(peer))
+
+    def _connect_if_listed(self, peer: Peer) -> None:
+        if self.is_listed(peer):
+            self.connect(peer)
+
+    def _schedule_check(self) -> None:
+        self._scheduler.call_later(CHECK_INTERVAL_FRACTION * self._resend_ms, self._check_connections)
+
+    def _check_connections(self) -> None:
+        """Detect, periodically, half-open connections, which swallow calls, and unreachable servers."""
+        for peer in list(self.peers.values()):
+            self._check_messages(peer)
+            self._check_current(peer)
+            self._connect_if_listed(peer)
+            is_up = peer.current is not None and peer.current.is_open
+            if not is_up and self._scheduler.now_ms - peer.last_received_ms > UNREACHABLE_MS:
+                # Calls over a cut link end some seconds into the cut (found on a day with a cut-off
+                # district), and the server can notify nobody before it is over.  A call that is established
+                # after all is released once a connection is up.
+                self.exchange.process_ended(peer.server_id, float("inf"), notify_server=True)
+            self._close_superseded(peer)
+        self._schedule_check()
+
+    def _check_messages(self, peer: Peer) -> None:
+        timeout_ms = MESSAGE_TIMEOUT_FRACTION * self._resend_ms
+        for stream in [s for s in peer.streams if s.is_message_overdue(timeout_ms)]:
+            stream.abort_unreadable(f"the rest of a message did not come within {timeout_ms:.0f} ms")
+
+    def _check_current(self, peer: Peer) -> None:
+        """A current connection that is silent or hung is replaced; it stays open for what may yet come on it.
+
+        One that hangs says nothing of its server: a healthy server must not be tried over and over on the
+        connection that hung, and be left out for seconds.
+        """
+        current = peer.current
+        if current is None:
+            return
+        silent = current.is_silent
+        if silent and not current.open_set_ups:
+            # Or one that reports less often would get a new connection every time.
+            peer.silence_timeout_ms = min(MAX_SILENCE_TIMEOUT_MS, 2 * peer.silence_timeout_ms)
+        if silent or (current.is_open and current.is_hung(self._resend_ms)):
+            self.exchange.counters.add("sockets.servers_quiet")
+            current.on_replaced()
+            peer.resend_unconfirmed(current)
+
+    def _close_superseded(self, peer: Peer) -> None:
+        """End the connections that have been replaced, once nothing more is to come on them."""
+        if peer.current is None or not peer.current.is_open:
+            return
+        for stream in peer.streams:
+            if stream is not peer.current and stream.is_superseded(self._limits.conn_idle_ms):
+                stream.close_writing()
--- a/canvasplank/network/server_stream.py
+++ b/canvasplank/network/server_stream.py
@@ -1,7 +1,11 @@
-"""One connection to a call server, and what is kept of the server itself."""
+"""One connection to a call server, and the record of the server itself.
+
+Times are in milliseconds, on the scheduler's clock.
+"""
 
 from __future__ import annotations
 
+from collections.abc import Callable
 from dataclasses import dataclass, field
 from typing import NamedTuple, Protocol
 
@@ -9,134 +13,192 @@
 from canvasplank.codecs import sip
 from canvasplank.exchange.call_records import CallRecord
 from canvasplank.exchange.exchange import Exchange
-from canvasplank.network.connection_attempt import Backoff, ConnectionAttempt
+from canvasplank.network.connection_attempt import ConnectionAttempt
+from canvasplank.network.reconnect_backoff import ReconnectBackoff
+from canvasplank.network.release_retransmission import CONFIRMATION_WINDOW_MS, UnconfirmedReleases
 from canvasplank.network.stream import BufferBudget, Stream
 
-SILENCE_TIMEOUT_MS = (
-    2500.0  # a server that reports its circuits and has said nothing for so long may be cut off
-)
-UNTIMED_REPORTS = 2  # the first on a connection, which say nothing of how often they come
-
-
-@dataclass(slots=True)
-class Peer:
-    """One server: what the board says of it and the connections to it."""
-
-    server_id: str
-    address: str
-    state: api.ServerState
-    started_ms: float | None
-    backoff: Backoff
-    current: ServerStream | None = None  # where the next message goes; it may still be connecting
-    last_received_ms: float = 0.0  # when it last said anything, or a connection came up
-    reports_circuits: bool = False  # it has reported its circuits
-    silence_timeout_ms: float = SILENCE_TIMEOUT_MS  # so long it may say nothing
-    streams: list[ServerStream] = field(default_factory=list)  # all that are up
-    pending_releases: dict[str, int] = field(default_factory=dict)  # causes, for the next connection
-    first_connection_ms: float = 0.0  # no sooner is its first connection made, unless a set-up wants it
+SILENCE_TIMEOUT_MS = 2500.0  # a server that reports its circuits and is silent for so long may be cut off
+MAX_SILENCE_TIMEOUT_MS = 20_000.0  # the timeout of one that reports less often: it doubles up to this
+UNTIMED_REPORTS = 2  # the first ones on a connection, which say nothing of how often reports come
+MAX_PENDING_RELEASES = 10_000  # for a server that cannot be reached
 
 
 class WaitingSetUp(NamedTuple):
-    """A set-up for a connection that is just coming up."""
+    """A set-up that waits for a connection to come up."""
 
     call: CallRecord
     attempt: int
-    until_ms: float  # its attempt ends
+    until_ms: float  # the deadline of its attempt
 
 
-class Owner(Protocol):
-    """Who keeps the connections, and acts on what they bring."""
+class ServerStreamOwner(Protocol):
+    """What holds the connections and acts on their events: see ``ServerConnections``."""
 
     exchange: Exchange
     budget: BufferBudget
-    disconnecting: bool  # the program ends: nothing is heeded any more
+    disconnecting: bool  # the program is shutting down: messages are not acted on any more
+    on_message: Callable[[ServerStream, sip.Message], None]  # raises ``BadMessageError``
 
     def on_connected(self, stream: ServerStream) -> None:
-        """It is up."""
-
-    def on_message(self, stream: ServerStream, message: sip.Message) -> None:
-        """It has brought a message."""
+        """It is established."""
 
     def on_disconnected(self, stream: ServerStream) -> None:
         """It has ended."""
 
 
-class ServerStream(Stream):
-    """One connection to a server."""
+@dataclass(slots=True)
+class Peer:
+    """One server: its entry in the endpoint list, and the connections to it."""
+
+    server_id: str
+    address: str
+    state: api.ServerState
+    started_ms: float | None  # when its process started, where service discovery says so
+    backoff: ReconnectBackoff
+    current: ServerStream | None = None  # where the next message goes; it may still be connecting
+    last_received_ms: float = 0.0  # when anything was last read from it, or a connection came up
+    reports_circuits: bool = False  # whether it has ever reported its circuits
+    silence_timeout_ms: float = SILENCE_TIMEOUT_MS
+    streams: list[ServerStream] = field(default_factory=list)  # all that are established
+    pending_releases: dict[str, int] = field(default_factory=dict)  # causes, for the next connection
+    connect_after_ms: float = 0.0  # its first connection is made no sooner, unless a set-up needs it
+
+    def send_release(self, call_id: str, cause: int) -> None:
+        """Write a release to the current connection, or keep it for the next."""
+        if self.current is not None and self.current.is_open:
+            self.current.send_release(call_id, cause)
+        elif len(self.pending_releases) < MAX_PENDING_RELEASES:
+            self.pending_releases[call_id] = cause
+
+    def resend_unconfirmed(self, stream: ServerStream) -> None:
+        """Send again what may never have been read on a connection that is no longer the current one."""
+        since_ms = stream.last_received_ms - CONFIRMATION_WINDOW_MS
+        for call_id, cause in stream.unconfirmed.take_sent_after(since_ms):
+            self.send_release(call_id, cause)
 
-    def __init__(self, servers: Owner, peer: Peer) -> None:
+    def remove_established(self, call_id: str) -> None:
+        """A call is established there no more."""
+        for stream in self.streams:
+            stream.established.discard(call_id)
+
+
+class ServerStream(Stream[sip.Message]):
+    """One connection to a server, with the set-ups and calls that it carries."""
+
+    def __init__(self, owner: ServerStreamOwner, peer: Peer) -> None:
         label = f"server {peer.server_id} {peer.address}"
-        super().__init__(servers.exchange.scheduler, label, sip.Parser(), servers.budget)
-        self.servers = servers
+        super().__init__(owner.exchange.scheduler, label, sip.Parser(), owner.budget)
+        self._owner = owner
         self.peer = peer
-        self.address = peer.address
-        self.open_set_ups: dict[
-            str, int
-        ] = {}  # set-ups sent here and not ended, with the numbers of their attempts
-        self.waiting: dict[str, WaitingSetUp] = {}  # for when it is up
-        self.reported_ms = -1.0  # when the circuits were last reported here
-        self.report_count = 0  # and how often
-        self.unconfirmed: dict[str, tuple[int, float]] = {}  # releases sent here: cause, time
+        self.open_set_ups: dict[str, int] = {}  # attempt numbers of the set-ups sent here and unanswered
+        self.waiting: dict[str, WaitingSetUp] = {}  # until it is up
+        self.unconfirmed = UnconfirmedReleases()
         self.established: set[str] = set()  # calls set up here: the server releases them here
-        self.replaced_ms = -1.0  # when another took its place
         self.connecting: ConnectionAttempt | None = None
-        self.made_ms = self.scheduler.now_ms
-        self.unanswered_since_ms = -1.0  # when the first set-up was sent here of those after the last word
+        self.connected_ms = self.scheduler.now_ms
+        self._reported_ms = -1.0  # when the circuits were last reported here
+        self._report_count = 0
+        self._replaced_ms = -1.0  # when another took its place as the current one
+        self._unanswered_since_ms = -1.0  # when the first set-up was sent since anything was last read
+
+    def connect(self, timeout_ms: float, on_failed: Callable[[str], None]) -> None:
+        """Begin to connect to the peer's address; ``on_failed`` is given the reason."""
+        self.connecting = ConnectionAttempt(self, self.peer.address, timeout_ms, on_failed)
+
+    def cancel_connecting(self) -> None:
+        """End the attempt to connect, which has failed or is given up."""
+        if self.connecting is not None:
+            self.connecting.cancel()
+            self.connecting = None
 
     def on_connected(self) -> None:
-        """Send what has waited."""
-        self.made_ms = self.peer.last_received_ms = self.scheduler.now_ms
-        self.servers.on_connected(self)
+        """See ``Stream``."""
+        self.connected_ms = self.peer.last_received_ms = self.scheduler.now_ms
+        self.connecting = None
+        self._owner.on_connected(self)
 
     def on_received(self, data: memoryview) -> None:
-        """Read what it says."""
+        """See ``Stream``."""
         self.peer.last_received_ms = self.scheduler.now_ms
         for message in self.messages(data):
-            if not self.servers.disconnecting:
-                self.servers.on_message(self, message)
+            if not self._owner.disconnecting:
+                self._owner.on_message(self, message)
+
+    def on_disconnected(self, error: Exception | None) -> None:
+        """See ``Stream``."""
+        self._owner.on_disconnected(self)
+
+    def send_set_up(self, waiting: WaitingSetUp) -> None:
+        """Write an INVITE."""
+        call, attempt = waiting.call, waiting.attempt
+        for each in self.peer.streams:
+            # Or the release of an earlier attempt here, sent once more, would end the call.
+            each.unconfirmed.pop(call.id, None)
+        if self._unanswered_since_ms <= self.last_received_ms:
+            self._unanswered_since_ms = self.scheduler.now_ms
+        self.open_set_ups[call.id] = attempt
+        # What remains now, and not when the set-up was queued: the connection may have come up late.
+        remaining_ms = max(1, round(waiting.until_ms - self.scheduler.now_ms))
+        headers = {"X-Tier": call.class_name, "X-Deadline": str(remaining_ms)}
+        self.write(sip.request("INVITE", call.number, call.id, attempt + 1, headers, call.description))
+        self._owner.exchange.counters.by_class("attempts", call.class_name)
+
+    def send_release(self, call_id: str, cause: int) -> None:
+        """Write a BYE with its Q.850 cause (RFC 3326)."""
+        self._owner.exchange.counters.add("sent.releases_to_servers")
+        self.unconfirmed.add(call_id, cause, self.scheduler.now_ms)
+        self.write(sip.request("BYE", "call", call_id, 1, {"Reason": f"Q.850;cause={cause}"}))
 
     def on_circuits_reported(self) -> None:
-        """The circuits were reported; where that is often, silence is found soon.
+        """The circuits were reported here; where that is frequent, silence is detected soon.
 
-        The first comes with the connection, the second at any time after it: they say nothing of that.
+        The first report comes with the connection and the second at any time after it: the interval between
+        them says nothing.
         """
         self.peer.reports_circuits = True
-        self.report_count += 1
-        if (
-            self.report_count > UNTIMED_REPORTS
-            and self.scheduler.now_ms - self.reported_ms < SILENCE_TIMEOUT_MS
-        ):
+        self._report_count += 1
+        frequent = self.scheduler.now_ms - self._reported_ms < SILENCE_TIMEOUT_MS
+        if self._report_count > UNTIMED_REPORTS and frequent:
             self.peer.silence_timeout_ms = SILENCE_TIMEOUT_MS
-        self.reported_ms = self.scheduler.now_ms
+        self._reported_ms = self.scheduler.now_ms
+
+    def on_replaced(self) -> None:
+        """It is the peer's current connection no more, and stays open for what may yet come on it."""
+        self.peer.current = None
+        self._replaced_ms = self.scheduler.now_ms
 
-    def is_message_overdue(self, limit_ms: float) -> bool:
-        """Whether the rest of a message is overdue: all that follows would be taken for it."""
-        late = self.scheduler.now_ms - self.message_started_ms > limit_ms
+    def is_message_overdue(self, timeout_ms: float) -> bool:
+        """Whether the rest of a message has not come in time: all that follows would be taken for it."""
+        late = self.scheduler.now_ms - self.message_started_ms > timeout_ms
         return self.is_open and late and self.parser.in_message
 
-    def is_hung(self, limit_ms: float) -> bool:
-        """Whether it has brought not a word since a set-up went out on it."""
-        return (
-            self.unanswered_since_ms > self.last_received_ms
-            and self.scheduler.now_ms - self.unanswered_since_ms > limit_ms
-        )
+    def is_hung(self, timeout_ms: float) -> bool:
+        """Whether nothing was read for so long since a set-up was sent on it."""
+        since_ms = self._unanswered_since_ms
+        return since_ms > self.last_received_ms and self.scheduler.now_ms - since_ms > timeout_ms
+
+    @property
+    def is_silent(self) -> bool:
+        """Whether nothing was read for the peer's silence timeout where something was due.
+
+        A server goes on reporting its circuits, and answers set-ups; one that does neither has nothing to
+        send, and would be connected to over and over.
+        """
+        is_due = self.is_open and (self.peer.reports_circuits or bool(self.open_set_ups))
+        return is_due and self.scheduler.now_ms - self.last_received_ms > self.peer.silence_timeout_ms
 
-    def is_superseded(self, limit_ms: float) -> bool:
+    def is_superseded(self, idle_ms: float) -> bool:
         """Whether it has been replaced and nothing more is to come on it.
 
-        Guards against losing the release of an established call, on its way while we end the connection: its
-        successor is up already, and the server would not tell it again.
+        The release of an established call may be on its way while we end the connection, and the server would
+        not send it again on the successor that is up already.
         """
-        spoke_again = (
-            self.last_received_ms > self.replaced_ms and self.scheduler.now_ms - self.last_used_ms < limit_ms
-        )
-        return not self.open_set_ups and not (self.established and spoke_again)
+        used_since = self.last_received_ms > self._replaced_ms
+        in_use = used_since and self.scheduler.now_ms - self.last_used_ms < idle_ms
+        return not self.open_set_ups and not (self.established and in_use)
 
     @property
     def ended_unreadably(self) -> bool:
-        """Whether it ended amid what could not be read: an answer may have been lost with it."""
+        """Whether it ended within a message or by a bad one: an answer may have been lost with it."""
         return self.unreadable or self.parser.in_message
-
-    def on_disconnected(self, error: Exception | None) -> None:
-        """Its set-ups broke on their way."""
-        self.servers.on_disconnected(self)
--- a/canvasplank/network/stream.py
+++ b/canvasplank/network/stream.py
@@ -1,4 +1,7 @@
-"""What every connection has in common: a buffer, bounds on what is written, and an end on a bad message."""
+"""What every connection has in common: reading messages, bounds on what is buffered, and the ways to end.
+
+All times are in milliseconds, on the scheduler's clock; all sizes are in bytes.
+"""
 
 from __future__ import annotations
 
@@ -8,93 +11,93 @@
 import os
 import socket
 from collections.abc import Iterator
-from typing import Protocol, TypeVar
+from typing import Generic, Protocol, TypeVar, cast
 
 from canvasplank.codecs.errors import MAX_MESSAGE_BYTES, BadMessageError
 from canvasplank.runtime.scheduler import Scheduler
 
 LOG = logging.getLogger(__name__)
-MAX_UNSENT_BYTES = 1024 * 1024  # bytes that a peer may leave unread before its connection is ended
-LINGER_MS = 2000.0  # a peer may take so long to read the rest once its connection is to end
-MAX_READS_AFTER_RESET = 256  # of what is left on a connection that was reset
-PAUSE_READING_UNSENT_BYTES = 16 * 1024  # bytes left unread from which on nothing more is taken from the peer
-
-BUFFERED_FRACTION = 1 / 8  # of the memory: the most that all connections together may hold
+MAX_UNSENT_BYTES = 1024 * 1024  # a peer that leaves more unread loses its connection
+PAUSE_READING_UNSENT_BYTES = 16 * 1024  # a peer that leaves more unread is not read from meanwhile
+LINGER_MS = 2000.0  # how long a peer may take to read the rest once its connection is to end
+MAX_READS_AFTER_RESET = 256  # of what had arrived on a connection before it was reset
+BUFFERED_FRACTION = 1 / 8  # of the memory: the bound on what all connections together hold
 
-Message = TypeVar("Message", covariant=True)
+Message_co = TypeVar("Message_co", covariant=True)
 
 
-class Parser(Protocol[Message]):
-    """A codec's reader of messages."""
+class Parser(Protocol[Message_co]):
+    """A codec's incremental reader of messages."""
 
     @property
     def in_message(self) -> bool:
-        """Whether a message has begun and is not whole."""
+        """Whether a message has started and is incomplete."""
 
     @property
     def buffered(self) -> int:
-        """Bytes of a message that is not whole."""
+        """Bytes of the incomplete message."""
 
-    def feed(self, data: memoryview) -> Iterator[Message]:
-        """Messages completed by these bytes."""
+    def feed(self, data: memoryview) -> Iterator[Message_co]:
+        """Messages completed by these bytes; raises ``BadMessageError``."""
 
     def clear(self) -> None:
-        """Forget what is not whole."""
+        """Discard the incomplete message."""
 
 
 class BufferBudget:
-    """What all connections hold, to be written or of messages not yet whole, and its bound.
+    """Bounds what all connections buffer together, unsent bytes and incomplete messages.
 
-    Guards against hundreds of peers that each stay within the bounds of one connection, and together take
-    more than the memory that is configured: the one that holds most is ended, and so on.
+    Past the bound the connection that holds most is ended, and so on until the rest fits: hundreds of peers
+    may each stay within the bounds of one connection and together take more memory than is configured.
     """
 
     def __init__(self, memory_bytes: float) -> None:
-        self._by_stream: dict[Stream, int] = {}
+        self._by_stream: dict[Stream[object], int] = {}
         self.total = 0
         self.limit(memory_bytes)
 
     def limit(self, memory_bytes: float) -> None:
-        """Hold no more than the configuration has room for."""
-        self._most = BUFFERED_FRACTION * memory_bytes
+        """Take a new limit of the whole program's memory."""
+        self._max_bytes = BUFFERED_FRACTION * memory_bytes
 
-    def update(self, stream: Stream, size: int) -> None:
-        """What a connection holds now."""
+    def update(self, stream: Stream[object], size: int) -> None:
+        """Record what a connection holds now."""
         self.total += size - self._by_stream.pop(stream, 0)
         if size:
             self._by_stream[stream] = size
-        if self.total > self._most:
+        if self.total > self._max_bytes:
             self._shrink()
 
     def _shrink(self) -> None:
-        """Look again, since what has left is not noted; then end the largest until the rest fits."""
+        """Measure all again, since bytes that were sent meanwhile are not recorded; then end the largest."""
         self._by_stream = {stream: stream.buffered for stream in self._by_stream if stream.buffered}
         self.total = sum(self._by_stream.values())
-        while self.total > self._most:
+        while self.total > self._max_bytes:
             largest = max(self._by_stream, key=self._by_stream.__getitem__)
             size = self._by_stream.pop(largest)
             self.total -= size
             largest.abort_unreadable(f"leaves {size} bytes unread or without an end")
 
 
-class Stream(asyncio.BufferedProtocol):
-    """One connection; subclasses read with ``on_received`` and hear of the end in ``on_disconnected``."""
+class Stream(asyncio.BufferedProtocol, Generic[Message_co]):
+    """One connection; subclasses implement ``on_connected``, ``on_received`` and ``on_disconnected``."""
 
-    # What was read lies here until buffer_updated, which follows get_buffer at once, hands it to a parser.
-    # One for all: guards against 16 KiB for each of hundreds of idle connections.
+    # Bytes read are here only until ``buffer_updated``, which follows ``get_buffer`` at once, hands them to a
+    # parser: one buffer serves all connections, instead of 16 KiB for each of hundreds of idle ones.
     _buffer = bytearray(MAX_MESSAGE_BYTES)
 
-    def __init__(self, scheduler: Scheduler, label: str, parser: Parser, budget: BufferBudget) -> None:
+    def __init__(
+        self, scheduler: Scheduler, label: str, parser: Parser[Message_co], budget: BufferBudget
+    ) -> None:
+        """``label`` names the peer in log lines."""
         self.scheduler = scheduler
         self.parser = parser
         self.budget = budget
         self.label = label
-        self.transport: asyncio.Transport | None = None
+        self.transport: asyncio.Transport | None = None  # None: not connected yet
         self.last_received_ms = scheduler.now_ms
-        self.last_used_ms = scheduler.now_ms
-        self.message_started_ms = (
-            scheduler.now_ms
-        )  # when the message began that is not whole, if there is one
+        self.last_used_ms = scheduler.now_ms  # when anything was last read or written
+        self.message_started_ms = scheduler.now_ms  # when the incomplete message started, if there is one
         self.unreadable = False  # whether it was ended for a bad message
         self.writing_closed = False  # whether it is only read any more
 
@@ -104,17 +107,17 @@
         return self.transport is not None and not self.writing_closed and not self.transport.is_closing()
 
     def on_connected(self) -> None:
-        """The connection is up."""
+        """The connection is established."""
 
     def on_received(self, data: memoryview) -> None:
-        """Bytes came in."""
+        """Bytes were read; raises ``BadMessageError`` for what the peer must not send."""
         raise NotImplementedError
 
     def on_disconnected(self, error: Exception | None) -> None:
-        """The connection is over."""
+        """The connection has ended."""
 
-    def messages(self, data: memoryview) -> Iterator[Message]:
-        """What these bytes complete, minding since when a further message is due."""
+    def messages(self, data: memoryview) -> Iterator[Message_co]:
+        """Messages completed by these bytes; keeps ``message_started_ms``."""
         was_in_message = self.parser.in_message
         for message in self.parser.feed(data):
             was_in_message = False
@@ -123,54 +126,78 @@
             self.message_started_ms = self.scheduler.now_ms
 
     def write(self, data: bytes) -> None:
-        """Send; a peer that never reads loses its connection and not our memory."""
-        if not self.is_open:
+        """Send, unless it is closed; a peer that leaves too much unread is disconnected."""
+        transport = self.transport
+        if transport is None or self.writing_closed or transport.is_closing():
             return
         self.last_used_ms = self.scheduler.now_ms
-        self.transport.write(data)
-        self._update_buffered()
+        transport.write(data)
+        self.budget.update(self, self.buffered)
         if self.unsent > MAX_UNSENT_BYTES:
             LOG.warning("%s: closed, leaves %d bytes unread", self.label, self.unsent)
-            self.transport.abort()
-
-    def _update_buffered(self) -> None:
-        self.budget.update(self, self.buffered)
+            transport.abort()
 
     @property
     def buffered(self) -> int:
-        """Bytes kept for this connection, to be written or of a message that is not whole."""
+        """Bytes held for this connection: unsent, or of an incomplete message."""
         return self.unsent + self.parser.buffered
 
     @property
     def unsent(self) -> int:
-        """Bytes that the machine has not taken yet."""
+        """Bytes written that the kernel has not taken yet."""
         return self.transport.get_write_buffer_size() if self.transport is not None else 0
 
     def close(self) -> None:
-        """End it once all is written, or soon: guards against a peer that never reads the rest."""
-        if self.is_open:
+        """End it once all is sent, or after ``LINGER_MS`` where the peer does not read the rest."""
+        if self.transport is not None and self.is_open:
             if self.unsent:
                 self.scheduler.call_later(LINGER_MS, self.transport.abort)
             self.transport.close()
 
     def close_writing(self) -> None:
-        """Say no more, and read on until the peer has ended it too, or for as long as it may linger.
+        """Send no more, and read until the peer has ended it too, or for ``LINGER_MS``.
 
-        Guards against losing what crosses our end of it, as the release of an established call: a socket that
-        is closed answers that with a reset.
+        What crosses our end of the connection, such as the release of an established call, is still read: a
+        socket that is closed answers it with a reset.
         """
-        if self.is_open:
+        if self.transport is not None and self.is_open:
             self.writing_closed = True
             self.transport.write_eof()
             self.scheduler.call_later(LINGER_MS, self.transport.abort)
 
-    # asyncio's names from here on
+    def abort(self) -> None:
+        """End it at once, whatever is unsent."""
+        if self.transport is not None:
+            self.transport.abort()
+
+    def abort_unreadable(self, reason: str) -> None:
+        """End it at once, since nothing that the peer sends can be of further use; one log line says why."""
+        LOG.warning("%s: closed, %s", self.label, reason)
+        self.unreadable = True
+        self.parser.clear()  # now, and not only after an iteration that brings hundreds like it
+        self.abort()
+
+    def read_remaining(self, remaining: socket.socket) -> None:
+        """Read what had arrived before a connection was reset.
+
+        asyncio reads no more once a write of ours, or the end of connecting, has met the reset; the release
+        of an established call may be among it.
+        """
+        with contextlib.suppress(OSError):
+            for _ in range(MAX_READS_AFTER_RESET):
+                count = 0 if self.unreadable else remaining.recv_into(self._buffer)
+                if not count:
+                    break
+                self.buffer_updated(count)
+        self.budget.update(self, 0)  # an ended connection must not count against the budget for good
+
+    # ------------------------------------------------------------------------------ called by asyncio
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """See asyncio."""
         self.scheduler.begin_iteration()
-        self.transport = transport
-        transport.set_write_buffer_limits(high=PAUSE_READING_UNSENT_BYTES)
+        self.transport = cast(asyncio.Transport, transport)  # TCP: asyncio's own socket transport
+        self.transport.set_write_buffer_limits(high=PAUSE_READING_UNSENT_BYTES)
         self.last_received_ms = self.last_used_ms = self.scheduler.now_ms
         self.on_connected()
 
@@ -179,56 +206,33 @@
         return self._buffer
 
     def buffer_updated(self, nbytes: int) -> None:
-        """See asyncio."""
+        """See asyncio; no error of reading leaves it, each ends this connection alone."""
         self.scheduler.begin_iteration()
         self.last_received_ms = self.last_used_ms = self.scheduler.now_ms
         try:
             self.on_received(memoryview(self._buffer)[:nbytes])
-            self._update_buffered()
+            self.budget.update(self, self.buffered)
         except BadMessageError as error:
-            # Guards against a bad message ending the program: it ends its own connection, with one line.
             self.abort_unreadable(str(error))
         except Exception:
-            # Guards against a fault of ours passing for an ordinary end: what may be there is released.
+            # A fault of ours must not pass for an ordinary end: calls that may be established are released.
             LOG.exception("%s: reading failed", self.label)
             self.abort_unreadable("its message met a fault of ours")
 
-    def abort_unreadable(self, reason: str) -> None:
-        """What the peer says can be of no further use."""
-        LOG.warning("%s: closed, %s", self.label, reason)
-        self.unreadable = True
-        self.parser.clear()  # now, and not at the end of a turn that brings hundreds like it
-        if self.transport is not None:
-            self.transport.abort()
-
-    def read_remaining(self, remaining: socket.socket) -> None:
-        """Read what had come before a connection was reset.
-
-        Guards against losing it, as the release of an established call, where a write of ours or the end of
-        connecting met the reset first: asyncio then reads no more.
-        """
-        with contextlib.suppress(OSError):
-            for _ in range(MAX_READS_AFTER_RESET):
-                count = 0 if self.unreadable else remaining.recv_into(self._buffer)
-                if not count:
-                    break
-                self.buffer_updated(count)
-        self.budget.update(self, 0)  # guards the bound against counting what is over, for good
-
     def pause_writing(self) -> None:
-        """The peer does not read: take nothing more from it meanwhile."""
-        if self.is_open:
+        """See asyncio: the peer does not read, so nothing more is read from it meanwhile."""
+        if self.transport is not None and self.is_open:
             self.transport.pause_reading()
 
     def resume_writing(self) -> None:
-        """The peer reads again; so does a connection that is only read any more, until its end."""
-        if not self.transport.is_closing():
+        """See asyncio: the peer reads again; a connection closed for writing is read until its end, too."""
+        if self.transport is not None and not self.transport.is_closing():
             self.transport.resume_reading()
 
     def connection_lost(self, exc: Exception | None) -> None:
         """See asyncio, which closes the socket only after this."""
         self.scheduler.begin_iteration()
-        if exc is not None:
+        if exc is not None and self.transport is not None:
             with contextlib.suppress(OSError):
                 descriptor = os.dup(self.transport.get_extra_info("socket").fileno())
                 with socket.socket(fileno=descriptor) as remaining:
--- a/tests/race_conditions.py
+++ b/tests/race_conditions.py
@@ -91,11 +91,11 @@
     def idle(self) -> None:
         self.now_ms += 5000.0
         self.scheduler.now_ms = self.now_ms
-        self.callers._close_idle_connections()
+        self.callers._pool.close_idle_connections()
 
     def for_room(self) -> None:
         self.callers.limit(1)
-        self.callers._make_room()
+        self.callers._pool.make_room()
 
 
 def _run(coroutine: object) -> object:
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -25,11 +25,11 @@
         scheduler = Scheduler(TimerQueue(), clock=lambda: now[0])
         discovery = Discovery(scheduler, f"{host}:{port}", 1, lambda notice: None, BufferBudget(1e6))
         discovery.start()
-        first = discovery._stream
+        first = discovery._watch
         async with asyncio.timeout(20):
             while not first.is_open:
                 await asyncio.sleep(0.01)
-            while discovery._stream is first:
+            while discovery._watch is first:
                 now[0] += 100.0
                 scheduler.begin_iteration()
                 await asyncio.sleep(0.01)
--- a/tests/test_project_rules.py
+++ b/tests/test_project_rules.py
@@ -100,6 +100,7 @@
     "interface",
     "runtime.structured_logging",
     "codecs.errors",
+    "codecs.q850",
     "codecs.isup",
     "codecs.sip",
     "codecs.sse",
@@ -154,12 +155,18 @@
     "runtime.event_loop",
     "network.stream",
     "network.connection_attempt",
+    "network.reconnect_backoff",
     "network.listener",
+    "network.release_retransmission",
     "network.caller_stream",
+    "network.caller_pool",
+    "network.caller_releases",
     "network.set_up_parser",
     "network.callers",
     "network.server_messages",
     "network.server_stream",
+    "network.server_connections",
+    "network.peer_table",
     "network.servers",
     "network.discovery",
     "admin",
@@ -208,7 +215,29 @@
         assert imports_of(module) <= set(LAYERS[:at]), module
 
 
+# The network's modules by side of the exchange; service discovery is a third, the rest is common to all.
+CALLER_MODULES = {
+    f"network.{name}"
+    for name in ("caller_pool", "caller_releases", "caller_stream", "callers", "set_up_parser")
+}
+SERVER_MODULES = {
+    f"network.{name}"
+    for name in ("peer_table", "server_connections", "server_messages", "server_stream", "servers")
+}
+COMMON_MODULES = {
+    f"network.{name}"
+    for name in ("connection_attempt", "listener", "reconnect_backoff", "release_retransmission", "stream")
+}
+
+
 def test_callers_and_servers_meet_only_in_the_exchange():
-    assert not imports_of("network.callers") & {"network.servers", "network.discovery"}
-    assert not imports_of("network.servers") & {"network.callers", "network.discovery"}
-    assert not any(name.startswith("network") for name in imports_of("exchange.exchange"))
+    sides = [CALLER_MODULES, SERVER_MODULES, {"network.discovery"}]
+    network = {name for name in LAYERS if name.startswith("network.")}
+    assert network == COMMON_MODULES.union(*sides), "each module belongs to one side, or to all"
+    for side in sides:
+        for module in side:
+            assert not imports_of(module) & (network - side - COMMON_MODULES), module
+    for module in COMMON_MODULES:
+        assert imports_of(module) & network <= COMMON_MODULES, module
+    exchange = [name for name in LAYERS if name.startswith("exchange.")]
+    assert not any(name.startswith("network") for module in exchange for name in imports_of(module))
