--- a/tests/exchange_replay.py
+++ b/tests/exchange_replay.py
@@ -87,7 +87,7 @@
     return re.compile(rb".{0,400}?".join(re.escape(literal(part)) for part in text.split("<*>")), re.DOTALL)
 
 
-class Party:
+class Peer:
     """A caller, a call server or the notice board."""
 
     acted_s = 0.0
@@ -95,7 +95,7 @@
     def __init__(self, listens: bool) -> None:
         self.listener = socket.create_server(("127.0.0.1", 0)) if listens else None
         self.stream: socket.socket | None = None
-        self.came = b""
+        self.received = b""
         self.fillers: list[socket.socket] = []
 
     @property
@@ -105,7 +105,7 @@
     def accepts(self, _: str = "") -> None:
         self.listener.settimeout(WAIT_S)
         self.stream, _address = self.listener.accept()
-        self.came = b""
+        self.received = b""
 
     def refuses(self, _: str = "") -> None:
         self.listener.close()
@@ -130,43 +130,43 @@
                 self.stream = stream
 
     def sends(self, text: str) -> None:
-        Party.acted_s = time.monotonic()
+        Peer.acted_s = time.monotonic()
         self.stream.sendall(literal(text))
 
     def gets(self, text: str) -> None:
-        wanted, until = pattern(text), time.monotonic() + WAIT_S
-        while (match := wanted.match(self.came)) is None:
-            self.stream.settimeout(max(0.01, until - time.monotonic()))
+        expected, deadline = pattern(text), time.monotonic() + WAIT_S
+        while (match := expected.match(self.received)) is None:
+            self.stream.settimeout(max(0.01, deadline - time.monotonic()))
             try:
                 more = self.stream.recv(65536)
             except TimeoutError:
-                raise AssertionError(f"wanted {text!r}, came {self.came!r}") from None
-            assert more, f"wanted {text!r}, came {self.came!r} and the end"
-            self.came += more
-        self.came = self.came[match.end() :]
+                raise AssertionError(f"wanted {text!r}, came {self.received!r}") from None
+            assert more, f"wanted {text!r}, came {self.received!r} and the end"
+            self.received += more
+        self.received = self.received[match.end() :]
 
     def hears(self, text: str) -> None:
-        wanted, until = pattern(text), time.monotonic() + WAIT_S
-        while PROGRESS.match(self.came) or not wanted.match(self.came):
-            if progress := PROGRESS.match(self.came):
-                self.came = self.came[progress.end() :]
+        expected, deadline = pattern(text), time.monotonic() + WAIT_S
+        while PROGRESS.match(self.received) or not expected.match(self.received):
+            if progress := PROGRESS.match(self.received):
+                self.received = self.received[progress.end() :]
                 continue
-            self.stream.settimeout(max(0.01, until - time.monotonic()))
+            self.stream.settimeout(max(0.01, deadline - time.monotonic()))
             more = self.stream.recv(65536)
-            assert more, f"wanted {text!r}, came {self.came!r} and the end"
-            self.came += more
-        self.came = self.came[wanted.match(self.came).end() :]
+            assert more, f"wanted {text!r}, came {self.received!r} and the end"
+            self.received += more
+        self.received = self.received[expected.match(self.received).end() :]
 
     def later(self, text: str) -> None:
-        after_ms, wanted = text.split(" ", 1)
-        self.gets(wanted)
-        assert (time.monotonic() - Party.acted_s) * 1000 >= float(after_ms) - SLACK_MS
+        after_ms, expected = text.split(" ", 1)
+        self.gets(expected)
+        assert (time.monotonic() - Peer.acted_s) * 1000 >= float(after_ms) - SLACK_MS
 
     def silent(self, text: str) -> None:
         self.stream.settimeout(float(text) / 1000)
         with contextlib.suppress(TimeoutError):
-            self.came += self.stream.recv(65536)
-        assert not self.came, f"wanted nothing, came {self.came!r}"
+            self.received += self.stream.recv(65536)
+        assert not self.received, f"wanted nothing, came {self.received!r}"
 
     def ended(self, _: str = "") -> None:
         self.stream.settimeout(WAIT_S)
@@ -174,13 +174,13 @@
             more = self.stream.recv(65536)
         except ConnectionResetError:
             more = b""
-        assert not self.came + more, f"wanted the end, came {self.came + more!r}"
+        assert not self.received + more, f"wanted the end, came {self.received + more!r}"
 
     def shuts(self, _: str = "") -> None:
         self.stream.shutdown(socket.SHUT_WR)
 
     def closes(self, _: str = "") -> None:
-        Party.acted_s = time.monotonic()
+        Peer.acted_s = time.monotonic()
         self.stream.close()
         self.stream = None
 
@@ -194,12 +194,12 @@
                 each.close()
 
 
-class Player:
+class Replay:
     """One program and all that it talks to."""
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
-        self.parties: dict[str, Party] = {"board": Party(listens=True)}
+        self.peers: dict[str, Peer] = {"board": Peer(listens=True)}
         self.known: list[dict] = []
         self.listen = ""
         self.settings = SETTINGS
@@ -210,7 +210,7 @@
         cell = len(self.known) if cell is None else cell
         return {
             "instanceId": f"s-{name}",
-            "hostPort": self.parties[f"server {name}"].address,
+            "hostPort": self.peers[f"server {name}"].address,
             "cell": cell,
             "lifecycle": state,
             "startedAtMs": started_ms,
@@ -219,9 +219,9 @@
         }
 
     def add(self, name: str, how: str) -> None:
-        party = self.parties[f"server {name}"] = Party(listens=True)
+        peer = self.peers[f"server {name}"] = Peer(listens=True)
         self.known.append(self.entry(name))
-        {"refused": party.refuses, "never": party.never_comes_up}.get(how, lambda: None)()
+        {"refused": peer.refuses, "never": peer.never_comes_up}.get(how, lambda: None)()
 
     def start(self, descriptors: int = 1024, **changes: object) -> None:
         with socket.create_server(("127.0.0.1", 0)) as free:
@@ -232,7 +232,7 @@
             "seed": "8c1f30d27a5be964",
             "settings": self.settings,
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 64},
-            "board": self.parties["board"].address,
+            "board": self.peers["board"].address,
             "known": {"rev": 1, "notices": [{"rev": 1, "pool": {"reset": True, "instances": self.known}}]},
         } | changes
         self.configuration, path = configuration, self.folder / "config.json"
@@ -252,34 +252,34 @@
         (self.folder / "config.json").write_text(text)
 
     def move_discovery(self) -> None:
-        self.parties["old board"] = self.parties["board"]
-        self.parties["board"] = Party(listens=True)
-        self.configure(json.dumps(self.configuration | {"board": self.parties["board"].address}))
+        self.peers["old board"] = self.peers["board"]
+        self.peers["board"] = Peer(listens=True)
+        self.configure(json.dumps(self.configuration | {"board": self.peers["board"].address}))
 
-    def tell(self, number: str, entry: dict) -> None:
+    def notify(self, number: str, entry: dict) -> None:
         data = json.dumps({"rev": int(number), "pool": {"reset": False, "instances": [entry]}})
-        self.parties["board"].stream.sendall(f"id: {number}\ndata: {data}\n\n".encode())
+        self.peers["board"].stream.sendall(f"id: {number}\ndata: {data}\n\n".encode())
 
     def stop(self) -> None:
         if self.process is not None:
             self.process.kill()
             self.process.wait()
-        for party in self.parties.values():
-            party.close()
+        for peer in self.peers.values():
+            peer.close()
 
-    def caller(self, number: str) -> Party:
+    def caller(self, number: str) -> Peer:
         name = f"caller {number}"
-        if name not in self.parties or self.parties[name].stream is None:
+        if name not in self.peers or self.peers[name].stream is None:
             host, port = self.listen.split(":")
-            until = time.monotonic() + WAIT_S
-            party = self.parties[name] = Party(listens=False)
-            while party.stream is None:
+            deadline = time.monotonic() + WAIT_S
+            peer = self.peers[name] = Peer(listens=False)
+            while peer.stream is None:
                 try:
-                    party.stream = socket.create_connection((host, int(port)))
+                    peer.stream = socket.create_connection((host, int(port)))
                 except ConnectionRefusedError:
-                    assert time.monotonic() < until and self.process.poll() is None, self.log.read_text()
+                    assert time.monotonic() < deadline and self.process.poll() is None, self.log.read_text()
                     time.sleep(0.02)
-        return self.parties[name]
+        return self.peers[name]
 
     def step(self, line: str) -> None:
         """One line of a record."""
@@ -298,24 +298,24 @@
             case ["caller", number, verb, *rest]:
                 getattr(self.caller(number), verb)(*rest)
             case ["server", other, "was", name]:
-                self.parties[f"server {other}"] = party = Party(listens=False)
-                party.stream = self.parties[f"server {name}"].stream
+                self.peers[f"server {other}"] = peer = Peer(listens=False)
+                peer.stream = self.peers[f"server {name}"].stream
             case ["server", name, verb, *rest]:
-                getattr(self.parties[f"server {name}"], verb)(*rest)
+                getattr(self.peers[f"server {name}"], verb)(*rest)
             case ["board", "tells", number, what]:
                 name, state, started = what.split(" ")
                 started_ms = int(time.time() * 1000) if started == "now" else int(started)
                 cell = next(e["cell"] for e in self.known if e["instanceId"] == f"s-{name}")
-                self.tell(number, self.entry(name, state, started_ms, cell))
+                self.notify(number, self.entry(name, state, started_ms, cell))
             case ["board", "moves"]:
                 self.move_discovery()
             case ["old", "board", verb, *rest]:
-                getattr(self.parties["old board"], verb)(*rest)
+                getattr(self.peers["old board"], verb)(*rest)
             case ["board", "adds", number, name]:
                 self.add(name, "ready")
-                self.tell(number, self.known[-1])
+                self.notify(number, self.known[-1])
             case ["board", verb, *rest]:
-                getattr(self.parties["board"], verb)(" ".join(rest))
+                getattr(self.peers["board"], verb)(" ".join(rest))
             case ["program", "signalled", name]:
                 self.process.send_signal(signal.Signals[name])
             case ["program", "configured", *rest]:
@@ -328,17 +328,17 @@
                 raise ValueError(f"not a step: {line!r}")
 
     def prints(self, regex: str) -> None:
-        until = time.monotonic() + WAIT_S
+        deadline = time.monotonic() + WAIT_S
         while not re.search(regex, self.log.read_text()):
-            assert time.monotonic() < until, f"wanted {regex!r} in {self.log.read_text()!r}"
+            assert time.monotonic() < deadline, f"wanted {regex!r} in {self.log.read_text()!r}"
             time.sleep(0.02)
 
-    def play(self, record: str) -> None:
+    def run(self, record: str) -> None:
         """All steps; a failure names the line."""
         for number, line in enumerate(record.splitlines(), 1):
             if line.strip() and not line.startswith("#"):
                 try:
                     self.step(line)
-                except (AssertionError, OSError) as fault:
+                except (AssertionError, OSError) as error:
                     log = self.log.read_text()
-                    raise AssertionError(f"line {number}: {line[:100]}\n{fault}\n{log}") from fault
+                    raise AssertionError(f"line {number}: {line[:100]}\n{error}\n{log}") from error
--- a/tests/race_conditions.py
+++ b/tests/race_conditions.py
@@ -46,13 +46,13 @@
 
 def read_to_the_end(peer: socket.socket) -> bytes:
     """All that comes; a reset is an error."""
-    came = b""
+    received = b""
     while chunk := peer.recv(65536):
-        came += chunk
-    return came
+        received += chunk
+    return received
 
 
-class Edge:
+class CallerSide:
     """The callers' side alone, on a clock of our own, with a module that holds every call."""
 
     def __init__(self, sockets: int = 64) -> None:
@@ -83,8 +83,8 @@
         assert len(await loop.run_in_executor(None, peer.recv, 64)) == 15
         return peer
 
-    async def taken(self) -> None:
-        """Until a set-up has been read; the caller bounds the wait."""
+    async def set_up_was_read(self) -> None:
+        """Wait until a set-up has been read; the test bounds the wait."""
         while not self.exchange.open_calls:
             await asyncio.sleep(0.005)
 
@@ -98,7 +98,7 @@
         self.callers._pool.make_room()
 
 
-def _run(coroutine: object) -> object:
+def run_coroutine(coroutine: object) -> object:
     with asyncio.Runner(loop_factory=PipeEventLoop) as runner:
         return runner.run(coroutine)
 
--- a/tests/test_codecs.py
+++ b/tests/test_codecs.py
@@ -23,7 +23,7 @@
 EVENTS = b": a comment\n\nid: 7\ndata: one\ndata: two\n\nid:8\r\ndata:\xc5\x91\r\n\r\n"
 PLAIN = b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n" + EVENTS
 CHUNKED = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + b"".join(
-    b"%x\r\n%s\r\n" % (len(part), part) for part in (EVENTS[:5], EVENTS[5:30], EVENTS[30:])
+    b"%x\r\n%s\r\n" % (len(piece), piece) for piece in (EVENTS[:5], EVENTS[5:30], EVENTS[30:])
 )
 STREAMS = [(isup.Parser, ISUP), (sip.Parser, SIP), (sse.Parser, PLAIN), (sse.Parser, CHUNKED)]
 
@@ -40,10 +40,10 @@
     assert read(parser, data, cuts) == read(parser, data)
 
 
-def test_what_is_read():
-    answer, release, heard = read(isup.Parser, ISUP)
+def test_messages_are_parsed():
+    answer, release, confirmed = read(isup.Parser, ISUP)
     assert (answer.call_id, answer.parameters[isup.Parameter.DESCRIPTION], release.cause) == (ID, b"v=0", 42)
-    assert heard.kind == isup.Kind.RELEASE_CONFIRMED
+    assert confirmed.kind == isup.Kind.RELEASE_CONFIRMED
     invite, full, bye = read(sip.Parser, SIP)
     assert (invite.method, invite.call_id, invite.sequence, invite.body) == ("INVITE", ID, 1, b"a\r\n\r\nb")
     assert (full.method, full.status, full.sequence) == ("INVITE", 503, 12)
@@ -84,7 +84,7 @@
         (sse.Parser, b"HTTP/1.1 200 OK\r\n\r\n" + b"data:\n" * 300_000, "event of over"),
     ],
 )
-def test_what_is_wrong_is_named(parser, data, names):
+def test_a_bad_message_is_named(parser, data, names):
     with pytest.raises(BadMessageError, match=names):
         read(parser, data)
 
@@ -107,7 +107,7 @@
     assert sip.Message("BYE", 0, {"reason": reason}, b"").cause == cause
 
 
-def test_figures_are_looked_for_from_the_start_of_a_word_only():
+def test_gauges_are_matched_from_the_start_of_a_word_only():
     """From anywhere in it, a body of one long word took seconds."""
     assert server_messages.GAUGE.findall("free=5 x0 : -1.5 7size=9") == [("free", "5"), ("x0", "-1.5")]
 
@@ -116,7 +116,7 @@
 
 
 @pytest.mark.parametrize(("value", "names"), BAD_TEXTS)
-def test_a_parameter_that_cannot_be_used_is_named(value, names):
+def test_an_unusable_parameter_is_named(value, names):
     message = isup.Message(1, ID, {} if value is None else {isup.Parameter.CLASS: value})
     with pytest.raises(BadMessageError, match=rf"parameter 100 \(class\) {names}"):
         message.text(isup.Parameter.CLASS)
--- a/tests/test_connection_attempt.py
+++ b/tests/test_connection_attempt.py
@@ -12,25 +12,25 @@
 from canvasplank.runtime.scheduler import Scheduler, TimerQueue
 
 
-class Heard(Stream):
+class RecordingStream(Stream):
     """Notes what becomes of it."""
 
     def __init__(self) -> None:
         super().__init__(Scheduler(TimerQueue()), "server", sip.Parser(), BufferBudget(1e6))
-        self.told: list[bytes | str] = []
+        self.events: list[bytes | str] = []
 
     def on_connected(self) -> None:
-        self.told.append("up")
+        self.events.append("up")
 
     def on_received(self, data: memoryview) -> None:
-        self.told.append(bytes(data))
+        self.events.append(bytes(data))
         assert not list(self.messages(data)), "it is not whole"
 
 
-async def connect(listener: socket.socket, resets: bool) -> Heard:
+async def connect(listener: socket.socket, resets: bool) -> RecordingStream:
     """One connection, on which the other side says BYE; it may reset it before we are told that it is up."""
-    heard, port = Heard(), listener.getsockname()[1]
-    ConnectionAttempt(heard, f"127.0.0.1:{port}", 20_000, lambda _: heard.told.append("failed"))
+    stream, port = RecordingStream(), listener.getsockname()[1]
+    ConnectionAttempt(stream, f"127.0.0.1:{port}", 20_000, lambda _: stream.events.append("failed"))
     await asyncio.sleep(0)  # it has begun to connect, and hears of nothing until the next wait
     peer, _ = listener.accept()
     peer.sendall(b"BYE")
@@ -38,29 +38,29 @@
         peer.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         peer.close()
     async with asyncio.timeout(20):
-        while len(heard.told) < 2:
+        while len(stream.events) < 2:
             await asyncio.sleep(0.01)
-    return heard
+    return stream
 
 
-def test_what_was_written_before_a_reset_while_new_is_read():
+def test_data_sent_before_a_reset_while_connecting_is_read():
     """A server tells a release on the next connection as well; it must not get lost there, too."""
     with socket.create_server(("127.0.0.1", 0)) as listener:
-        heard = asyncio.run(connect(listener, resets=True))
-        assert heard.told == [b"BYE", "failed"]
-        assert heard.budget.total == 0, "what is over is held no more"
+        stream = asyncio.run(connect(listener, resets=True))
+        assert stream.events == [b"BYE", "failed"]
+        assert stream.budget.total == 0, "what is over is held no more"
 
 
-def test_small_messages_are_not_held_back():
+def test_small_messages_are_sent_without_delay():
     """Found on sockets: a set-up waited 10 ms for the confirmation of what went before (Nagle)."""
 
     async def run() -> int:
         with socket.create_server(("127.0.0.1", 0)) as listener:
-            heard = await connect(listener, resets=False)
-            assert heard.told == ["up", b"BYE"]
-            ours = heard.transport.get_extra_info("socket")
+            stream = await connect(listener, resets=False)
+            assert stream.events == ["up", b"BYE"]
+            ours = stream.transport.get_extra_info("socket")
             option = ours.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
-            heard.transport.abort()
+            stream.transport.abort()
             return option
 
     assert asyncio.run(run())
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -15,7 +15,7 @@
 COMMENT_MS = 1000.0  # between two words of a board that is well
 
 
-def test_a_silent_board_is_left_before_a_second_comment_is_missed():
+def test_a_silent_service_is_disconnected_before_a_second_comment_is_due():
     """Found on sockets: what it holds back counts as told soon, and new servers were met seconds late."""
 
     async def run() -> float:
@@ -39,24 +39,24 @@
     assert COMMENT_MS < asyncio.run(run()) < 2 * COMMENT_MS
 
 
-class Watched:
+class FakeService:
     """A board on a real socket, met on a clock of our own; what it is asked is kept."""
 
-    def __init__(self, says: bytes = b": \n\n") -> None:
+    def __init__(self, sends: bytes = b": \n\n") -> None:
         self.now_ms = 0.0
         self.scheduler = Scheduler(TimerQueue(), clock=lambda: self.now_ms)
-        self.asked_ms: list[float] = []
-        self.open: list[asyncio.StreamWriter] = []
-        self.told: list[int] = []
-        self._says = says
+        self.polled_ms: list[float] = []
+        self.watches: list[asyncio.StreamWriter] = []
+        self.received: list[int] = []
+        self._sends = sends
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.readuntil(b"\r\n\r\n")
-        self.asked_ms.append(self.now_ms)
-        self.open.append(writer)
+        self.polled_ms.append(self.now_ms)
+        self.watches.append(writer)
         writer.write(b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n")
         await reader.read()
-        self.open.remove(writer)
+        self.watches.remove(writer)
         writer.close()
 
     async def listen(self) -> str:
@@ -64,67 +64,67 @@
         host, port = self.server.sockets[0].getsockname()
         return f"{host}:{port}"
 
-    async def go(self, span_ms: float, step_ms: float = 500.0) -> None:
+    async def advance(self, span_ms: float, step_ms: float = 500.0) -> None:
         """Let time pass; each step the board says what it says, and all is read before the next."""
         for _ in range(int(span_ms / step_ms)):
             self.now_ms += step_ms
-            for writer in self.open:
-                writer.write(self._says)
+            for writer in self.watches:
+                writer.write(self._sends)
             for _ in range(4):
                 self.scheduler.begin_iteration()
                 await asyncio.sleep(0.005)
 
 
-def watch(says: bytes, span_ms: float, *, moved: bool) -> Watched:
-    async def run() -> Watched:
-        watched = Watched(says)
-        told, nobody = watched.told, "127.0.0.1:1"
-        address = await watched.listen()
+def watch(sends: bytes, span_ms: float, *, moved: bool) -> FakeService:
+    async def run() -> FakeService:
+        service = FakeService(sends)
+        received, nobody = service.received, "127.0.0.1:1"
+        address = await service.listen()
         discovery = Discovery(
-            watched.scheduler,
+            service.scheduler,
             nobody if moved else address,
             1,
-            lambda notice: told.append(notice.rev),
+            lambda notice: received.append(notice.rev),
             BufferBudget(1e6),
             random.Random(1),
         )
         discovery.start()
         discovery.move_to(address)
         async with asyncio.timeout(60):
-            while not watched.asked_ms:
+            while not service.polled_ms:
                 await asyncio.sleep(0.005)
-            await watched.go(span_ms)
-        assert len(watched.open) <= 1, "one watch at a time"
-        watched.server.close()
-        return watched
+            await service.advance(span_ms)
+        assert len(service.watches) <= 1, "one watch at a time"
+        service.server.close()
+        return service
 
     return asyncio.run(run())
 
 
-def test_a_board_that_only_comments_where_it_moved_to_is_asked_again_in_time_and_ever_less_often():
+def test_a_moved_service_that_only_comments_is_polled_again_with_backoff():
     """A watch that it took and forgot stayed for good: what it tells counts as told 4 s after the move."""
-    asked_ms = watch(b": \n\n", 120_000, moved=True).asked_ms
-    gaps_ms = [later - before for before, later in pairwise(asked_ms)]
+    polled_ms = watch(b": \n\n", 120_000, moved=True).polled_ms
+    gaps_ms = [later - earlier for earlier, later in pairwise(polled_ms)]
     assert gaps_ms[0] <= 4_000, "news of before the watch is here in time"
-    assert all(later > 1.4 * before for before, later in pairwise(gaps_ms)), "no storm of polls"
+    assert all(later > 1.4 * earlier for earlier, later in pairwise(gaps_ms)), "no storm of polls"
 
 
 @pytest.mark.parametrize(
-    ("says", "told", "moved"),
+    ("sends", "received", "moved"),
     [
         (b": \n\n", [], False),
         (b'id: 2\ndata: {"rev": 2}\n\nid: 3\ndata: {"rev": 3}\n\n', [2, 3], True),
     ],
     ids=["not moved", "moved, tells events, the same twice"],
 )
-def test_a_board_that_is_well_is_not_asked_again(says, told, moved):
+def test_a_healthy_service_is_not_polled_again(sends, received, moved):
     """And an event with an old id is not taken twice."""
-    watched = watch(says, 30_000, moved=moved)
-    assert watched.told == told
-    assert len(watched.asked_ms) == 1
+    service = watch(sends, 30_000, moved=moved)
+    assert service.received == received
+    assert len(service.polled_ms) == 1
 
 
-def test_a_board_that_has_moved_is_asked_whatever_wait_the_last_one_named():
+def test_a_moved_service_is_polled_whatever_the_old_retry_after():
     """Guards a move while a retry is pending: the new board was asked after the old one's minute."""
 
     class FixedBackoff:
@@ -148,24 +148,24 @@
     async def run() -> list[float]:
         old = await asyncio.start_server(refuse, "127.0.0.1", 0)
         host, port = old.sockets[0].getsockname()
-        watched = Watched()
+        service = FakeService()
         discovery = Discovery(
-            watched.scheduler, f"{host}:{port}", 1, lambda notice: None, BufferBudget(1e6), random.Random(1)
+            service.scheduler, f"{host}:{port}", 1, lambda notice: None, BufferBudget(1e6), random.Random(1)
         )
         discovery.use_poll_backoff(FixedBackoff())
         discovery.start()
-        new = await watched.listen()
+        new = await service.listen()
         async with asyncio.timeout(60):
             while discovery._backoff.failures == 0:
-                watched.scheduler.begin_iteration()
+                service.scheduler.begin_iteration()
                 await asyncio.sleep(0.005)
-            watched.server.close()  # nobody is there yet when it moves
-            await watched.server.wait_closed()
+            service.server.close()  # nobody is there yet when it moves
+            await service.server.wait_closed()
             discovery.move_to(new)
-            await watched.go(1_000, 100.0)
-            watched.server = await asyncio.start_server(watched._serve, *new.split(":"))
-            await watched.go(2_000, 100.0)
-        old.close(), watched.server.close()
-        return watched.asked_ms
+            await service.advance(1_000, 100.0)
+            service.server = await asyncio.start_server(service._serve, *new.split(":"))
+            await service.advance(2_000, 100.0)
+        old.close(), service.server.close()
+        return service.polled_ms
 
     assert len(asyncio.run(run())) == 1
--- a/tests/test_exchange_replay.py
+++ b/tests/test_exchange_replay.py
@@ -6,25 +6,25 @@
 from pathlib import Path
 
 import pytest
-from exchange_replay import SETTINGS, Player
+from exchange_replay import SETTINGS, Replay
 
 RECORDS = sorted((Path(__file__).parent / "exchanges").glob("*.txt"))
 
 
 @pytest.fixture
-def player(tmp_path):
-    player = Player(tmp_path)
-    yield player
-    player.stop()
+def replay(tmp_path):
+    replay = Replay(tmp_path)
+    yield replay
+    replay.stop()
 
 
 @pytest.mark.parametrize("record", RECORDS, ids=lambda path: path.stem)
-def test_exchange(player, record):
-    player.play(record.read_text())
+def test_exchange(replay, record):
+    replay.run(record.read_text())
 
 
 @pytest.mark.parametrize(
-    ("changes", "says"),
+    ("changes", "expected"),
     [
         ({"listen": "nowhere"}, "'nowhere' is not host:port"),
         ({"seed": "not hex"}, "invalid literal"),
@@ -36,98 +36,98 @@
         ({"listen": "192.0.2.1:1"}, "assign requested address"),
     ],
 )
-def test_a_bad_configuration_is_one_line_and_a_bad_exit(player, changes, says):
-    player.start(**changes)
-    assert player.process.wait(10) != 0
-    printed = player.log.read_text()
-    assert says in printed and printed.count("\n") == 1 and "Traceback" not in printed
+def test_a_bad_configuration_is_one_line_and_a_bad_exit(replay, changes, expected):
+    replay.start(**changes)
+    assert replay.process.wait(10) != 0
+    printed = replay.log.read_text()
+    assert expected in printed and printed.count("\n") == 1 and "Traceback" not in printed
 
 
-def test_a_reload_that_cannot_be_used_or_waits_for_a_restart_is_told_in_one_line(player):
+def test_a_reload_that_cannot_be_used_or_waits_for_a_restart_is_logged_in_one_line(replay):
     """A file nested without end left a traceback; changes that wait were not told at all."""
-    player.start()
-    player.caller("1")
-    player.configure('{"settings": ' + '{"a": ' * 100_000)
-    player.step("program signalled SIGHUP")
-    player.step("program prints not reloaded, the old configuration stays: .*recursion")
+    replay.start()
+    replay.caller("1")
+    replay.configure('{"settings": ' + '{"a": ' * 100_000)
+    replay.step("program signalled SIGHUP")
+    replay.step("program prints not reloaded, the old configuration stays: .*recursion")
     changes = {"settings": SETTINGS | {"tick_ms": 2.0}, "name": "n1"}
-    player.configure(json.dumps(player.configuration | changes))
-    player.step("program signalled SIGHUP")
-    player.step("program prints configuration read again; for the next start: name, settings")
-    assert "Traceback" not in player.log.read_text()
+    replay.configure(json.dumps(replay.configuration | changes))
+    replay.step("program signalled SIGHUP")
+    replay.step("program prints configuration read again; for the next start: name, settings")
+    assert "Traceback" not in replay.log.read_text()
 
 
-def test_callers_that_take_every_descriptor_do_not_end_it(player):
+def test_callers_that_take_every_descriptor_do_not_end_the_program(replay):
     """Accepting fails for a while, and goes on when descriptors are free again."""
-    player.add("a", "ready")
-    player.start(descriptors=20)
-    player.step("server a accepts")
-    crowd = [player.caller(str(number)) for number in range(40)]
-    for party in crowd:
-        party.closes()
-    play_call(player)
+    replay.add("a", "ready")
+    replay.start(descriptors=20)
+    replay.step("server a accepts")
+    crowd = [replay.caller(str(number)) for number in range(40)]
+    for peer in crowd:
+        peer.closes()
+    replay_call(replay)
 
 
-def test_a_crowd_that_comes_at_once_does_not_take_every_descriptor(player):
+def test_a_crowd_that_comes_at_once_does_not_take_every_descriptor(replay):
     """All were accepted before one was closed for room; then the listener stood still for a second."""
-    player.add("a", "ready")
-    player.start(descriptors=64)
-    player.step("server a accepts")
-    player.step("program prints listens on")
-    player.step("program signalled SIGSTOP")
-    crowd = [player.caller(str(number)) for number in range(100, 250)]
-    player.step("program signalled SIGCONT")
-    play_call(player)
-    for party in crowd:
-        party.close()
-    assert "Too many open files" not in player.log.read_text()
-
-
-def play_call(player):
+    replay.add("a", "ready")
+    replay.start(descriptors=64)
+    replay.step("server a accepts")
+    replay.step("program prints listens on")
+    replay.step("program signalled SIGSTOP")
+    crowd = [replay.caller(str(number)) for number in range(100, 250)]
+    replay.step("program signalled SIGCONT")
+    replay_call(replay)
+    for peer in crowd:
+        peer.close()
+    assert "Too many open files" not in replay.log.read_text()
+
+
+def replay_call(replay):
     """One call, without the start of its record."""
     for line in (RECORDS[0].parent / "call.txt").read_text().splitlines():
         if line.startswith(("caller", "server a sends", "server a gets")):
-            player.step(line)
+            replay.step(line)
 
 
-def test_when_all_connections_are_busy_the_newest_is_turned_away(player):
+def test_when_all_connections_are_busy_the_newest_is_rejected(replay):
     """Past the callers' share of the descriptors; the open set-ups keep theirs."""
-    player.add("a", "ready")
-    player.start(limits={"sockets": 10})
-    player.step("server a accepts")
+    replay.add("a", "ready")
+    replay.start(limits={"sockets": 10})
+    replay.step("server a accepts")
     record = (RECORDS[0].parent / "call.txt").read_text()
     set_up = next(line for line in record.splitlines() if "sends" in line)
     for number in range(6):
-        player.step(set_up.replace("caller 1", f"caller {number}").replace("AAAAAAAA", f"{number}" * 8))
-        player.step("server a gets INVITE <*>\\r\\n\\r\\nv=0 offer")
-    player.caller("6").ended()
-    player.step("caller 0 silent 50")
+        replay.step(set_up.replace("caller 1", f"caller {number}").replace("AAAAAAAA", f"{number}" * 8))
+        replay.step("server a gets INVITE <*>\\r\\n\\r\\nv=0 offer")
+    replay.caller("6").ended()
+    replay.step("caller 0 silent 50")
 
 
-def test_what_all_connections_hold_is_bounded_by_the_memory(player):
+def test_the_buffers_of_all_connections_are_bounded_by_the_memory(replay):
     """Each within its own bound, they would take more than there is: the largest goes."""
-    player.start(limits={"sockets": 64, "memory_mb": 1})
-    crowd = [player.caller(str(number)) for number in range(9)]
-    for party in crowd:
-        party.stream.sendall(b"\x3f\x00\x01" + bytes(15_000 - 500 * (party is crowd[0])))
-    player.step(r"program prints caller \S+: closed, leaves 15003 bytes unread or without an end")
+    replay.start(limits={"sockets": 64, "memory_mb": 1})
+    crowd = [replay.caller(str(number)) for number in range(9)]
+    for peer in crowd:
+        peer.stream.sendall(b"\x3f\x00\x01" + bytes(15_000 - 500 * (peer is crowd[0])))
+    replay.step(r"program prints caller \S+: closed, leaves 15003 bytes unread or without an end")
     crowd[0].stream.sendall(bytes(400))
     crowd[0].silent("50")
-    assert player.log.read_text().count("without an end") == 1
+    assert replay.log.read_text().count("without an end") == 1
 
 
-def test_a_peer_that_does_not_read_is_paused_and_costs_no_memory(player):
+def test_a_peer_that_does_not_read_is_paused_and_costs_no_memory(replay):
     """Tests without end from a caller that reads no answer: it is read no further, others are served."""
-    player.start()
-    caller = player.caller("1")
+    replay.start()
+    caller = replay.caller("1")
     caller.stream.settimeout(1.0)
     test = b"\x00\x0d\x34" + b"A" * 8 + b"\x8e\x00\x01\x00"
     with pytest.raises(TimeoutError):
         for _ in range(4000):
             caller.stream.sendall(test * 1000)
-    other = player.caller("2")
+    other = replay.caller("2")
     other.stream.sendall(test)
     other.gets("\\x00\\x0d\\x35AAAAAAAA\\x8e\\x00\\x01\\x01")
-    status = (Path("/proc") / str(player.process.pid) / "status").read_text()
+    status = (Path("/proc") / str(replay.process.pid) / "status").read_text()
     resident_kb = int(status.split("VmRSS:")[1].split()[0])
     assert resident_kb < 100_000
--- a/tests/test_race_conditions_servers.py
+++ b/tests/test_race_conditions_servers.py
@@ -10,8 +10,8 @@
 
 import msgspec
 import pytest
-from exchange_replay import Player
-from race_conditions import ID, WAIT_S, _run, set_up
+from exchange_replay import Replay
+from race_conditions import ID, WAIT_S, run_coroutine, set_up
 
 from canvasplank import interface as api
 from canvasplank.codecs import sip
@@ -26,28 +26,28 @@
 
 
 @pytest.fixture
-def player(tmp_path):
-    player = Player(tmp_path)
-    yield player
-    player.stop()
+def replay(tmp_path):
+    replay = Replay(tmp_path)
+    yield replay
+    replay.stop()
 
 
-def test_a_server_is_told_how_long_is_left_when_its_connection_came_up_late(player):
+def test_the_deadline_sent_on_a_late_connection_is_the_remaining_time(replay):
     """It was told how long was left before, and may have worked on for as long as that took."""
-    player.step('settings {"ceilings": {"connect_timeout_ms": 15000.0}}')
-    player.step("known b never")
-    player.start()
-    player.caller("1").stream.sendall(set_up(wait_ms=9000))
-    player.step("wait 1100")
-    player.step("server b comes_up")
-    server = player.parties["server b"]
+    replay.step('settings {"ceilings": {"connect_timeout_ms": 15000.0}}')
+    replay.step("known b never")
+    replay.start()
+    replay.caller("1").stream.sendall(set_up(wait_ms=9000))
+    replay.step("wait 1100")
+    replay.step("server b comes_up")
+    server = replay.peers["server b"]
     server.stream.settimeout(WAIT_S)
-    while b"X-Deadline" not in server.came:
-        server.came += server.stream.recv(65536)
-    assert int(re.search(rb"X-Deadline: (\d+)", server.came)[1]) <= 9000 - 1100
+    while b"X-Deadline" not in server.received:
+        server.received += server.stream.recv(65536)
+    assert int(re.search(rb"X-Deadline: (\d+)", server.received)[1]) <= 9000 - 1100
 
 
-def test_what_is_sent_on_the_news_of_a_restart_goes_to_the_new_process():
+def test_set_ups_sent_on_a_restart_notification_go_to_the_new_process():
     """It went out on the half-open connection to the old one, which was then dropped as dead."""
 
     async def run() -> tuple[bytes, bytes]:
@@ -75,19 +75,19 @@
             servers.listed(False, [msgspec.structs.replace(entry, started_at_ms=scheduler.now_ms + 1)])
             new, _ = await loop.run_in_executor(None, listener.accept)
             new.settimeout(WAIT_S)
-            came = await loop.run_in_executor(None, new.recv, 65536)
+            received = await loop.run_in_executor(None, new.recv, 65536)
             old.settimeout(WAIT_S)
             with contextlib.suppress(ConnectionResetError):
-                return await loop.run_in_executor(None, old.recv, 65536), came
-            return b"", came
+                return await loop.run_in_executor(None, old.recv, 65536), received
+            return b"", received
 
-    to_old, to_new = _run(run())
+    to_old, to_new = run_coroutine(run())
     assert to_old == b""
     assert b"INVITE" in to_new
 
 
-@pytest.mark.parametrize("told_every_ms", [500.0, 3_000.0, 6_000.0])
-def test_a_server_that_tells_its_lines_less_often_keeps_its_connection(told_every_ms: float):
+@pytest.mark.parametrize("report_interval_ms", [500.0, 3_000.0, 6_000.0])
+def test_a_server_that_reports_less_often_keeps_its_connection(report_interval_ms: float):
     """Where they are told every 3 s, a new connection was made every 2.5 s: fitted to one deployment."""
 
     async def run() -> int:
@@ -104,18 +104,18 @@
         exchange.attach_servers(servers)
         notify = sip.request("NOTIFY", "lines", ID, 1, {"X-Gauges": "free:12;size:40"})
 
-        def joined(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        def on_connected(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             writers.append(writer)
             writer.write(notify)
 
-        server = await asyncio.start_server(joined, "127.0.0.1", 0)
+        server = await asyncio.start_server(on_connected, "127.0.0.1", 0)
         servers.listed(True, [Endpoint("s-a", f"127.0.0.1:{server.sockets[0].getsockname()[1]}", "ready")])
         async with asyncio.timeout(WAIT_S):
             while not writers:
                 await asyncio.sleep(0.005)
             for step in range(1, 401):  # 40 s
                 now_ms[0] += 100.0
-                if step * 100.0 % told_every_ms == 0:
+                if step * 100.0 % report_interval_ms == 0:
                     for writer in writers:
                         writer.write(notify)
                 for _ in range(3):
