--- a/examples/__init__.py
+++ b/examples/__init__.py
@@ -1,1 +1,1 @@
-"""Things to try the proxy with; nothing here is part of it."""
+"""Programs to try the proxy with; nothing here belongs to it."""
--- a/examples/demo.py
+++ b/examples/demo.py
@@ -1,4 +1,4 @@
-"""Shows one call set up through the proxy: starts the toy server and the proxy, calls, and ends all."""
+"""Shows one call set up through the proxy: starts the toy server and the proxy, calls, and stops both."""
 
 from __future__ import annotations
 
@@ -17,16 +17,16 @@
 
 def main() -> int:
     """Run the three programs of the README's "Try it" in one."""
-    with contextlib.ExitStack() as ends:
-        _start(ends, "examples.toy_server", "toy server ready")
-        _start(ends, "canvasplank", " listens on ")
+    with contextlib.ExitStack() as cleanup:
+        _start(cleanup, "examples.toy_server", "toy server ready")
+        _start(cleanup, "canvasplank", " listens on ")
         print("a caller calls:", flush=True)
         toy_caller.main()
     return 0
 
 
-def _start(ends: contextlib.ExitStack, module: str, ready: str) -> None:
-    """Start a module and wait until it says that it is ready."""
+def _start(cleanup: contextlib.ExitStack, module: str, ready: str) -> None:
+    """Start a module and wait for a line of its output that contains ``ready``."""
     environment = os.environ | {"EDGE_CONFIG": str(ROOT / "examples" / "config.json")}
     process = subprocess.Popen(
         [sys.executable, "-m", module],
@@ -36,14 +36,14 @@
         stdout=subprocess.PIPE,
         stderr=subprocess.STDOUT,
     )
-    ends.callback(process.wait, WAIT_S)
-    ends.callback(process.terminate)
-    until = time.monotonic() + WAIT_S
+    cleanup.callback(process.wait, WAIT_S)
+    cleanup.callback(process.terminate)
+    deadline = time.monotonic() + WAIT_S
     for line in process.stdout:
         print(f"{module}: {line.rstrip()}", flush=True)
         if ready in line:
             return
-        if time.monotonic() > until:
+        if time.monotonic() > deadline:
             break
     raise SystemExit(f"{module} did not start")
 
--- a/examples/toy_caller.py
+++ b/examples/toy_caller.py
@@ -1,4 +1,4 @@
-"""Places one call through a proxy and prints what becomes of it.
+"""Places one call through a proxy and prints how it is answered and released.
 
 ``python -m examples.toy_caller [HOST:PORT]``
 """
@@ -22,7 +22,7 @@
 
 
 def main(proxy: str = "127.0.0.1:2905") -> None:
-    """Call, and listen until the call is over."""
+    """Call, and read until the call is released."""
     call_id = secrets.token_hex(8)
     parser = isup.Parser()
     with socket.create_connection(parse_address(proxy), timeout=10) as stream:
--- a/examples/toy_server.py
+++ b/examples/toy_server.py
@@ -1,8 +1,8 @@
-"""A toy call server, with a toy notice board beside it.
+"""A toy call server, with a toy service discovery beside it.
 
-``python -m examples.toy_server [SIP_PORT [BOARD_PORT]]``
+``python -m examples.toy_server [SIP_PORT [DISCOVERY_PORT]]``
 
-It answers every set-up after 30 ms, tells its free lines every second, and ends each call after two seconds.
+It answers every set-up after 30 ms, reports its free lines every second, and releases each call after 2 s.
 """
 
 from __future__ import annotations
@@ -13,8 +13,8 @@
 from canvasplank.codecs import sip
 
 LINES = 40
-ANSWERS_AFTER_S, TALKS_FOR_S, TELLS_EVERY_S = 0.03, 2.0, 1.0
-SIP_PORT, BOARD_PORT = "2906", "4222"
+ANSWER_DELAY_S, CALL_DURATION_S, REPORT_INTERVAL_S = 0.03, 2.0, 1.0
+SIP_PORT, DISCOVERY_PORT = "2906", "4222"
 
 
 class ToyServer:
@@ -22,21 +22,21 @@
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self._reader, self._writer = reader, writer
-        self._calls: dict[str, asyncio.Task] = {}
+        self._calls: dict[str, asyncio.Task[None]] = {}
 
     async def serve(self) -> None:
-        """Read until the proxy goes."""
-        telling = asyncio.create_task(self._tell())
+        """Read until the proxy disconnects."""
+        reporting = asyncio.create_task(self._report())
         parser = sip.Parser()
         try:
             while data := await self._reader.read(4096):
                 for message in parser.feed(data):
-                    self._take(message)
+                    self._on_message(message)
         finally:
-            telling.cancel()
+            reporting.cancel()
             self._writer.close()
 
-    def _take(self, message: sip.Message) -> None:
+    def _on_message(self, message: sip.Message) -> None:
         match message.method, message.status:
             case "INVITE", 0:
                 self._calls[message.call_id] = asyncio.create_task(self._call(message))
@@ -47,35 +47,35 @@
                 self._writer.write(sip.response(200, "OK", message))
 
     async def _call(self, invite: sip.Message) -> None:
-        await asyncio.sleep(ANSWERS_AFTER_S)
+        await asyncio.sleep(ANSWER_DELAY_S)
         answer = sip.response(200, "OK", invite).replace(b"Content-Length: 0", b"Content-Length: 10")
         self._writer.write(answer + b"toy answer")
         print("answered", invite.call_id, flush=True)
-        await asyncio.sleep(TALKS_FOR_S)
+        await asyncio.sleep(CALL_DURATION_S)
         del self._calls[invite.call_id]
         self._writer.write(sip.request("BYE", "caller", invite.call_id, 2, {"Reason": "Q.850;cause=16"}))
 
-    async def _tell(self) -> None:
+    async def _report(self) -> None:
         while True:
             load_reports = {"X-Gauges": f"free:{LINES - len(self._calls)};size:{LINES}"}
             self._writer.write(sip.request("NOTIFY", "exchange", "0" * 16, 1, load_reports))
-            await asyncio.sleep(TELLS_EVERY_S)
+            await asyncio.sleep(REPORT_INTERVAL_S)
 
 
 async def discovery(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-    """A notice board with no news."""
+    """Service discovery without any event: a comment each second."""
     await reader.readuntil(b"\r\n\r\n")
     writer.write(b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n")
     while not writer.is_closing():
         writer.write(b":\n\n")
-        await asyncio.sleep(TELLS_EVERY_S)
+        await asyncio.sleep(REPORT_INTERVAL_S)
 
 
-async def main(sip_port: str = SIP_PORT, board_port: str = BOARD_PORT) -> None:
+async def main(sip_port: str = SIP_PORT, discovery_port: str = DISCOVERY_PORT) -> None:
     """Serve until stopped."""
     servers = [
         await asyncio.start_server(lambda r, w: ToyServer(r, w).serve(), "127.0.0.1", int(sip_port)),
-        await asyncio.start_server(discovery, "127.0.0.1", int(board_port)),
+        await asyncio.start_server(discovery, "127.0.0.1", int(discovery_port)),
     ]
     print("toy server ready", flush=True)
     await asyncio.gather(*(server.serve_forever() for server in servers))
