--- a/canvasplank/codecs/q850.py
+++ b/canvasplank/codecs/q850.py
@@ -8,7 +8,7 @@
 
 
 class ReleaseCause(enum.IntEnum):
-    """The causes that this program gives or tells apart; any other number is passed on as it came."""
+    """The causes that this program gives or distinguishes; any other number is passed on as it came."""
 
     NORMAL_CLEARING = 16  # the ordinary end of a call
     NORMAL_UNSPECIFIED = 31
--- a/canvasplank/codecs/sip.py
+++ b/canvasplank/codecs/sip.py
@@ -50,7 +50,7 @@
         and the call stay established for ever.
         """
         for reason in _QUOTED.sub("", self.headers.get("reason", "")).split(","):
-            protocol, *parameters = (part.strip() for part in reason.split(";"))
+            protocol, *parameters = (field.strip() for field in reason.split(";"))
             for name, _, value in (parameter.partition("=") for parameter in parameters):
                 if protocol.upper() == "Q.850" and name.strip().lower() == "cause":
                     value = value.strip()
@@ -104,7 +104,7 @@
             yield Message(head.method, head.status, head.headers, body)
 
     def _read_head(self) -> _Head | None:
-        """Parse the next head, where it is complete, and keep it until its body is."""
+        """Parse the next head, where it is complete, and store it until its body is."""
         self._skip_blank_lines()
         end = self._buffer.find(_HEAD_END)
         if end < 0:
--- a/canvasplank/network/__init__.py
+++ b/canvasplank/network/__init__.py
@@ -1,1 +1,1 @@
-"""The sockets: callers on one side, call servers on the other, and the notice board."""
+"""The connections: from callers, to call servers and to service discovery."""
--- a/canvasplank/network/caller_pool.py
+++ b/canvasplank/network/caller_pool.py
@@ -29,7 +29,7 @@
         self.limit(sockets)
 
     def limit(self, sockets: int) -> None:
-        """Take a new limit of the whole program's sockets."""
+        """Take a new limit of the program's sockets."""
         self._max_connections = max(1, int(sockets * MAX_SOCKETS_FRACTION))
         self.max_accepts = max(1, int(self._max_connections * ACCEPT_FRACTION))
 
--- a/canvasplank/network/callers.py
+++ b/canvasplank/network/callers.py
@@ -64,7 +64,7 @@
         self._pool.close_idle_connections()
 
     def limit(self, sockets: int) -> None:
-        """Take a new limit of the whole program's sockets."""
+        """Take a new limit of the program's sockets."""
         self._pool.limit(sockets)
         if self._listener is not None:
             self._listener.limit(self._pool.max_accepts)
--- a/canvasplank/network/connection_attempt.py
+++ b/canvasplank/network/connection_attempt.py
@@ -1,4 +1,4 @@
-"""Opening a connection, with its deadline in the scheduler's timer queue."""
+"""An attempt to connect, with its deadline in the scheduler's timer queue."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 
 from canvasplank.config.addresses import parse_address
-from canvasplank.network.stream import Stream
+from canvasplank.network.stream import Stream, read_remaining
 
 
 class ConnectionAttempt:
@@ -16,7 +16,7 @@
     def __init__(
         self, stream: Stream[object], address: str, timeout_ms: float, on_failed: Callable[[str], None]
     ) -> None:
-        """Begin to connect; ``on_failed`` is given the reason, for the log."""
+        """Start to connect; ``on_failed`` is given the reason, for the log."""
         self._stream = stream
         self._address = address
         self._timeout_ms = timeout_ms
@@ -26,7 +26,7 @@
         self._task: asyncio.Task[None] | None = asyncio.get_running_loop().create_task(self._run())
 
     def cancel(self) -> None:
-        """Give it up without notice."""
+        """Give it up; neither of the two follows."""
         self._scheduler.timers.cancel(self._timer)
         if self._task is not None:
             self._task.cancel()
@@ -62,7 +62,7 @@
             await loop.sock_connect(new_socket, (host, port))
             await loop.create_connection(lambda: self._stream, sock=new_socket)
         except ConnectionResetError:  # it came up, was written to and was reset before this task was resumed
-            self._stream.read_remaining(new_socket)
+            read_remaining(self._stream, new_socket)
             raise
         finally:
             if self._stream.transport is None:
--- a/canvasplank/network/discovery.py
+++ b/canvasplank/network/discovery.py
@@ -49,7 +49,7 @@
         """It is connected."""
 
     def on_received(self, watch: DiscoveryWatch) -> None:
-        """Something was read, be it only a comment."""
+        """Something was read, if only a comment."""
 
     def on_event(self, event: sse.Event) -> None:
         """An event was read; raises ``BadMessageError``."""
@@ -63,7 +63,7 @@
 
     def __init__(self, owner: DiscoveryWatchOwner) -> None:
         self._events = sse.Parser()
-        super().__init__(owner.scheduler, "notice board", self._events, owner.budget)
+        super().__init__(owner.scheduler, "service discovery", self._events, owner.budget)
         self._owner = owner
         self.connected_ms = self.scheduler.now_ms
 
@@ -90,7 +90,7 @@
 
 
 class PollBackoff(Protocol):
-    """When to poll a service that a whole fleet polls; delays in milliseconds."""
+    """When to poll a service that all of a fleet poll; delays in milliseconds."""
 
     def initial_delay(self) -> float:
         """Before the first poll of all."""
@@ -102,7 +102,7 @@
         """An event was received."""
 
     def early_poll_delay(self, now_ms: float) -> float | None:
-        """Another proxy receives from the service and this one does not; None: it polled lately."""
+        """Another proxy receives from the service and this one does not; None: it has just polled."""
 
 
 class Discovery:
@@ -149,7 +149,7 @@
         self._check_connection()
 
     def _connect_first(self) -> None:
-        """Connect at once, or where a whole fleet polls at the same time, after this proxy's delay."""
+        """Connect at once, or where a fleet polls at the same time, after this proxy's delay."""
         if self._poll_backoff is None:
             self._connect()
         else:
@@ -169,7 +169,7 @@
         """
         if address == self.address:
             return
-        LOG.info("notice board: now at %s", address)
+        LOG.info("service discovery: now at %s", address)
         self.address = address
         watch, self._watch = self._watch, None
         if self._attempt is not None:
@@ -190,7 +190,7 @@
 
     def _on_connection_failed(self, watch: DiscoveryWatch, reason: str) -> None:
         if self._backoff.failures == 0:
-            LOG.info("notice board: no connection: %s", reason)
+            LOG.info("service discovery: no connection: %s", reason)
         self.on_watch_ended(watch)
 
     def on_watch_ended(self, watch: DiscoveryWatch) -> None:
@@ -242,7 +242,7 @@
     def _decode(self, number: int, data: str) -> DiscoveryEvent | None:
         """Decode an event; raises ``BadMessageError``, or returns None where it has failed too often.
 
-        An event that can never be read must not keep all later ones from this proxy.
+        An event that can never be read must not withhold all later ones from this proxy.
         """
         try:
             return DISCOVERY_EVENT_DECODER.decode(data)
@@ -250,7 +250,7 @@
             self._failed_reads += 1
             if self._failed_reads < MAX_READS:
                 raise BadMessageError(f"event {number}: {error}") from error
-            LOG.warning("notice board: event %d is passed over, unread: %s", number, error)
+            LOG.warning("service discovery: event %d is passed over, unread: %s", number, error)
             return None
 
     def _check_connection(self) -> None:
@@ -258,7 +258,7 @@
         watch, now_ms = self._watch, self.scheduler.now_ms
         if watch is not None and watch.is_open:
             if now_ms - watch.last_received_ms > SILENCE_TIMEOUT_MS:
-                LOG.info("notice board: silent, connecting again")
+                LOG.info("service discovery: silent, connecting again")
                 watch.abort()
                 self.on_watch_ended(watch)
             elif now_ms >= self._rewatch_at_ms:
--- a/canvasplank/network/peer_table.py
+++ b/canvasplank/network/peer_table.py
@@ -35,7 +35,7 @@
 
 
 class PeerTable:
-    """Keeps the table of servers to the endpoint list, and notifies the exchange of what has changed."""
+    """Maintains the table of servers by the endpoint list, and notifies the exchange of what has changed."""
 
     def __init__(self, exchange: Exchange, connections: ServerConnections) -> None:
         self._exchange = exchange
--- a/canvasplank/network/release_retransmission.py
+++ b/canvasplank/network/release_retransmission.py
@@ -1,7 +1,7 @@
 """Releases that a peer has not confirmed: sent again on another connection where the first has died.
 
 A release that was written to a connection as that ended may never have been read, and the call would stay
-established at the other side for ever.  Both kinds of connection keep what they have sent here.
+established at the other side for ever.  Both kinds of connection record here what they have sent.
 """
 
 from __future__ import annotations
--- a/canvasplank/network/server_connections.py
+++ b/canvasplank/network/server_connections.py
@@ -22,7 +22,7 @@
 
 
 class ServerConnections:
-    """Keeps a current connection up to each listed server, whether or not calls go there.
+    """Maintains a current connection to each listed server, whether or not calls go there.
 
     Releases of established calls and reports of circuits come on it, too.
     """
@@ -187,7 +187,7 @@
     def _check_current(self, peer: Peer) -> None:
         """A current connection that is silent or hung is replaced; it stays open for what may yet come on it.
 
-        One that hangs says nothing of its server: a healthy server must not be tried over and over on the
+        A hung connection does not mean a hung server: a healthy server must not be tried over and over on the
         connection that hung, and be left out for seconds.
         """
         current = peer.current
--- a/canvasplank/network/server_stream.py
+++ b/canvasplank/network/server_stream.py
@@ -20,7 +20,7 @@
 
 SILENCE_TIMEOUT_MS = 2500.0  # a server that reports its circuits and is silent for so long may be cut off
 MAX_SILENCE_TIMEOUT_MS = 20_000.0  # the timeout of one that reports less often: it doubles up to this
-UNTIMED_REPORTS = 2  # the first ones on a connection, which say nothing of how often reports come
+UNTIMED_REPORTS = 2  # the first ones on a connection: the interval between them is no measure of the others
 MAX_PENDING_RELEASES = 10_000  # for a server that cannot be reached
 
 
@@ -54,7 +54,7 @@
     server_id: str
     address: str
     state: api.ServerState
-    started_ms: float | None  # when its process started, where service discovery says so
+    started_ms: float | None  # when its process started, where that is known
     backoff: ReconnectBackoff
     current: ServerStream | None = None  # where the next message goes; it may still be connecting
     last_received_ms: float = 0.0  # when anything was last read from it, or a connection came up
@@ -65,7 +65,7 @@
     connect_after_ms: float = 0.0  # its first connection is made no sooner, unless a set-up needs it
 
     def send_release(self, call_id: str, cause: int) -> None:
-        """Write a release to the current connection, or keep it for the next."""
+        """Write a release to the current connection, or store it for the next."""
         if self.current is not None and self.current.is_open:
             self.current.send_release(call_id, cause)
         elif len(self.pending_releases) < MAX_PENDING_RELEASES:
@@ -103,7 +103,7 @@
         self._unanswered_since_ms = -1.0  # when the first set-up was sent since anything was last read
 
     def connect(self, timeout_ms: float, on_failed: Callable[[str], None]) -> None:
-        """Begin to connect to the peer's address; ``on_failed`` is given the reason."""
+        """Start to connect to the peer's address; ``on_failed`` is given the reason."""
         self.connecting = ConnectionAttempt(self, self.peer.address, timeout_ms, on_failed)
 
     def cancel_connecting(self) -> None:
@@ -154,7 +154,7 @@
         """The circuits were reported here; where that is frequent, silence is detected soon.
 
         The first report comes with the connection and the second at any time after it: the interval between
-        them says nothing.
+        them is no measure of the others.
         """
         self.peer.reports_circuits = True
         self._report_count += 1
--- a/canvasplank/network/servers.py
+++ b/canvasplank/network/servers.py
@@ -1,6 +1,6 @@
 """The client side: requests to the call servers and their responses, in the SIP of ``codecs.sip``.
 
-Beside this: ``peer_table`` follows the endpoint list, ``server_connections`` keeps the connections up, and
+Beside this: ``peer_table`` follows the endpoint list, ``server_connections`` maintains the connections, and
 ``server_stream`` is one connection.
 """
 
@@ -39,7 +39,7 @@
         budget: BufferBudget,
         load_reports: LoadReportReader,
     ) -> None:
-        """``resend_ms``: when a caller sends an unanswered set-up again; None: the settings do not say."""
+        """``resend_ms``: when a caller sends an unanswered set-up again; None: not in the settings."""
         self.exchange = exchange
         self.scheduler = exchange.scheduler
         self._load_reports = load_reports
--- a/canvasplank/network/stream.py
+++ b/canvasplank/network/stream.py
@@ -57,7 +57,7 @@
         self.limit(memory_bytes)
 
     def limit(self, memory_bytes: float) -> None:
-        """Take a new limit of the whole program's memory."""
+        """Take a new limit of the program's memory."""
         self._max_bytes = BUFFERED_FRACTION * memory_bytes
 
     def update(self, stream: Stream[object], size: int) -> None:
@@ -117,7 +117,7 @@
         """The connection has ended."""
 
     def messages(self, data: memoryview) -> Iterator[Message_co]:
-        """Messages completed by these bytes; keeps ``message_started_ms``."""
+        """Messages completed by these bytes; maintains ``message_started_ms``."""
         was_in_message = self.parser.in_message
         for message in self.parser.feed(data):
             was_in_message = False
@@ -171,26 +171,12 @@
             self.transport.abort()
 
     def abort_unreadable(self, reason: str) -> None:
-        """End it at once, since nothing that the peer sends can be of further use; one log line says why."""
+        """End it at once, since nothing that the peer sends can be of further use, with a line in the log."""
         LOG.warning("%s: closed, %s", self.label, reason)
         self.unreadable = True
         self.parser.clear()  # now, and not only after an iteration that brings hundreds like it
         self.abort()
 
-    def read_remaining(self, remaining: socket.socket) -> None:
-        """Read what had arrived before a connection was reset.
-
-        asyncio reads no more once a write of ours, or the end of connecting, has met the reset; the release
-        of an established call may be among it.
-        """
-        with contextlib.suppress(OSError):
-            for _ in range(MAX_READS_AFTER_RESET):
-                count = 0 if self.unreadable else remaining.recv_into(self._buffer)
-                if not count:
-                    break
-                self.buffer_updated(count)
-        self.budget.update(self, 0)  # an ended connection must not count against the budget for good
-
     # ------------------------------------------------------------------------------ called by asyncio
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -206,7 +192,7 @@
         return self._buffer
 
     def buffer_updated(self, nbytes: int) -> None:
-        """See asyncio; no error of reading leaves it, each ends this connection alone."""
+        """See asyncio; an error of reading ends this connection and no other."""
         self.scheduler.begin_iteration()
         self.last_received_ms = self.last_used_ms = self.scheduler.now_ms
         try:
@@ -236,6 +222,22 @@
             with contextlib.suppress(OSError):
                 descriptor = os.dup(self.transport.get_extra_info("socket").fileno())
                 with socket.socket(fileno=descriptor) as remaining:
-                    self.read_remaining(remaining)
+                    read_remaining(self, remaining)
         self.on_disconnected(exc)
         self.budget.update(self, 0)
+
+
+def read_remaining(stream: Stream[object], remaining: socket.socket) -> None:
+    """Let a stream read what had arrived before its connection was reset.
+
+    asyncio reads no more once a write of ours, or the end of connecting, has met the reset; the release of an
+    established call may be among it.
+    """
+    buffer = stream.get_buffer(MAX_MESSAGE_BYTES)
+    with contextlib.suppress(OSError):
+        for _ in range(MAX_READS_AFTER_RESET):
+            count = 0 if stream.unreadable else remaining.recv_into(buffer)
+            if not count:
+                break
+            stream.buffer_updated(count)
+    stream.budget.update(stream, 0)  # an ended connection must not count against the budget for good
--- a/tests/exchange_replay.py
+++ b/tests/exchange_replay.py
@@ -1,4 +1,4 @@
-"""Plays a recorded exchange of bytes against the program and compares: the one helper of the socket tests.
+"""Replays a recorded exchange of bytes against the program and compares it: the helper of the socket tests.
 
 A record is a text file of steps, one a line; ``#`` begins a comment.  Bytes are written as in a Python
 literal, and ``<*>`` in what is expected stands for anything short.
@@ -43,8 +43,9 @@
 from pathlib import Path
 
 ROOT = Path(__file__).parent.parent
-# What the protocol allows each time limit on sockets.  A turn's one reading of the clock may be some ms older
-# than what its later looks bring: on a starved machine a 504 was read 4 to 8 ms after its turn had begun.
+# What the protocol allows each time limit on sockets.  An iteration's one reading of the clock may be some ms
+# older than what its later polls bring: on a starved machine a 504 was read 4 to 8 ms after its iteration had
+# started.
 SLACK_MS = 50.0
 WAIT_S = 20.0  # for anything that is expected; a slow machine only takes longer
 PROGRESS = re.compile(rb"\x00\x09\x06.{8}", re.DOTALL)
@@ -79,7 +80,7 @@
 
 
 def literal(text: str) -> bytes:
-    """The bytes that a Python literal stands for."""
+    """The bytes that a Python literal denotes."""
     return codecs.escape_decode(text.encode())[0]
 
 
@@ -88,7 +89,7 @@
 
 
 class Peer:
-    """A caller, a call server or the notice board."""
+    """A caller, a call server or service discovery."""
 
     acted_s = 0.0
 
@@ -111,7 +112,7 @@
         self.listener.close()
 
     def never_comes_up(self) -> None:
-        """Fill the queue of a listener that accepts nothing: further connections get no word."""
+        """Fill the queue of a listener that accepts nothing: further connections get no answer."""
         self.listener.listen(0)
         for _ in range(3):
             filler = socket.socket()
@@ -120,7 +121,7 @@
             self.fillers.append(filler)
 
     def comes_up(self, _: str = "") -> None:
-        """Take what waits in the queue, until the connection that is not one of ours comes through."""
+        """Accept what waits in the queue, until the connection that is not one of ours comes through."""
         ours = {filler.getsockname() for filler in self.fillers}
         self.listener.listen(16)
         self.listener.settimeout(WAIT_S)
@@ -195,7 +196,7 @@
 
 
 class Replay:
-    """One program and all that it talks to."""
+    """One process of the program, and the peers that it is connected to."""
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
--- a/tests/test_codecs.py
+++ b/tests/test_codecs.py
@@ -1,4 +1,4 @@
-"""The codecs alone: any split of the bytes reads the same, and what is wrong is named."""
+"""The codecs on their own: any split of the bytes reads the same, and errors are named."""
 
 from __future__ import annotations
 
@@ -103,7 +103,7 @@
     ],
 )
 def test_the_cause_of_a_release_fits_the_callers_one_byte(reason, cause):
-    """Any other could not be passed on, and the call stood for ever."""
+    """Any other could not be passed on, and the call stayed established for ever."""
     assert sip.Message("BYE", 0, {"reason": reason}, b"").cause == cause
 
 
--- a/tests/test_connection_attempt.py
+++ b/tests/test_connection_attempt.py
@@ -1,4 +1,4 @@
-"""Opening connections."""
+"""Attempts to connect."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class RecordingStream(Stream):
-    """Notes what becomes of it."""
+    """Records its events."""
 
     def __init__(self) -> None:
         super().__init__(Scheduler(TimerQueue()), "server", sip.Parser(), BufferBudget(1e6))
@@ -28,10 +28,10 @@
 
 
 async def connect(listener: socket.socket, resets: bool) -> RecordingStream:
-    """One connection, on which the other side says BYE; it may reset it before we are told that it is up."""
+    """One connection, on which the peer sends BYE; it may reset it before the attempt is resumed."""
     stream, port = RecordingStream(), listener.getsockname()[1]
     ConnectionAttempt(stream, f"127.0.0.1:{port}", 20_000, lambda _: stream.events.append("failed"))
-    await asyncio.sleep(0)  # it has begun to connect, and hears of nothing until the next wait
+    await asyncio.sleep(0)  # it has started to connect, and gets no event until the next await
     peer, _ = listener.accept()
     peer.sendall(b"BYE")
     if resets:
@@ -44,11 +44,11 @@
 
 
 def test_data_sent_before_a_reset_while_connecting_is_read():
-    """A server tells a release on the next connection as well; it must not get lost there, too."""
+    """A server sends a release again on the next connection; it must not be lost there, too."""
     with socket.create_server(("127.0.0.1", 0)) as listener:
         stream = asyncio.run(connect(listener, resets=True))
         assert stream.events == [b"BYE", "failed"]
-        assert stream.budget.total == 0, "what is over is held no more"
+        assert stream.budget.total == 0, "an ended connection holds no budget"
 
 
 def test_small_messages_are_sent_without_delay():
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -1,4 +1,4 @@
-"""The notice board, on a clock of our own."""
+"""Service discovery, on a clock of our own."""
 
 from __future__ import annotations
 
@@ -12,18 +12,18 @@
 from canvasplank.network.stream import BufferBudget
 from canvasplank.runtime.scheduler import Scheduler, TimerQueue
 
-COMMENT_MS = 1000.0  # between two words of a board that is well
+COMMENT_MS = 1000.0  # between two comments of a healthy service
 
 
 def test_a_silent_service_is_disconnected_before_a_second_comment_is_due():
-    """Found on sockets: what it holds back counts as told soon, and new servers were met seconds late."""
+    """Found on sockets: events count as known soon, and new servers were connected seconds late."""
 
     async def run() -> float:
         server = await asyncio.start_server(lambda reader, writer: None, "127.0.0.1", 0)
         host, port = server.sockets[0].getsockname()
         now = [0.0]
         scheduler = Scheduler(TimerQueue(), clock=lambda: now[0])
-        discovery = Discovery(scheduler, f"{host}:{port}", 1, lambda notice: None, BufferBudget(1e6))
+        discovery = Discovery(scheduler, f"{host}:{port}", 1, lambda event: None, BufferBudget(1e6))
         discovery.start()
         first = discovery._watch
         async with asyncio.timeout(20):
@@ -40,7 +40,7 @@
 
 
 class FakeService:
-    """A board on a real socket, met on a clock of our own; what it is asked is kept."""
+    """A service on a real socket, used on a clock of our own; it records when it is polled."""
 
     def __init__(self, sends: bytes = b": \n\n") -> None:
         self.now_ms = 0.0
@@ -65,7 +65,7 @@
         return f"{host}:{port}"
 
     async def advance(self, span_ms: float, step_ms: float = 500.0) -> None:
-        """Let time pass; each step the board says what it says, and all is read before the next."""
+        """Let time pass; each step the service sends its text, and all is read before the next."""
         for _ in range(int(span_ms / step_ms)):
             self.now_ms += step_ms
             for writer in self.watches:
@@ -84,7 +84,7 @@
             service.scheduler,
             nobody if moved else address,
             1,
-            lambda notice: received.append(notice.rev),
+            lambda event: received.append(event.rev),
             BufferBudget(1e6),
             random.Random(1),
         )
@@ -102,7 +102,7 @@
 
 
 def test_a_moved_service_that_only_comments_is_polled_again_with_backoff():
-    """A watch that it took and forgot stayed for good: what it tells counts as told 4 s after the move."""
+    """A watch that it accepted and lost stayed for good; events count as known 4 s after the move."""
     polled_ms = watch(b": \n\n", 120_000, moved=True).polled_ms
     gaps_ms = [later - earlier for earlier, later in pairwise(polled_ms)]
     assert gaps_ms[0] <= 4_000, "news of before the watch is here in time"
@@ -115,17 +115,17 @@
         (b": \n\n", [], False),
         (b'id: 2\ndata: {"rev": 2}\n\nid: 3\ndata: {"rev": 3}\n\n', [2, 3], True),
     ],
-    ids=["not moved", "moved, tells events, the same twice"],
+    ids=["not moved", "moved, sends events, the same twice"],
 )
 def test_a_healthy_service_is_not_polled_again(sends, received, moved):
-    """And an event with an old id is not taken twice."""
+    """And an event with an old id is not passed on twice."""
     service = watch(sends, 30_000, moved=moved)
     assert service.received == received
     assert len(service.polled_ms) == 1
 
 
 def test_a_moved_service_is_polled_whatever_the_old_retry_after():
-    """Guards a move while a retry is pending: the new board was asked after the old one's minute."""
+    """A move while a retry is pending: the new address was polled only after the old one's minute."""
 
     class FixedBackoff:
         def initial_delay(self) -> float:
@@ -150,7 +150,7 @@
         host, port = old.sockets[0].getsockname()
         service = FakeService()
         discovery = Discovery(
-            service.scheduler, f"{host}:{port}", 1, lambda notice: None, BufferBudget(1e6), random.Random(1)
+            service.scheduler, f"{host}:{port}", 1, lambda event: None, BufferBudget(1e6), random.Random(1)
         )
         discovery.use_poll_backoff(FixedBackoff())
         discovery.start()
--- a/tests/test_exchange_replay.py
+++ b/tests/test_exchange_replay.py
@@ -1,4 +1,4 @@
-"""Recorded exchanges of bytes, played against the program as it is started in service."""
+"""Recorded exchanges of bytes, replayed against the program as it is started in service."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
 
 
 def test_a_reload_that_cannot_be_used_or_waits_for_a_restart_is_logged_in_one_line(replay):
-    """A file nested without end left a traceback; changes that wait were not told at all."""
+    """A file nested without end left a traceback; changes that wait were not logged at all."""
     replay.start()
     replay.caller("1")
     replay.configure('{"settings": ' + '{"a": ' * 100_000)
@@ -91,7 +91,7 @@
 
 
 def test_when_all_connections_are_busy_the_newest_is_rejected(replay):
-    """Past the callers' share of the descriptors; the open set-ups keep theirs."""
+    """Past the callers' fraction of the descriptors; the open set-ups retain theirs."""
     replay.add("a", "ready")
     replay.start(limits={"sockets": 10})
     replay.step("server a accepts")
@@ -105,7 +105,7 @@
 
 
 def test_the_buffers_of_all_connections_are_bounded_by_the_memory(replay):
-    """Each within its own bound, they would take more than there is: the largest goes."""
+    """Each within its own bound, they would take more than there is: the largest is ended."""
     replay.start(limits={"sockets": 64, "memory_mb": 1})
     crowd = [replay.caller(str(number)) for number in range(9)]
     for peer in crowd:
--- a/tests/test_race_conditions_callers.py
+++ b/tests/test_race_conditions_callers.py
@@ -53,8 +53,8 @@
 ):
     """The kernel reset a connection closed with bytes unread, and a release that lay there was lost.
 
-    A set-up is left to its caller, who sends it again on a new connection; a release is passed on.  While
-    quiesced a connection ends only once all is read: see the next but one for a set-up there.
+    A set-up is its caller's to send again on a new connection; a release is passed on.  While quiesced a
+    connection ends only once all is read: see the next but one for a set-up there.
     """
 
     async def run() -> tuple[bytes, CallerSide]:
@@ -77,7 +77,7 @@
 
 
 def test_an_answer_is_released_when_the_callers_connection_ends_in_the_same_iteration():
-    """It was written to nobody, and the call stood at its server until that ended it."""
+    """It was written to nobody, and the call stayed established at its server until that ended it."""
 
     async def run() -> CallerSide:
         caller_side = CallerSide()
@@ -101,7 +101,7 @@
 
 @pytest.mark.parametrize("first", ["a test", "a set-up that is out"])
 def test_an_unread_set_up_on_a_quiesced_unused_connection_is_answered(first: str):
-    """It met the end of the connection amid the turn: who had written it half a second ago lost it.
+    """It met the end of the connection within the iteration: who had written it half a second ago lost it.
 
     So long after it no caller takes it for a crossing, and none sends it again.
     """
@@ -139,7 +139,7 @@
 
 @pytest.mark.parametrize("established", [False, True], ids=["given up", "released"])
 def test_a_call_ended_on_another_connection_is_removed_from_its_own(established: bool):
-    """It kept the call for ever: a half-closed or quiesced one was never ended."""
+    """It retained the call for ever: a half-closed or quiesced connection was never ended."""
 
     async def run() -> tuple[bytes, CallerSide]:
         caller_side, loop = CallerSide(), asyncio.get_running_loop()
@@ -167,7 +167,7 @@
 
 
 def test_a_closing_listener_accepts_those_queued_behind_a_broken_connection():
-    """accept(2) tells a broken connection's own fault: it went up, and the program's end never came."""
+    """accept(2) reports a broken connection's error: it was raised, and the shutdown never ended."""
 
     async def run() -> bool:
         caller_side = CallerSide()
--- a/tests/test_race_conditions_servers.py
+++ b/tests/test_race_conditions_servers.py
@@ -33,7 +33,7 @@
 
 
 def test_the_deadline_sent_on_a_late_connection_is_the_remaining_time(replay):
-    """It was told how long was left before, and may have worked on for as long as that took."""
+    """It was sent the time before that, and may have worked for too long by as much."""
     replay.step('settings {"ceilings": {"connect_timeout_ms": 15000.0}}')
     replay.step("known b never")
     replay.start()
@@ -48,7 +48,7 @@
 
 
 def test_set_ups_sent_on_a_restart_notification_go_to_the_new_process():
-    """It went out on the half-open connection to the old one, which was then dropped as dead."""
+    """It went out on the half-open connection to the old one, which was then aborted as dead."""
 
     async def run() -> tuple[bytes, bytes]:
         scheduler, loop = (
@@ -88,7 +88,7 @@
 
 @pytest.mark.parametrize("report_interval_ms", [500.0, 3_000.0, 6_000.0])
 def test_a_server_that_reports_less_often_keeps_its_connection(report_interval_ms: float):
-    """Where they are told every 3 s, a new connection was made every 2.5 s: fitted to one deployment."""
+    """Reported every 3 s, a new connection was made every 2.5 s: fitted to one deployment."""
 
     async def run() -> int:
         now_ms, writers = [0.0], []
--- a/tests/test_race_conditions_shutdown.py
+++ b/tests/test_race_conditions_shutdown.py
@@ -31,7 +31,7 @@
 
 
 def test_connections_queued_while_the_process_was_stopped_are_answered_before_exit(replay):
-    """Stopped past the end of its last 0.7 s, it closed its listener on those who had come meanwhile.
+    """Stopped past the end of its last 0.7 s, it closed its listener on those who had connected meanwhile.
 
     More of them than are accepted in one go, each with a set-up written to a connection the machine took.
     """
@@ -90,7 +90,7 @@
 @pytest.mark.parametrize("name", ["SIGHUP", "SIGTERM"])
 @pytest.mark.parametrize("when", ["before the imports", "before the handlers", "after the loop"])
 def test_a_signal_at_start_or_exit_never_ends_the_program_by_default(tmp_path, name, when):
-    """SIGHUP at the start ended it or went unheard; a second SIGTERM at the end spoilt its exit status."""
+    """SIGHUP at the start ended it or was lost; a second SIGTERM at the end changed its exit status."""
     configuration = json.loads((ROOT / "examples" / "config.json").read_text())
     configuration |= {"listen": f"127.0.0.1:{free_port()}", "board": f"127.0.0.1:{free_port()}"}
     path = tmp_path / "config.json"
@@ -121,7 +121,7 @@
 
 
 class ProgramWithoutServers:
-    """A configuration without servers, for a program in this process that is told to stop."""
+    """A configuration without servers, for a program in this process that is to shut down."""
 
     def __init__(self, folder: Path) -> None:
         configuration = {
@@ -142,7 +142,7 @@
 
 
 def test_a_set_up_received_during_the_flush_is_answered(tmp_path):
-    """It was taken, and its connection ended without an answer when the bytes had left."""
+    """It was accepted, and its connection ended without an answer when the bytes had been sent."""
 
     async def run() -> bytes:
         without_servers, loop = ProgramWithoutServers(tmp_path), asyncio.get_running_loop()
@@ -172,9 +172,9 @@
 
 @pytest.mark.parametrize("reads", [True, False], ids=["reads late", "never reads"])
 def test_unsent_answers_at_shutdown_reach_a_late_reader_complete(tmp_path, reads: bool):
-    """They were cut 0.3 s after the last call was answered, though nobody would have killed us for seconds.
+    """They were cut 0.3 s after the last call was answered, seconds before anybody would kill the process.
 
-    One who never reads keeps nobody: it ends by when somebody may kill it.
+    A peer that never reads delays nobody: the process ends by when somebody may kill it.
     """
     answers = isup.answer(ID, b"a" * 14_000) * 40
 
@@ -188,7 +188,7 @@
         peer.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         peer.settimeout(WAIT_S)
         peer.connect(("127.0.0.1", without_servers.port))
-        peer.sendall(TEST)  # who has asked nothing is ended for that
+        peer.sendall(TEST)  # or it would be ended for sending nothing
         while not any(stream.has_received_message for stream in program._callers.streams):
             await asyncio.sleep(0.01)
         stream = next(iter(program._callers.streams))
@@ -196,9 +196,8 @@
         stream.write(answers)
         program._terminate()
         await asyncio.sleep((LAME_DUCK_MS + 800) / 1000)
-        ended_early = (
-            running.done()
-        )  # the process would have left, and what the machine had not taken with it
+        # the process would have exited, and lost what the kernel had not taken
+        ended_early = running.done()
         async with asyncio.timeout(WAIT_S):
             received = await loop.run_in_executor(None, read_to_the_end, peer) if reads else answers
             await running
@@ -211,7 +210,7 @@
 
 
 def test_sigterm_while_extensions_start_opens_no_listener(tmp_path):
-    """It opened one after its end had begun, took connections there and answered none."""
+    """It opened one after the shutdown had started, accepted connections there and answered none."""
     was_listening: list[bool] = []
 
     class SlowExtension:
