--- a/canvasplank/network/caller_stream.py
+++ b/canvasplank/network/caller_stream.py
@@ -100,6 +100,10 @@
         """See ``Stream``."""
         self._owner.on_disconnected(self)
 
+    def on_first_call_message(self) -> None:
+        """A message other than a test was read here."""
+        self.carries_calls = True
+
     def send_release(self, call_id: str, cause: int) -> None:
         """Write the release of an established call, by its Q.850 cause."""
         self.unconfirmed.add(call_id, cause, self.scheduler.now_ms)
--- a/canvasplank/network/callers.py
+++ b/canvasplank/network/callers.py
@@ -146,7 +146,7 @@
     def on_message(self, stream: CallerStream, message: isup.Message) -> None:
         """See ``CallerStreamOwner``; a message type that no caller sends is a bad message."""
         if message.kind != isup.Kind.TEST and not stream.carries_calls:
-            stream.carries_calls = True
+            stream.on_first_call_message()
             self.releases.send_pending(stream)
         match message.kind:
             case isup.Kind.SET_UP if stream.writing_closed:
--- a/canvasplank/network/server_connections.py
+++ b/canvasplank/network/server_connections.py
@@ -110,8 +110,7 @@
         peer.streams.append(stream)
         self.exchange.counters.add("sockets.servers")
         # Releases first: a pending one for an earlier attempt would end the call's next.
-        pending, peer.pending_releases = peer.pending_releases, {}
-        for call_id, cause in pending.items():
+        for call_id, cause in peer.take_pending_releases():
             stream.send_release(call_id, cause)
         for waiting in stream.waiting.values():
             stream.send_set_up(waiting)
@@ -127,8 +126,7 @@
         if peer.current is stream:
             peer.current = None
         peer.resend_unconfirmed(stream)
-        interrupted, stream.open_set_ups = stream.open_set_ups, {}
-        for call_id, attempt in interrupted.items():
+        for call_id, attempt in stream.take_open_set_ups():
             if stream.ended_unreadably:
                 # Its answer may have come and not been readable: the call would be established for nobody.
                 peer.send_release(call_id, ReleaseCause.NORMAL_UNSPECIFIED)
@@ -144,8 +142,7 @@
         if peer.backoff.failures == 0:
             LOG.info("%s: no connection: %s", stream.label, reason)
         self.exchange.counters.add("sockets.servers_failed")
-        unsent, stream.waiting = stream.waiting, {}
-        for call_id, waiting in unsent.items():
+        for call_id, waiting in stream.take_waiting():
             self._end_attempt(peer, call_id, waiting.attempt, api.Outcome.NO_CONNECTION)
         self._reconnect_later(peer)
 
--- a/canvasplank/network/server_stream.py
+++ b/canvasplank/network/server_stream.py
@@ -71,6 +71,12 @@
         elif len(self.pending_releases) < MAX_PENDING_RELEASES:
             self.pending_releases[call_id] = cause
 
+    def take_pending_releases(self) -> list[tuple[str, int]]:
+        """Remove the releases that waited for a connection, and return their calls and causes."""
+        pending = list(self.pending_releases.items())
+        self.pending_releases.clear()
+        return pending
+
     def resend_unconfirmed(self, stream: ServerStream) -> None:
         """Send again what may never have been read on a connection that is no longer the current one."""
         since_ms = stream.last_received_ms - CONFIRMATION_WINDOW_MS
@@ -150,6 +156,18 @@
         self.unconfirmed.add(call_id, cause, self.scheduler.now_ms)
         self.write(sip.request("BYE", "call", call_id, 1, {"Reason": f"Q.850;cause={cause}"}))
 
+    def take_waiting(self) -> list[tuple[str, WaitingSetUp]]:
+        """Remove the set-ups that wait for it to come up, and return them by call."""
+        waiting = list(self.waiting.items())
+        self.waiting.clear()
+        return waiting
+
+    def take_open_set_ups(self) -> list[tuple[str, int]]:
+        """Remove the set-ups sent here and unanswered, and return their calls and attempt numbers."""
+        open_set_ups = list(self.open_set_ups.items())
+        self.open_set_ups.clear()
+        return open_set_ups
+
     def on_circuits_reported(self) -> None:
         """The circuits were reported here; where that is frequent, silence is detected soon.
 
