--- a/canvasplank/codecs/sse.py
+++ b/canvasplank/codecs/sse.py
@@ -1,4 +1,4 @@
-"""Server-sent events in an HTTP response: the notice board's stream."""
+"""Server-sent events in an HTTP response (the HTML standard's event stream): what service discovery sends."""
 
 from __future__ import annotations
 
@@ -6,24 +6,24 @@
 from collections.abc import Iterator, Mapping
 from dataclasses import dataclass
 
-from canvasplank.codecs.errors import MESSAGE_MOST, BadMessageError
+from canvasplank.codecs.errors import MAX_MESSAGE_BYTES, BadMessageError
 
-_EVENT_MOST = 16 * MESSAGE_MOST  # a whole list of servers is one event
-_STATUS_PARTS = 2
+_MAX_EVENT_BYTES = 16 * MAX_MESSAGE_BYTES  # the complete list of servers is one event
+_STATUS_FIELDS = 2
 _SECONDS = re.compile(r"[0-9]{1,9}", re.ASCII)
 _CHUNK_LENGTH = re.compile(rb"[0-9A-Fa-f]{1,8}")
 
 
 @dataclass(frozen=True, slots=True)
 class Event:
-    """One event."""
+    """One event: its id, and the lines of its data."""
 
     id: str
     data: str
 
 
 def request(path: str, host: str, last_id: int) -> bytes:
-    """Ask for all events after one."""
+    """The bytes of a request for all events after one."""
     return (
         f"GET {path} HTTP/1.1\r\nHost: {host}\r\nAccept: text/event-stream\r\n"
         f"Last-Event-ID: {last_id}\r\nConnection: close\r\n\r\n"
@@ -31,35 +31,36 @@
 
 
 class Parser:
-    """Takes the bytes of one response in any split and gives back whole events."""
+    """Takes the bytes of one response in any split and yields complete events."""
 
     def __init__(self) -> None:
-        self._raw = bytearray()  # as it came
-        self._text = bytearray()  # the body, freed of its chunks
-        self.retry_after_ms = 0.0  # a refusal asks to be left alone for so long
+        self._raw = bytearray()  # as received
+        self._text = bytearray()  # the body, without its chunks' heads
+        self.retry_after_ms = 0.0  # what a refusal has named; 0: nothing
         self._in_body = False
         self._chunked = False
         self._chunk_left = 0
-        self._id, self._data = "", []
+        self._id = ""
+        self._data: list[str] = []  # lines of the incomplete event
 
     @property
     def in_message(self) -> bool:
-        """Whether an event has begun and is not whole."""
+        """Whether an event has started and is incomplete."""
         return bool(self.buffered)
 
     @property
     def buffered(self) -> int:
-        """Bytes of an event that is not whole."""
+        """Bytes of the incomplete event."""
         return len(self._raw) + len(self._text) + sum(map(len, self._data))
 
     def clear(self) -> None:
-        """Forget it."""
+        """Discard the incomplete event."""
         self._raw.clear()
         self._text.clear()
         self._data = []
 
     def feed(self, data: bytes | memoryview) -> Iterator[Event]:
-        """Events completed by these bytes; comments are passed over."""
+        """Events completed by these bytes; comments are passed over.  Raises ``BadMessageError``."""
         self._raw += data
         if not self._in_body and not self._read_head():
             return
@@ -69,46 +70,53 @@
             self._text += self._raw
             self._raw.clear()
         yield from self._events()
-        if len(self._text) > _EVENT_MOST or sum(map(len, self._data)) + len(self._data) > _EVENT_MOST:
-            raise BadMessageError(f"event of over {_EVENT_MOST} bytes")
+        if (
+            len(self._text) > _MAX_EVENT_BYTES
+            or sum(map(len, self._data)) + len(self._data) > _MAX_EVENT_BYTES
+        ):
+            raise BadMessageError(f"event of over {_MAX_EVENT_BYTES} bytes")
 
     def _read_head(self) -> bool:
         end = self._raw.find(b"\r\n\r\n")
         if end < 0:
-            if len(self._raw) > MESSAGE_MOST:
-                raise BadMessageError(f"no end of the headers within {MESSAGE_MOST} bytes")
+            if len(self._raw) > MAX_MESSAGE_BYTES:
+                raise BadMessageError(f"no end of the headers within {MAX_MESSAGE_BYTES} bytes")
             return False
         status, *lines = self._raw[:end].decode("latin-1").split("\r\n")
         del self._raw[: end + 4]
-        parts = status.split(" ")
+        status_fields = status.split(" ")
         fields = (line.partition(":") for line in lines)
         headers = {name.strip().lower(): value.strip() for name, _, value in fields}
-        if len(parts) < _STATUS_PARTS or not parts[0].startswith("HTTP/1.") or parts[1] != "200":
-            self.retry_after_ms = _named_wait_ms(headers)
+        if (
+            len(status_fields) < _STATUS_FIELDS
+            or not status_fields[0].startswith("HTTP/1.")
+            or status_fields[1] != "200"
+        ):
+            self.retry_after_ms = _retry_after_ms(headers)
             raise BadMessageError(f"not a success: {status[:80]!r}")
         self._chunked = headers.get("transfer-encoding", "").lower() == "chunked"
         self._in_body = True
         return True
 
     def _unchunk(self) -> None:
-        """Move what is whole out of the chunks; a chunk's length line may itself be split."""
+        """Move complete chunks to the text (RFC 9112 7.1); a chunk's length line may itself be split."""
         while self._raw:
             if self._chunk_left:
-                part = self._raw[: self._chunk_left]
-                self._text += part
-                del self._raw[: len(part)]
-                self._chunk_left -= len(part)
+                piece = self._raw[: self._chunk_left]
+                self._text += piece
+                del self._raw[: len(piece)]
+                self._chunk_left -= len(piece)
                 continue
             end = self._raw.find(b"\r\n")
             if end < 0:
-                if len(self._raw) > MESSAGE_MOST:
+                if len(self._raw) > MAX_MESSAGE_BYTES:
                     raise BadMessageError("chunk without a length")
                 return
             line = bytes(self._raw[:end]).split(b";")[0].strip()
             del self._raw[: end + 2]
             if not line:  # the line end behind a chunk
                 continue
-            if not _CHUNK_LENGTH.fullmatch(line):  # guards against waiting for ever for less than nothing
+            if not _CHUNK_LENGTH.fullmatch(line):  # a negative length would never be reached
                 raise BadMessageError(f"chunk length {line[:20]!r} is not a number")
             self._chunk_left = int(line, 16)
 
@@ -127,15 +135,15 @@
                 self._data.append(value.removeprefix(" "))
 
 
-def _named_wait_ms(headers: Mapping[str, str]) -> float:
-    """RFC 9110's ``Retry-After``: seconds, or a date against the answer's own; 0: none that can be read."""
-    named = headers.get("retry-after", "")
-    if _SECONDS.fullmatch(named):
-        return float(named) * 1000
+def _retry_after_ms(headers: Mapping[str, str]) -> float:
+    """``Retry-After`` (RFC 9110 10.2.3): seconds, or a date against the response's own; 0: none readable."""
+    retry_after = headers.get("retry-after", "")
+    if _SECONDS.fullmatch(retry_after):
+        return float(retry_after) * 1000
     from email.utils import parsedate_to_datetime  # only here: costs every start what few refusals need
 
     try:
-        until, said = parsedate_to_datetime(named), parsedate_to_datetime(headers.get("date", ""))
-        return max(0.0, (until - said).total_seconds() * 1000)
+        retry_at, sent_at = parsedate_to_datetime(retry_after), parsedate_to_datetime(headers.get("date", ""))
+        return max(0.0, (retry_at - sent_at).total_seconds() * 1000)
     except (ValueError, TypeError, OverflowError):  # TypeError: one of them names its zone and the other not
         return 0.0
--- /dev/null
+++ b/canvasplank/network/connection_attempt.py
@@ -0,0 +1,69 @@
+"""An attempt to connect, with its deadline in the scheduler's timer queue."""
+
+from __future__ import annotations
+
+import asyncio
+import socket
+from collections.abc import Callable
+
+from canvasplank.config.addresses import parse_address
+from canvasplank.network.stream import Stream, read_remaining
+
+
+class ConnectionAttempt:
+    """One attempt to connect a stream; exactly one of ``stream.on_connected`` and ``on_failed`` follows."""
+
+    def __init__(
+        self, stream: Stream[object], address: str, timeout_ms: float, on_failed: Callable[[str], None]
+    ) -> None:
+        """Start to connect; ``on_failed`` is given the reason, for the log."""
+        self._stream = stream
+        self._address = address
+        self._timeout_ms = timeout_ms
+        self._on_failed = on_failed
+        self._scheduler = stream.scheduler
+        self._timer = self._scheduler.call_later(timeout_ms, self._on_timeout)
+        self._task: asyncio.Task[None] | None = asyncio.get_running_loop().create_task(self._run())
+
+    def cancel(self) -> None:
+        """Give it up; neither of the two follows."""
+        self._scheduler.timers.cancel(self._timer)
+        if self._task is not None:
+            self._task.cancel()
+            self._task = None
+
+    def _on_timeout(self) -> None:
+        self._fail(f"not up within {self._timeout_ms:.0f} ms")
+
+    def _fail(self, reason: str) -> None:
+        # A connection that came up at the last moment, before this task was resumed, has not failed.
+        if self._task is not None and self._stream.transport is None:
+            self.cancel()
+            self._on_failed(reason)
+
+    async def _run(self) -> None:
+        try:
+            await self._connect()
+        except (OSError, ValueError) as error:
+            self._scheduler.begin_iteration()
+            self._fail(str(error))
+        else:
+            self._scheduler.timers.cancel(self._timer)
+            self._task = None
+
+    async def _connect(self) -> None:
+        loop = asyncio.get_running_loop()
+        host, port = parse_address(self._address)
+        family = socket.AF_INET6 if ":" in host else socket.AF_INET
+        # With its protocol named: asyncio turns Nagle's algorithm off for no other.
+        new_socket = socket.socket(family, socket.SOCK_STREAM, socket.IPPROTO_TCP)
+        try:
+            new_socket.setblocking(False)
+            await loop.sock_connect(new_socket, (host, port))
+            await loop.create_connection(lambda: self._stream, sock=new_socket)
+        except ConnectionResetError:  # it came up, was written to and was reset before this task was resumed
+            read_remaining(self._stream, new_socket)
+            raise
+        finally:
+            if self._stream.transport is None:
+                new_socket.close()
--- /dev/null
+++ b/tests/test_race_conditions_callers.py
@@ -0,0 +1,223 @@
+"""Race conditions on connections from callers: each is forced, on real sockets."""
+
+from __future__ import annotations
+
+import asyncio
+import errno
+import socket
+from collections.abc import Callable
+from types import SimpleNamespace
+
+import pytest
+from exchange_replay import PROGRESS, Replay
+from race_conditions import (
+    ANSWERED,
+    ID,
+    RELEASE,
+    TEST,
+    WAIT_S,
+    CallerSide,
+    read_to_the_end,
+    run_coroutine,
+    set_up,
+)
+
+from canvasplank import interface as api
+from canvasplank.codecs import isup
+
+
+@pytest.fixture
+def replay(tmp_path):
+    replay = Replay(tmp_path)
+    yield replay
+    replay.stop()
+
+
+@pytest.mark.parametrize(
+    ("close", "crossing", "expected"),
+    [
+        pytest.param(CallerSide.idle, set_up(), b"", id="idle-set-up"),
+        pytest.param(CallerSide.idle, RELEASE, b"", id="idle-release"),
+        pytest.param(CallerSide.for_room, set_up(), b"", id="room-set-up"),
+        pytest.param(CallerSide.for_room, RELEASE, b"", id="room-release"),
+        pytest.param(
+            lambda caller_side: caller_side.callers.quiesce(),
+            RELEASE,
+            isup.release_confirmed(ID),
+            id="quiesce-release",
+        ),
+    ],
+)
+def test_data_that_crosses_our_close_is_not_reset(
+    close: Callable[[CallerSide], None], crossing: bytes, expected: bytes
+):
+    """The kernel reset a connection closed with bytes unread, and a release that lay there was lost.
+
+    A set-up is its caller's to send again on a new connection; a release is passed on.  While quiesced a
+    connection ends only once all is read: see the next but one for a set-up there.
+    """
+
+    async def run() -> tuple[bytes, CallerSide]:
+        caller_side, loop = CallerSide(), asyncio.get_running_loop()
+        caller_side.callers.listen("127.0.0.1", caller_side.port)
+        first, second = await caller_side.caller(), await caller_side.caller()
+        first.sendall(crossing)  # the loop has not run since: it lies in the machine, unread
+        close(caller_side)
+        async with asyncio.timeout(WAIT_S):
+            received = await loop.run_in_executor(None, read_to_the_end, first)
+        first.close(), second.close()
+        await asyncio.sleep(0.05)
+        caller_side.callers.stop_listening()
+        return received, caller_side
+
+    received, caller_side = run_coroutine(run())
+    assert received == expected
+    assert caller_side.exchange.open_calls == 0
+    assert caller_side.released == ([ID] if crossing == RELEASE else [])
+
+
+def test_an_answer_is_released_when_the_callers_connection_ends_in_the_same_iteration():
+    """It was written to nobody, and the call stayed established at its server until that ended it."""
+
+    async def run() -> CallerSide:
+        caller_side = CallerSide()
+        caller_side.decide = lambda event: [api.SetUp(ID, "a", 9000)] if isinstance(event, api.Call) else []
+        caller_side.callers.listen("127.0.0.1", caller_side.port)
+        peer = await caller_side.caller()
+        peer.sendall(set_up())
+        async with asyncio.timeout(WAIT_S):
+            await caller_side.set_up_was_read()
+        next(iter(caller_side.callers.streams)).abort_unreadable("it cannot be read")
+        caller_side.exchange.on_established("a", ID, 0, b"v=0 answer")
+        await asyncio.sleep(0.05)
+        peer.close()
+        caller_side.callers.stop_listening()
+        return caller_side
+
+    caller_side = run_coroutine(run())
+    assert caller_side.released == [ID]
+    assert (caller_side.exchange.open_calls, caller_side.exchange.established_calls) == (0, 0)
+
+
+@pytest.mark.parametrize("first", ["a test", "a set-up that is out"])
+def test_an_unread_set_up_on_a_quiesced_unused_connection_is_answered(first: str):
+    """It met the end of the connection within the iteration: who had written it half a second ago lost it.
+
+    So long after it no caller takes it for a crossing, and none sends it again.
+    """
+    second = "bb" * 8
+
+    def decide(event: api.Event) -> list[api.Action]:
+        match event:
+            case api.Call(id=call_id) if call_id == ID:
+                return [api.SetUp(ID, "a", 9000)]
+            case api.Call(id=call_id) | api.AttemptEnded(call_id=call_id):
+                return [api.Refuse(call_id, None)]
+        return []
+
+    async def run() -> bytes:
+        caller_side, loop = CallerSide(), asyncio.get_running_loop()
+        caller_side.decide = decide
+        caller_side.callers.listen("127.0.0.1", caller_side.port)
+        peer = await caller_side.caller()
+        async with asyncio.timeout(WAIT_S):
+            if first != "a test":
+                peer.sendall(set_up())
+                await caller_side.set_up_was_read()
+            peer.sendall(set_up(second))  # in the machine, unread, all the while until the next await
+            caller_side.scheduler.begin_iteration()
+            caller_side.callers.quiesce()
+            caller_side.exchange.on_attempt_ended("a", ID, 0, api.Outcome.FULL)
+            received = await loop.run_in_executor(None, read_to_the_end, peer)
+        peer.close()
+        caller_side.callers.stop_listening()
+        return received
+
+    received = run_coroutine(run())
+    assert [call_id.hex() for call_id in ANSWERED.findall(received)] == [ID, second][first == "a test" :]
+
+
+@pytest.mark.parametrize("established", [False, True], ids=["given up", "released"])
+def test_a_call_ended_on_another_connection_is_removed_from_its_own(established: bool):
+    """It retained the call for ever: a half-closed or quiesced connection was never ended."""
+
+    async def run() -> tuple[bytes, CallerSide]:
+        caller_side, loop = CallerSide(), asyncio.get_running_loop()
+        caller_side.decide = lambda event: [api.SetUp(ID, "a", 9000)] if isinstance(event, api.Call) else []
+        caller_side.callers.listen("127.0.0.1", caller_side.port)
+        first, second = await caller_side.caller(), await caller_side.caller()
+        first.sendall(set_up())
+        async with asyncio.timeout(WAIT_S):
+            await caller_side.set_up_was_read()
+            if established:
+                caller_side.exchange.on_established("a", ID, 0, b"v=0 answer")
+                caller_side.callers.quiesce()
+            else:
+                first.shutdown(socket.SHUT_WR)
+                await loop.run_in_executor(None, first.recv, 64)  # progress: its end of stream was read
+            second.sendall(RELEASE)
+            received = await loop.run_in_executor(None, read_to_the_end, first)
+        first.close(), second.close()
+        caller_side.callers.stop_listening()
+        return received, caller_side
+
+    received, caller_side = run_coroutine(run())
+    assert received == (isup.answer(ID, b"v=0 answer") if established else b"")
+    assert (caller_side.exchange.open_calls, caller_side.exchange.established_calls) == (0, 0)
+
+
+def test_a_closing_listener_accepts_those_queued_behind_a_broken_connection():
+    """accept(2) reports a broken connection's error: it was raised, and the shutdown never ended."""
+
+    async def run() -> bool:
+        caller_side = CallerSide()
+        caller_side.callers.listen("127.0.0.1", caller_side.port)
+        listener = caller_side.callers._listener
+        real_socket, errors = listener._socket, [OSError(errno.EPROTO, "broken"), ConnectionAbortedError()]
+
+        def accept() -> tuple[socket.socket, object]:
+            if errors:
+                raise errors.pop()
+            return real_socket.accept()
+
+        listener._socket = SimpleNamespace(accept=accept, fileno=real_socket.fileno, close=real_socket.close)
+        peer = socket.create_connection(("127.0.0.1", caller_side.port), timeout=WAIT_S)
+        caller_side.callers.stop_listening()
+        async with asyncio.timeout(WAIT_S):
+            while not caller_side.callers.streams:
+                await asyncio.sleep(0.005)
+        peer.close()
+        return real_socket.fileno() < 0
+
+    assert run_coroutine(run()), "it is closed"
+
+
+def test_a_flood_on_one_connection_gets_one_answer_each_and_others_are_served(replay):
+    """More set-ups than may be open, in one write, at a server that never comes up."""
+    ids = [f"{number + 1:016x}" for number in range(400)]
+    replay.step("known b never")
+    replay.start()
+    flood, other = replay.caller("flood").stream, replay.caller("other")
+    flood.settimeout(WAIT_S)
+    flood.sendall(b"".join(set_up(call_id, 1500) for call_id in ids))
+    other.stream.sendall(TEST)
+    other.gets("\\x00\\x0d\\x35<*>\\x01")
+    flood.shutdown(socket.SHUT_WR)
+    answered = [call_id.hex() for call_id in ANSWERED.findall(PROGRESS.sub(b"", read_to_the_end(flood)))]
+    assert sorted(answered) == ids
+
+
+def test_connections_whose_end_the_peer_ignores_are_bounded():
+    """Connections ended for room that stay half open are bounded, too."""
+
+    async def run() -> int:
+        caller_side = CallerSide(sockets=20)  # callers may hold 12, and one more in one go
+        caller_side.callers.listen("127.0.0.1", caller_side.port)
+        crowd = [await caller_side.caller() for _ in range(40)]
+        held = len(caller_side.callers.streams)
+        for peer in crowd:
+            peer.close()
+        caller_side.callers.stop_listening()
+        return held
+
+    assert run_coroutine(run()) <= 12 + 1
