--- a/canvasplank/exchange/exchange.py
+++ b/canvasplank/exchange/exchange.py
@@ -12,6 +12,7 @@
 from collections.abc import Hashable
 
 from canvasplank import interface as api
+from canvasplank.codecs.q850 import ReleaseCause
 from canvasplank.counters import Counters
 from canvasplank.exchange.attempts import Attempts
 from canvasplank.exchange.call_records import NO_DETAILS, CallRecord, FinalAnswer, RefusalDetails
@@ -23,9 +24,6 @@
 from canvasplank.runtime.scheduler import Scheduler
 
 LOG = logging.getLogger(__name__)
-NORMAL_CLEARING = 16  # Q.850: the cause of a call's ordinary end
-CUT_CAUSE = 41  # Q.850: temporary failure, the cause of a call that was cut
-UNWANTED_ANSWER_CAUSE = 31  # Q.850: normal, unspecified: nobody waits for this answer any more
 
 
 class Exchange:
@@ -154,7 +152,7 @@
             known = self._table.established.get(call_id)
             if known is None or known.established_server_id != server_id:
                 self.counters.add("sent.taken_back")
-                self._servers.release(server_id, call_id, UNWANTED_ANSWER_CAUSE)
+                self._servers.release(server_id, call_id, ReleaseCause.NORMAL_UNSPECIFIED)
             return
         self.scheduler.timers.cancel(in_flight.timer)
         call.unanswered = False
@@ -187,7 +185,7 @@
                 return  # the end of an attempt that was released there as unwanted
             self.counters.add("taken.ends")
             self._callers.release(call.origin, call_id, cause)
-            outcome = api.Outcome.ENDED if cause == NORMAL_CLEARING else api.Outcome.RESET
+            outcome = api.Outcome.ENDED if cause == ReleaseCause.NORMAL_CLEARING else api.Outcome.RESET
             self._end_established(call, outcome, report)
         elif not self._table.has_ended(call_id) and call_id not in self._table.open:
             # After a restart of this program the caller still counts on the call.
@@ -216,9 +214,9 @@
         """
         for call in self._table.established_at(server_id, started_before_ms):
             self.counters.add("sent.ends_for_servers")
-            self._callers.release(call.origin, call.id, CUT_CAUSE)
+            self._callers.release(call.origin, call.id, ReleaseCause.TEMPORARY_FAILURE)
             if notify_server:
-                self._servers.release(server_id, call.id, CUT_CAUSE)
+                self._servers.release(server_id, call.id, ReleaseCause.TEMPORARY_FAILURE)
             self._end_established(call, api.Outcome.RESET)
 
     # ------------------------------------------------------------------------------------ from discovery
