--- a/canvasplank/fleet/backend.py
+++ b/canvasplank/fleet/backend.py
@@ -6,7 +6,8 @@
 from typing import NamedTuple, Protocol
 
 from canvasplank.database.migrations import Schema
-from canvasplank.fleet.state import FleetState, LeaseRequest, LeaseResponse
+from canvasplank.fleet.lease_messages import LeaseRequest, LeaseResponse
+from canvasplank.fleet.state import FleetState
 
 Statements = Iterable[tuple[str, tuple]]  # statements with their parameters; what it yields may wait and look
 
--- a/canvasplank/fleet/failure_detector.py
+++ b/canvasplank/fleet/failure_detector.py
@@ -9,7 +9,7 @@
 from collections.abc import Iterable
 
 from canvasplank.fleet.lease_holder import Lease
-from canvasplank.fleet.state import Heartbeat
+from canvasplank.fleet.lease_messages import Heartbeat
 
 
 class FailureDetector:
--- a/canvasplank/fleet/lease_holder.py
+++ b/canvasplank/fleet/lease_holder.py
@@ -9,7 +9,8 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass
 
-from canvasplank.fleet.state import Allocation, Heartbeat, LeaseRequest, LeaseResponse
+from canvasplank.fleet.lease_messages import Heartbeat, LeaseRequest, LeaseResponse
+from canvasplank.fleet.state import Allocation
 
 NEVER = float("-inf")
 
--- a/canvasplank/fleet/lease_renewer.py
+++ b/canvasplank/fleet/lease_renewer.py
@@ -19,8 +19,8 @@
 from canvasplank.fleet.config import Fleet
 from canvasplank.fleet.failure_detector import FailureDetector
 from canvasplank.fleet.lease_holder import LeaseHolder
+from canvasplank.fleet.lease_messages import LeaseRequest, LeaseResponse
 from canvasplank.fleet.renewal_schedule import RenewalSchedule
-from canvasplank.fleet.state import LeaseRequest, LeaseResponse
 from canvasplank.fleet.task_leadership import TaskLeadership
 from canvasplank.runtime.structured_logging import log_event
 
--- a/canvasplank/fleet/lease_transaction.py
+++ b/canvasplank/fleet/lease_transaction.py
@@ -11,16 +11,8 @@
 import msgspec
 
 from canvasplank.fleet.fair_division import divide
-from canvasplank.fleet.state import (
-    Allocation,
-    FleetState,
-    Grant,
-    Heartbeat,
-    LeaseRequest,
-    LeaseResponse,
-    Member,
-    Task,
-)
+from canvasplank.fleet.lease_messages import Grant, Heartbeat, LeaseRequest, LeaseResponse
+from canvasplank.fleet.state import Allocation, FleetState, Member, Task
 
 
 def apply(rows: FleetState, request: LeaseRequest) -> tuple[FleetState, LeaseResponse]:
--- a/canvasplank/fleet/postgresql.py
+++ b/canvasplank/fleet/postgresql.py
@@ -7,7 +7,8 @@
 from canvasplank.database.postgresql import PostgresqlEngine
 from canvasplank.fleet import lease_transaction, schema
 from canvasplank.fleet.backend import FencingToken, StaleTermError, Statements
-from canvasplank.fleet.state import FleetState, LeaseRequest, LeaseResponse
+from canvasplank.fleet.lease_messages import LeaseRequest, LeaseResponse
+from canvasplank.fleet.state import FleetState
 
 # Guards the fleet against a proxy that stops within a transaction and would keep the lock for as long.
 IDLE_MS = 500
--- a/canvasplank/fleet/sqlite.py
+++ b/canvasplank/fleet/sqlite.py
@@ -7,7 +7,8 @@
 from canvasplank.database.sqlite import SqliteEngine, own, transaction
 from canvasplank.fleet import lease_transaction, schema
 from canvasplank.fleet.backend import FencingToken, StaleTermError, Statements
-from canvasplank.fleet.state import FleetState, LeaseRequest, LeaseResponse
+from canvasplank.fleet.lease_messages import LeaseRequest, LeaseResponse
+from canvasplank.fleet.state import FleetState
 
 
 class Sqlite(SqliteEngine):
--- a/canvasplank/fleet/task_leadership.py
+++ b/canvasplank/fleet/task_leadership.py
@@ -11,7 +11,8 @@
 from typing import Any
 
 from canvasplank.fleet.backend import FencingToken
-from canvasplank.fleet.state import LeaseResponse, Task
+from canvasplank.fleet.lease_messages import LeaseResponse
+from canvasplank.fleet.state import Task
 
 BACKOFF_MS, MAX_BACKOFF_MS = 500.0, 60_000.0  # before somebody takes what failed, doubling by failure
 
--- a/tests/test_budgets.py
+++ b/tests/test_budgets.py
@@ -17,8 +17,9 @@
 from canvasplank.fleet.failure_detector import FailureDetector
 from canvasplank.fleet.fair_division import divide
 from canvasplank.fleet.lease_holder import BudgetLimits, Lease, LeaseHolder
+from canvasplank.fleet.lease_messages import Grant
 from canvasplank.fleet.renewal_schedule import RenewalSchedule
-from canvasplank.fleet.state import FleetState, Grant, Member
+from canvasplank.fleet.state import FleetState, Member
 from verification.leases import WHOLE, Bounds, Explorer
 from verification.spending import Trace, most_shared, worst_window
 
--- a/tests/test_project_rules.py
+++ b/tests/test_project_rules.py
@@ -114,6 +114,7 @@
     "database.sqlite",
     "database.postgresql",
     "fleet.state",
+    "fleet.lease_messages",
     "fleet.fair_division",
     "fleet.lease_transaction",
     "fleet.lease_holder",
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -28,16 +28,9 @@
 from canvasplank.endpoint_cache.bootstrap import Roster
 from canvasplank.endpoint_cache.cached_list import KeptList, KeptServer
 from canvasplank.fleet.backend import FencingToken
+from canvasplank.fleet.lease_messages import Heartbeat, LeaseRequest, LeaseResponse
 from canvasplank.fleet.sqlite import Sqlite as FleetSqlite
-from canvasplank.fleet.state import (
-    Allocation,
-    FleetState,
-    Heartbeat,
-    LeaseRequest,
-    LeaseResponse,
-    Member,
-    Task,
-)
+from canvasplank.fleet.state import Allocation, FleetState, Member, Task
 from canvasplank.store.backend import Count
 from canvasplank.store.records import ANSWERED, OVER, Outcome
 from canvasplank.store.sqlite import Sqlite as StoreSqlite
--- a/verification/leases.py
+++ b/verification/leases.py
@@ -23,7 +23,8 @@
 from canvasplank.fleet import lease_transaction
 from canvasplank.fleet.failure_detector import FailureDetector
 from canvasplank.fleet.lease_holder import NEVER, BudgetLimits, Lease, LeaseHolder
-from canvasplank.fleet.state import FleetState, LeaseRequest, LeaseResponse
+from canvasplank.fleet.lease_messages import LeaseRequest, LeaseResponse
+from canvasplank.fleet.state import FleetState
 
 BUDGET = "b"
 WHOLE = 6
