--- a/canvasplank/fleet/budget_limiter.py
+++ b/canvasplank/fleet/budget_limiter.py
@@ -1,46 +1,58 @@
-"""Spends a proxy's allowances: a bucket for each budget, and the demand that is reported for it.
+"""Limits a proxy's set-ups to its allowances: a token bucket and a demand estimate for each budget.
 
-No I/O and no clock.  Rates are thousandths of a unit a second; only here, times milliseconds, they become
-tokens with fractions, and nowhere in what is granted.
+No I/O and no clock.  Allowances are whole thousandths of a unit a second.  Tokens are thousandths of a unit a
+second times milliseconds, so ``UNIT`` tokens are one unit; only tokens have fractions, never a grant.
 """
 
 from __future__ import annotations
 
+import enum
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass
-from typing import Literal
 
 from canvasplank.fleet.lease_holder import LeaseHolder
 
-UNIT = 1_000_000.0  # a set-up, in thousandths a second times milliseconds
-Kind = Literal["set-ups", "member", "repeats", "server"]
-BAND_LOW, BAND_HIGH = 0.7, 1.1  # a demand within this of what was reported is no news
-HEADROOM = 1.25  # more than was used is asked for, so that a share is there before it is needed
-SATURATED_FACTOR = 2.0  # times the allowance is asked for where it did not do
+UNIT = 1_000_000.0  # tokens that a set-up takes
+# Chosen so that reports, and with them the shares of all proxies, change seldom (docs/fleet.md, dead band).
+BAND_LOW, BAND_HIGH = 0.7, 1.1  # of the last report: a demand within the band is not reported anew
+HEADROOM = 1.25  # times the use is reported, so that a share is there before it is needed
+SATURATED_FACTOR = 2.0  # times the allowance is reported at least, where a set-up had to wait
+
+
+class BudgetKind(enum.StrEnum):
+    """Which set-ups a budget covers; the values are those of the configuration file."""
+
+    SET_UPS = "set-ups"  # all
+    MEMBER = "member"  # the first attempts of one member's calls
+    RETRIES = "repeats"  # second and further attempts
+    SERVER = "server"  # all to one call server
 
 
 @dataclass(frozen=True, slots=True)
 class BudgetScope:
-    """What a budget is spent on."""
+    """The set-ups that a budget covers."""
 
-    kind: Kind
-    subject: str = ""  # the member, or the server
+    kind: BudgetKind
+    subject: str = ""  # the member's name, or the server's instanceId
 
     def covers(self, tenant: str | None, attempt: int, server_id: str) -> bool:
-        """Whether a set-up needs a unit of it; attempts of a call count from 0."""
+        """Whether a set-up takes a unit of it; attempts of a call count from 0."""
         match self.kind:
-            case "set-ups":
+            case BudgetKind.SET_UPS:
                 return True
-            case "member":
+            case BudgetKind.MEMBER:
                 return attempt == 0 and tenant == self.subject
-            case "repeats":
+            case BudgetKind.RETRIES:
                 return attempt > 0
-            case _:
+            case BudgetKind.SERVER:
                 return server_id == self.subject
 
 
 class TokenBucket:
-    """Fills at an allowance that ends with a lease, holds ``burst_ms`` of it or a unit, and starts empty."""
+    """A token bucket that fills at an allowance and starts empty.
+
+    It holds the tokens of ``burst_ms`` at that allowance, or those of one unit if that is more.
+    """
 
     def __init__(self, burst_ms: float, now_ms: float) -> None:
         self._burst_ms = burst_ms
@@ -48,9 +60,10 @@
         self._last_ms = now_ms
 
     def settle(self, now_ms: float, unleased_quota: int, share: int, until_ms: float) -> int:
-        """Bring it up to now, under an allowance that has not changed since; gives the allowance now.
+        """Add the tokens since the last call; gives the allowance now, in thousandths a second.
 
-        Guards a pause of ours (a stopped process) against what was leased running on past its end.
+        ``unleased_quota`` and ``share`` must not have changed since the last call.  The share adds tokens
+        only up to ``until_ms``: a process that was stopped past the end of its lease saves up none after it.
         """
         if now_ms > self._last_ms:
             leased_ms = max(0.0, min(now_ms, until_ms) - self._last_ms)
@@ -61,19 +74,19 @@
         return allowance
 
     def wait_ms(self, allowance: int) -> float:
-        """How long until a unit is there, at this allowance."""
+        """Milliseconds until it holds a unit, at this allowance; infinite without any."""
         missing = UNIT - self._tokens
         if missing <= 0:
             return 0.0
         return missing / allowance if allowance else float("inf")
 
     def spend(self) -> None:
-        """Take a unit."""
+        """Remove a unit's tokens."""
         self._tokens -= UNIT
 
 
 class DemandEstimator:
-    """What is reported of the use, so that it changes seldom: a report outside the band, or none."""
+    """Estimates the demand on one budget from its use; the estimate changes only outside a dead band."""
 
     def __init__(self) -> None:
         self._spent = 0
@@ -82,15 +95,15 @@
         self._reported: int | None = None
 
     def spent(self) -> None:
-        """A unit was used."""
+        """Count a unit that was spent."""
         self._spent += 1
 
     def saturated(self) -> None:
-        """A unit was wanted and not there."""
+        """Note that a set-up had to wait for a unit."""
         self._saturated = True
 
     def report(self, now_ms: float, allowance: int) -> int | None:
-        """What to report now, from the use since the last time; None: nothing is known yet."""
+        """The demand in thousandths a second, from the use since the last report; None: not known yet."""
         since_ms, self._since_ms = self._since_ms, now_ms
         spent, self._spent = self._spent, 0
         saturated, self._saturated = self._saturated, False
@@ -99,15 +112,15 @@
         demand = int(HEADROOM * spent * UNIT / (now_ms - since_ms))
         if saturated:
             demand = max(demand, int(SATURATED_FACTOR * allowance))
-        old = self._reported
-        if old is None or not BAND_LOW * old <= demand <= BAND_HIGH * old:
-            # Down by halves, up at once: a lull between two calls is no end of the demand.
-            self._reported = demand if old is None or demand > old else (demand + old) // 2
+        previous = self._reported
+        if previous is None or not BAND_LOW * previous <= demand <= BAND_HIGH * previous:
+            # Up at once, down by halves: a lull between two calls is not the end of the demand.
+            self._reported = demand if previous is None or demand > previous else (demand + previous) // 2
         return self._reported
 
 
 class BudgetLimiter:
-    """All budgets of one proxy: whether a set-up may go, and that it went."""
+    """Admits a proxy's set-ups by all of its budgets."""
 
     def __init__(
         self, holder: LeaseHolder, scopes: Mapping[str, BudgetScope], burst_ms: float, now_ms: float
@@ -117,16 +130,16 @@
         self._demands = {budget: DemandEstimator() for budget in scopes}
 
     def covering(self, tenant: str | None, attempt: int, server_id: str) -> list[str]:
-        """The budgets that a set-up needs a unit of, each."""
+        """The budgets of which a set-up takes a unit each."""
         return [budget for budget, scope in self._scopes.items() if scope.covers(tenant, attempt, server_id)]
 
     def settle(self, now_ms: float) -> None:
-        """Bring all buckets up to now; must be called before an allowance changes."""
+        """Fill all buckets up to now; must be called before an allowance changes."""
         for budget in self._buckets:
             self._settle(budget, now_ms)
 
     def wait_ms(self, budgets: Iterable[str], now_ms: float) -> float:
-        """How long until there is a unit of each."""
+        """Milliseconds until each of these budgets has a unit; a wait counts as demand."""
         longest_ms = 0.0
         for budget in budgets:
             wait_ms = self._buckets[budget].wait_ms(self._settle(budget, now_ms))
@@ -136,7 +149,7 @@
         return longest_ms
 
     def spend(self, budgets: Iterable[str], now_ms: float) -> bool:
-        """Take a unit of each, or none; False: there is not one of each."""
+        """Take a unit of each, or of none; False: at least one budget has no unit."""
         budgets = list(budgets)
         if self.wait_ms(budgets, now_ms) > 0:
             return False
@@ -146,7 +159,7 @@
         return True
 
     def demands(self, now_ms: float) -> dict[str, int | None]:
-        """What to report."""
+        """The demand to report for each budget; see ``DemandEstimator.report``."""
         return {
             budget: demand.report(now_ms, self._holder.allowance(budget, now_ms))
             for budget, demand in self._demands.items()
--- a/canvasplank/fleet/config.py
+++ b/canvasplank/fleet/config.py
@@ -1,4 +1,4 @@
-"""The budgets and the store behind them, from a file of its own (TOML) named by ``CANVASPLANK_FLEET``."""
+"""The configuration of budgets and of their store: a TOML file that ``CANVASPLANK_FLEET`` names."""
 
 from __future__ import annotations
 
@@ -9,49 +9,49 @@
 from canvasplank.config.extension_file import load_extension_settings
 from canvasplank.database.location import check_where
 from canvasplank.fleet.backend import Backend
-from canvasplank.fleet.budget_limiter import BudgetScope, Kind
+from canvasplank.fleet.budget_limiter import BudgetKind, BudgetScope
 from canvasplank.fleet.lease_holder import BudgetLimits, Lease
 
 Milliseconds = Annotated[float, msgspec.Meta(gt=0, le=600_000)]
-THOUSANDTHS = 1000
+THOUSANDTHS = 1000  # of a unit, in which rates are divided and leased
 
 
 class Budget(msgspec.Struct, forbid_unknown_fields=True):
-    """One rate that the whole fleet may use together."""
+    """A rate, in units a second, that all proxies may use together."""
 
     name: Annotated[str, msgspec.Meta(min_length=1, max_length=64)]
-    kind: Kind
+    kind: BudgetKind
     total_per_s: Annotated[float, msgspec.Meta(gt=0, le=1_000_000)] = msgspec.field(name="whole_per_s")
-    subject: str = msgspec.field(name="of", default="")  # kind member: which; kind server: its instanceId
-    # Of the total, for proxies without a lease.
+    subject: str = msgspec.field(name="of", default="")  # the member's name, or the server's instanceId
+    # Of the total, reserved for proxies without a lease.
     reserve_fraction: Annotated[float, msgspec.Meta(ge=0, le=1)] = msgspec.field(
         name="kept_back", default=0.1
     )
 
 
 class Fleet(msgspec.Struct, forbid_unknown_fields=True):
-    """The fleet's coordination."""
+    """The configuration of the fleet's coordination."""
 
     backend: Literal["sqlite", "postgresql"]
-    # Processes that may run at once.
+    # Processes that may run at once, those that hang included.
     max_members: Annotated[int, msgspec.Meta(ge=1, le=10_000)] = msgspec.field(name="proxies_most")
     budget: list[Budget]
     path: str = ""  # sqlite: the file
     dsn: str = ""  # postgresql: postgresql://user@host:port/database; the password comes from PGPASSWORD
     lease_ms: Milliseconds = 3_000.0
     renew_ms: Milliseconds = 1_000.0
-    request_ms: Milliseconds = 1_000.0  # a request that takes longer is given up
-    margin_ms: Milliseconds = 100.0
-    drift: Annotated[float, msgspec.Meta(ge=0, le=0.1)] = 0.001
-    burst_ms: Milliseconds = 250.0
-    trace: bool = False  # an event for each unit spent: for experiments
+    request_ms: Milliseconds = 1_000.0  # a request to the store is given up after this time
+    margin_ms: Milliseconds = 100.0  # see ``Lease``
+    drift: Annotated[float, msgspec.Meta(ge=0, le=0.1)] = 0.001  # see ``Lease``
+    burst_ms: Milliseconds = 250.0  # the tokens of so long an allowance may be saved up
+    trace: bool = False  # log an event for each unit spent, for experiments
 
     def lease(self) -> Lease:
-        """How long a share may be used."""
+        """The lease of a share, as configured."""
         return Lease(self.lease_ms, self.margin_ms, self.drift)
 
     def budget_limits(self) -> dict[str, BudgetLimits]:
-        """The budgets, in thousandths."""
+        """Each budget's limits by its name, in thousandths of a unit a second."""
         return {
             each.name: BudgetLimits(
                 int(each.total_per_s * THOUSANDTHS),
@@ -62,11 +62,11 @@
         }
 
     def scopes(self) -> dict[str, BudgetScope]:
-        """What each is spent on."""
+        """The set-ups that each budget covers, by its name."""
         return {each.name: BudgetScope(each.kind, each.subject) for each in self.budget}
 
     def create_backend(self) -> Backend:
-        """The backend, not yet opened.  Only the driver that is configured is imported."""
+        """The configured backend, not yet opened; the other one's driver is not imported."""
         if self.backend == "sqlite":
             from canvasplank.fleet.sqlite import Sqlite
 
@@ -77,7 +77,7 @@
 
 
 def load_fleet(path: str) -> Fleet:
-    """Read the file."""
+    """Read and check the file; raises ``ConfigurationError`` with one line where it cannot be used."""
     return load_extension_settings(path, "fleet", Fleet, _check)
 
 
@@ -88,13 +88,15 @@
     if not fleet.budget:
         raise ValueError("no budget is named")
     for each in fleet.budget:
-        if bool(each.subject) != (each.kind in ("member", "server")):
+        if bool(each.subject) != (each.kind in (BudgetKind.MEMBER, BudgetKind.SERVER)):
             raise ValueError(f"budget {each.name}: kind {each.kind} and of {each.subject!r} do not fit")
         if each.total_per_s < fleet.max_members:
             raise ValueError(
                 f"budget {each.name}: a whole of {each.total_per_s:g} is less than one unit a "
                 f"second for each of {fleet.max_members} proxies"
             )
-    for what in ([each.name for each in fleet.budget], [(each.kind, each.subject) for each in fleet.budget]):
-        if len(set(what)) < len(what):
+    names = [each.name for each in fleet.budget]
+    scopes = [(each.kind, each.subject) for each in fleet.budget]
+    for keys in (names, scopes):
+        if len(set(keys)) < len(keys):
             raise ValueError("a budget is named twice")
