--- a/tests/test_fleet_store.py
+++ b/tests/test_fleet_store.py
@@ -128,7 +128,8 @@
 def test_an_agent_has_its_part_of_what_is_kept_back_until_the_store_is_there_and_its_share_then(tmp_path):
     async def run():
         path = tmp_path / "not yet" / "fleet.db"
-        agent = LeaseRenewer(fleet(backend="sqlite", path=str(path)), "a", 1, Counters())
+        counters = Counters()
+        agent = LeaseRenewer(fleet(backend="sqlite", path=str(path)), "a", 1, counters)
         agent.start()
         await asyncio.sleep(0.3)
         now_ms = agent._clock()
@@ -140,7 +141,7 @@
             while (wait_ms := agent.spend(None, 0, "s", True)) > 0:
                 await asyncio.sleep(wait_ms / 1000)
         agent.export_metrics()
-        assert agent._counters["fleet.members"] == 1 and agent._counters["fleet.spent"] == 1
+        assert counters["fleet.members"] == 1 and counters["fleet.spent"] == 1
         await agent.close(1.0)
         assert agent.holder.share("all", agent._clock()) == 0
         look = Sqlite(str(path))
--- a/tests/test_project_rules.py
+++ b/tests/test_project_rules.py
@@ -175,6 +175,7 @@
     "fleet.postgresql",
     "fleet.config",
     "fleet.task_leadership",
+    "fleet.renewal_reporter",
     "fleet.lease_renewer",
     "fleet.extension",
     "cold_start.poll_backoff",
