--- a/canvasplank/fleet/lease_messages.py
+++ b/canvasplank/fleet/lease_messages.py
@@ -1,4 +1,4 @@
-"""What a proxy and the store say to each other."""
+"""The messages of the lease protocol between a process and the store."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class Heartbeat(msgspec.Struct, frozen=True, order=True):
-    """That a row was there with this number, and how long its lease runs."""
+    """A member's newest sequence number as one transaction saw it, and the duration of its leases."""
 
     incarnation: int
     seq: int
@@ -18,37 +18,37 @@
 
 
 class LeaseRequest(msgspec.Struct, frozen=True):
-    """What a proxy asks of the store; ``incarnation`` is None for one that has no row."""
+    """A request to join, renew or leave."""
 
     name: str
-    incarnation: int | None
-    seq: int
+    incarnation: int | None  # None: it is not a member, and joins
+    seq: int  # grows with each request of a process
     max_members: int
     lease_ms: float
-    in_use: Mapping[str, Allocation]  # ``held``: what it uses from now on at most
-    expired: tuple[Heartbeat, ...] = ()  # whom it has not heard of for a lease
+    in_use: Mapping[str, Allocation]  # by budget; ``held``: the largest share that it uses from now on
+    expired: tuple[Heartbeat, ...] = ()  # members whose lease has expired, as it last saw them
     leaving: bool = False
-    capabilities: tuple[str, ...] = ()  # tasks that it would do
-    ready: Mapping[str, int] = {}  # those that it would take over, by failures it knows of
-    given_up: tuple[str, ...] = ()  # tasks that it owned and failed at
-    done: tuple[str, ...] = ()  # tasks that it owns and did well at since the last request
-    sees_discovery: bool = False  # the notice board tells it things
+    capabilities: tuple[str, ...] = ()  # tasks that it can own
+    ready: Mapping[str, int] = {}  # tasks that it would own now, with the failures that it knows of
+    given_up: tuple[str, ...] = ()  # tasks that it owned and that failed here
+    done: tuple[str, ...] = ()  # tasks that it owns and that succeeded since the last request
+    sees_discovery: bool = False  # service discovery sends it events
 
 
 class Grant(msgspec.Struct, frozen=True):
-    """What a proxy may use of a budget, and what it should use."""
+    """The share of a budget that a member may use, and the share that it should come to have."""
 
     share: int
-    target: int  # below the share: let go of the rest
+    target: int  # where it is below the share, the member releases the difference
 
 
 class LeaseResponse(msgspec.Struct, frozen=True):
-    """What a transaction came to."""
-
-    incarnation: int | None  # None: there is no row for it (any more)
-    seq: int
-    grants: Mapping[str, Grant] = {}
-    heartbeats: tuple[Heartbeat, ...] = ()  # all rows there are now
-    reason: str = ""  # where there is no row, why
-    tasks: Mapping[str, Task] = {}  # all there are
-    members_seeing_discovery: int = 0  # how many of the others the notice board tells things
+    """The result of a transaction."""
+
+    incarnation: int | None  # None: it is not a member, or no longer
+    seq: int  # the request's
+    grants: Mapping[str, Grant] = {}  # by budget
+    heartbeats: tuple[Heartbeat, ...] = ()  # of all members
+    reason: str = ""  # why it is not a member
+    tasks: Mapping[str, Task] = {}  # all tasks, by name
+    members_seeing_discovery: int = 0  # how many other members service discovery sends events to
--- a/canvasplank/fleet/postgresql.py
+++ b/canvasplank/fleet/postgresql.py
@@ -1,4 +1,4 @@
-"""The fleet's rows in PostgreSQL, for proxies on several machines."""
+"""The fleet's state in PostgreSQL, for processes on several machines."""
 
 from __future__ import annotations
 
@@ -6,16 +6,17 @@
 
 from canvasplank.database.postgresql import PostgresqlEngine
 from canvasplank.fleet import lease_transaction, schema
-from canvasplank.fleet.backend import FencingToken, StaleTermError, Statements
+from canvasplank.fleet.backend import FencingToken, Row, StaleTermError, Statements
 from canvasplank.fleet.lease_messages import LeaseRequest, LeaseResponse
 from canvasplank.fleet.state import FleetState
 
-# Guards the fleet against a proxy that stops within a transaction and would keep the lock for as long.
+# PostgreSQL ends a session that is idle in a transaction for so long: a proxy that is stopped within one
+# would otherwise hold the fleet's lock until it goes on.
 IDLE_MS = 500
 
 
 class Postgresql(PostgresqlEngine):
-    """See ``Backend``; one connection, since one request is out at a time."""
+    """See ``Backend``; one connection, since a process has one request in flight at a time."""
 
     def __init__(self, dsn: str, timeout_s: float) -> None:
         limits = {
@@ -23,21 +24,18 @@
             "statement_timeout": str(int(timeout_s * 1000)),
         }
         super().__init__(dsn, timeout_s, schema.SCHEMA, limits)
-        self._reader = schema.Reader()
+        self._reader = schema.StateReader()
 
     async def transact(self, request: LeaseRequest) -> LeaseResponse:
         """See ``Backend``."""
 
         async def work(connection: asyncpg.Connection) -> LeaseResponse:
             async with connection.transaction():
-                number = await connection.fetchval(schema.LOCK)
-                before = self._reader.rows(
-                    number, await connection.fetch(schema.MEMBERS), await connection.fetch(schema.TASKS)
-                )
-                after, answer = lease_transaction.apply(before, request)
-                for statement, values in schema.changes(before, after):
-                    await connection.execute(statement, *values)
-            return answer
+                before = await self._read(connection, schema.LOCK_STATE)
+                after, response = lease_transaction.apply(before, request)
+                for sql, parameters in schema.changes(before, after):
+                    await connection.execute(sql, *parameters)
+            return response
 
         return await self.do(work)
 
@@ -48,27 +46,29 @@
             async with connection.transaction():
                 if await connection.execute(schema.FENCE, *token) != "UPDATE 1":
                     raise StaleTermError(token)
-                for statement, values in statements:
-                    await connection.execute(statement, *values)
+                for sql, parameters in statements:
+                    await connection.execute(sql, *parameters)
 
         await self.do(work)
 
-    async def read(self, statement: str, values: tuple = ()) -> list[tuple]:
+    async def read(self, sql: str, parameters: tuple[object, ...] = ()) -> list[Row]:
         """See ``Backend``."""
-        return [tuple(row) for row in await self.do(lambda c: c.fetch(statement, *values))]
+        return [tuple(row) for row in await self.do(lambda connection: connection.fetch(sql, *parameters))]
 
     async def read_state(self) -> FleetState:
         """See ``Backend``."""
-
-        async def work(connection: asyncpg.Connection) -> FleetState:
-            number = await connection.fetchval(schema.LOCK.removesuffix(" FOR UPDATE"))
-            return self._reader.rows(
-                number, await connection.fetch(schema.MEMBERS), await connection.fetch(schema.TASKS)
-            )
-
-        return await self.do(work)
+        unlocked = schema.LOCK_STATE.removesuffix(" FOR UPDATE")
+        return await self.do(lambda connection: self._read(connection, unlocked))
 
     async def remove_member(self, incarnation: int) -> bool:
         """See ``Backend``."""
-        done = await self.do(lambda connection: connection.execute(schema.DELETE, incarnation))
-        return done != "DELETE 0"
+        status: str = await self.do(lambda connection: connection.execute(schema.DELETE_MEMBER, incarnation))
+        return status != "DELETE 0"
+
+    async def _read(self, connection: asyncpg.Connection, select_next_incarnation: str) -> FleetState:
+        next_incarnation = await connection.fetchval(select_next_incarnation)
+        return self._reader.read(
+            next_incarnation,
+            await connection.fetch(schema.SELECT_MEMBERS),
+            await connection.fetch(schema.SELECT_TASKS),
+        )
--- a/canvasplank/fleet/schema.py
+++ b/canvasplank/fleet/schema.py
@@ -1,18 +1,23 @@
-"""The fleet's tables and statements, and rows from and to them (see ``engine.migrations`` for the SQL)."""
+"""The fleet's tables and statements, and the mapping of ``FleetState`` from and to them.
+
+The SQL is that of both engines: see ``database.migrations``.
+"""
 
 from __future__ import annotations
 
 import logging
 from collections.abc import Iterable, Iterator
-from typing import Any
+from typing import NamedTuple
 
 import msgspec
 
 from canvasplank.database.migrations import Schema
-from canvasplank.fleet.state import FORM, Allocation, FleetState, Member, Task
+from canvasplank.fleet.state import Allocation, FleetState, Member, Task
 
 LOG = logging.getLogger(__name__)
 
+CONTENT_FORM = 1  # of ``fleet_member.content``; a member in another form is left unchanged
+
 SCHEMA = Schema(
     "fleet_schema_version",
     7_201_311,
@@ -29,33 +34,33 @@
         ),
     ),
 )
-# Everybody locks this row first: one transaction at a time.
-LOCK = "SELECT next_incarnation FROM fleet_state WHERE id = 1 FOR UPDATE"
-MEMBERS = "SELECT incarnation, name, seq, form, content FROM fleet_member ORDER BY incarnation"
-TASKS = "SELECT task, term, owner, failures, failed_by FROM fleet_task ORDER BY task"
-SET_NEXT = "UPDATE fleet_state SET next_incarnation = CAST($1 AS bigint) WHERE id = 1"
-DELETE = "DELETE FROM fleet_member WHERE incarnation = CAST($1 AS bigint)"
-UPSERT = (
+# Each transaction locks this row first, so that there is one at a time.
+LOCK_STATE = "SELECT next_incarnation FROM fleet_state WHERE id = 1 FOR UPDATE"
+SELECT_MEMBERS = "SELECT incarnation, name, seq, form, content FROM fleet_member ORDER BY incarnation"
+SELECT_TASKS = "SELECT task, term, owner, failures, failed_by FROM fleet_task ORDER BY task"
+UPDATE_NEXT_INCARNATION = "UPDATE fleet_state SET next_incarnation = CAST($1 AS bigint) WHERE id = 1"
+DELETE_MEMBER = "DELETE FROM fleet_member WHERE incarnation = CAST($1 AS bigint)"
+UPSERT_MEMBER = (
     "INSERT INTO fleet_member (incarnation, name, seq, form, content) VALUES (CAST($1 AS bigint), "
     "CAST($2 AS text), CAST($3 AS bigint), CAST($4 AS integer), CAST($5 AS text)) "
     "ON CONFLICT (incarnation) DO UPDATE SET seq = excluded.seq, content = excluded.content"
 )
-SET_TASK = (
+UPSERT_TASK = (
     "INSERT INTO fleet_task (task, term, owner, failures, failed_by, acts) VALUES (CAST($1 AS text), "
     "CAST($2 AS bigint), CAST($3 AS bigint), CAST($4 AS integer), CAST($5 AS bigint), 0) "
     "ON CONFLICT (task) DO UPDATE SET term = excluded.term, owner = excluded.owner, "
     "failures = excluded.failures, failed_by = excluded.failed_by"
 )
-# The first statement of every effect: it writes, so that the task's row stays locked until the commit, and it
-# finds nothing where the term is over.
+# The first statement of each effect.  It writes, so that the task's row stays locked until the commit; it
+# updates no row where the token's term has ended.
 FENCE = (
     "UPDATE fleet_task SET acts = acts + 1 WHERE task = CAST($1 AS text) AND term = CAST($2 AS bigint) "
     "AND owner = CAST($3 AS bigint)"
 )
 
 
-class Content(msgspec.Struct, frozen=True):
-    """What a row holds beside its key, as JSON: a newer version may say more, and this one reads on."""
+class MemberContent(msgspec.Struct, frozen=True):
+    """The column ``fleet_member.content``, as JSON.  Unknown keys, of a newer version, are ignored."""
 
     max_members: int = msgspec.field(name="most")
     lease_ms: float
@@ -64,26 +69,37 @@
     sees_discovery: bool = msgspec.field(name="hears", default=False)
 
 
-class Reader:
-    """Reads rows; tells once of each that this version cannot read, which is left alone."""
+class Statement(NamedTuple):
+    """An SQL statement with numbered parameters, and their values."""
+
+    sql: str
+    parameters: tuple[object, ...] = ()
+
+
+MemberRow = tuple[int, str, int, int, str]  # the columns of SELECT_MEMBERS
+TaskRow = tuple[str, int, int | None, int, int | None]  # the columns of SELECT_TASKS
+
+
+class StateReader:
+    """Decodes the fleet's state; logs once each member that this version cannot read."""
 
     def __init__(self) -> None:
-        self._told: set[int] = set()
+        self._logged_unreadable: set[int] = set()
 
-    def rows(
-        self, next_incarnation: int, found: Iterable[Iterable[Any]], tasks: Iterable[Iterable[Any]]
+    def read(
+        self, next_incarnation: int, member_rows: Iterable[MemberRow], task_rows: Iterable[TaskRow]
     ) -> FleetState:
-        """The rows of one transaction."""
+        """The state from the rows that one transaction read."""
         members: dict[int, Member] = {}
         unreadable: list[int] = []
-        for incarnation, name, seq, form, text in found:
+        for incarnation, name, seq, form, text in member_rows:
             try:
-                if form != FORM:
+                if form != CONTENT_FORM:
                     raise msgspec.ValidationError(f"form {form}")
-                content = msgspec.json.decode(text, type=Content)
+                content = msgspec.json.decode(text, type=MemberContent)
             except msgspec.MsgspecError as error:
                 unreadable.append(incarnation)
-                self._tell(incarnation, name, error)
+                self._log_unreadable(incarnation, name, error)
                 continue
             members[incarnation] = Member(
                 incarnation,
@@ -95,12 +111,15 @@
                 content.capabilities,
                 content.sees_discovery,
             )
-        owned = {name: Task(*rest) for name, *rest in tasks}
-        return FleetState(members, next_incarnation, tuple(unreadable), owned)
-
-    def _tell(self, incarnation: int, name: str, error: Exception) -> None:
-        if incarnation not in self._told:
-            self._told.add(incarnation)
+        tasks = {
+            name: Task(term, owner, failures, failed_by)
+            for name, term, owner, failures, failed_by in task_rows
+        }
+        return FleetState(members, next_incarnation, tuple(unreadable), tasks)
+
+    def _log_unreadable(self, incarnation: int, name: str, error: Exception) -> None:
+        if incarnation not in self._logged_unreadable:
+            self._logged_unreadable.add(incarnation)
             LOG.warning(
                 "fleet: the row of %s (%d) cannot be read and is left alone, and no share grows "
                 "while it is there: %s",
@@ -110,22 +129,23 @@
             )
 
 
-def changes(before: FleetState, after: FleetState) -> Iterator[tuple[str, tuple]]:
-    """The statements that make one of the other, with their parameters."""
+def changes(before: FleetState, after: FleetState) -> Iterator[Statement]:
+    """The statements that bring the store from one state to the other."""
     if after.next_incarnation != before.next_incarnation:
-        yield SET_NEXT, (after.next_incarnation,)
+        yield Statement(UPDATE_NEXT_INCARNATION, (after.next_incarnation,))
     for incarnation in before.members.keys() - after.members.keys():
-        yield DELETE, (incarnation,)
+        yield Statement(DELETE_MEMBER, (incarnation,))
     for incarnation, member in after.members.items():
         if before.members.get(incarnation) != member:
-            content = Content(
+            content = MemberContent(
                 member.max_members,
                 member.lease_ms,
                 dict(member.allocations),
                 member.capabilities,
                 member.sees_discovery,
             )
-            yield UPSERT, (incarnation, member.name, member.seq, FORM, msgspec.json.encode(content).decode())
+            text = msgspec.json.encode(content).decode()
+            yield Statement(UPSERT_MEMBER, (incarnation, member.name, member.seq, CONTENT_FORM, text))
     for name, task in after.tasks.items():
         if before.tasks.get(name) != task:
-            yield SET_TASK, (name, task.term, task.owner, task.failures, task.failed_by)
+            yield Statement(UPSERT_TASK, (name, task.term, task.owner, task.failures, task.failed_by))
--- a/canvasplank/fleet/sqlite.py
+++ b/canvasplank/fleet/sqlite.py
@@ -1,4 +1,4 @@
-"""The fleet's rows in an SQLite file, for several processes on one machine."""
+"""The fleet's state in an SQLite file, for several processes on one machine."""
 
 from __future__ import annotations
 
@@ -6,17 +6,17 @@
 
 from canvasplank.database.sqlite import SqliteEngine, own, transaction
 from canvasplank.fleet import lease_transaction, schema
-from canvasplank.fleet.backend import FencingToken, StaleTermError, Statements
+from canvasplank.fleet.backend import FencingToken, Row, StaleTermError, Statements
 from canvasplank.fleet.lease_messages import LeaseRequest, LeaseResponse
 from canvasplank.fleet.state import FleetState
 
 
 class Sqlite(SqliteEngine):
-    """See ``Backend``.  A transaction is one piece of work on the thread: nothing is waited for within it."""
+    """See ``Backend``.  A transaction is one function on the worker thread and waits for nothing."""
 
     def __init__(self, path: str) -> None:
         super().__init__(path, schema.SCHEMA, "fleet")
-        self._reader = schema.Reader()
+        self._reader = schema.StateReader()
 
     async def transact(self, request: LeaseRequest) -> LeaseResponse:
         """See ``Backend``."""
@@ -24,10 +24,10 @@
         def work(connection: sqlite3.Connection) -> LeaseResponse:
             with transaction(connection):
                 before = self._read(connection)
-                after, answer = lease_transaction.apply(before, request)
-                for statement, values in schema.changes(before, after):
-                    connection.execute(own(statement), values)
-            return answer
+                after, response = lease_transaction.apply(before, request)
+                for sql, parameters in schema.changes(before, after):
+                    connection.execute(own(sql), parameters)
+            return response
 
         return await self.do(work)
 
@@ -38,14 +38,14 @@
             with transaction(connection):
                 if connection.execute(own(schema.FENCE), token).rowcount != 1:
                     raise StaleTermError(token)
-                for statement, values in statements:
-                    connection.execute(own(statement), values)
+                for sql, parameters in statements:
+                    connection.execute(own(sql), parameters)
 
         await self.do(work)
 
-    async def read(self, statement: str, values: tuple = ()) -> list[tuple]:
+    async def read(self, sql: str, parameters: tuple[object, ...] = ()) -> list[Row]:
         """See ``Backend``."""
-        return await self.do(lambda c: c.execute(own(statement), values).fetchall())
+        return await self.do(lambda connection: connection.execute(own(sql), parameters).fetchall())
 
     async def read_state(self) -> FleetState:
         """See ``Backend``."""
@@ -53,10 +53,14 @@
 
     async def remove_member(self, incarnation: int) -> bool:
         """See ``Backend``."""
-        return await self.do(lambda c: c.execute(own(schema.DELETE), (incarnation,)).rowcount > 0)
+        return await self.do(
+            lambda connection: connection.execute(own(schema.DELETE_MEMBER), (incarnation,)).rowcount > 0
+        )
 
     def _read(self, connection: sqlite3.Connection) -> FleetState:
-        [number] = connection.execute(own(schema.LOCK)).fetchone()
-        return self._reader.rows(
-            number, connection.execute(schema.MEMBERS).fetchall(), connection.execute(schema.TASKS).fetchall()
+        [next_incarnation] = connection.execute(own(schema.LOCK_STATE)).fetchone()
+        return self._reader.read(
+            next_incarnation,
+            connection.execute(schema.SELECT_MEMBERS).fetchall(),
+            connection.execute(schema.SELECT_TASKS).fetchall(),
         )
--- a/canvasplank/fleet/state.py
+++ b/canvasplank/fleet/state.py
@@ -1,6 +1,7 @@
-"""What the store holds of the fleet, and what a proxy and the store say to each other.
+"""The fleet's state as the store holds it: members with their allocations, and tasks.
 
-Rates are whole thousandths of a unit a second, so that dividing a whole creates nothing by rounding.
+Rates are whole thousandths of a unit a second, so that dividing a total creates nothing by rounding.  Stored
+keys differ from the names of some fields: see ``name=``.
 """
 
 from __future__ import annotations
@@ -10,45 +11,45 @@
 
 import msgspec
 
-FORM = 1  # of a row; a row of another form is left alone
-
 
 class Allocation(msgspec.Struct, frozen=True):
-    """One proxy's part in one budget."""
+    """One member's allocation of one budget, in thousandths of a unit a second."""
 
-    total: int = msgspec.field(name="whole")  # what its file says that the fleet may use
-    reserve: int  # of that, kept back for proxies without a lease
-    held: int  # the most that it may be using of the rest
-    demand: int | None = None  # what it would use; None: not known yet
+    total: int = msgspec.field(
+        name="whole"
+    )  # what the fleet may use together, by this member's configuration
+    reserve: int  # of the total, for proxies without a lease
+    held: int  # the largest share that it may be using now
+    demand: int | None = None  # None: not known yet
 
 
 class Task(msgspec.Struct, frozen=True):
-    """Work that one process does at a time; its term grows with each owner and never falls."""
+    """A task that one process owns at a time; its term grows with each new owner and never falls."""
 
     term: int = 0
-    owner: int | None = None  # an incarnation, which may be no more
+    owner: int | None = None  # an incarnation, which may not be a member any more
     failures: int = 0  # in a row
-    failed_by: int | None = None
+    failed_by: int | None = None  # the incarnation that failed last
 
 
 class Member(msgspec.Struct, frozen=True):
-    """One start of one proxy: its row."""
+    """One process of the fleet: one start of a proxy or a worker."""
 
-    incarnation: int
-    name: str
-    seq: int  # grows with each request that counted
-    max_members: int  # what its file says that there may be of proxies
-    lease_ms: float  # and how long its leases run
-    allocations: Mapping[str, Allocation]
-    capabilities: tuple[str, ...] = ()  # tasks that it would do
-    sees_discovery: bool = False  # the notice board tells it things
+    incarnation: int  # from a counter in the store: unique, also among starts under one name
+    name: str  # for operators; several members may have it
+    seq: int  # of its newest request that was applied
+    max_members: int  # processes that may run at once, by its configuration
+    lease_ms: float  # the duration of its leases
+    allocations: Mapping[str, Allocation]  # by budget
+    capabilities: tuple[str, ...] = ()  # tasks that it can own
+    sees_discovery: bool = False  # service discovery sends it events
 
 
 @dataclass(slots=True)
 class FleetState:
     """The fleet as one transaction sees it."""
 
-    members: dict[int, Member] = field(default_factory=dict)
+    members: dict[int, Member] = field(default_factory=dict)  # by incarnation
     next_incarnation: int = 1
-    unreadable: tuple[int, ...] = ()  # incarnations whose rows are of a form that is not ours
-    tasks: dict[str, Task] = field(default_factory=dict)
+    unreadable: tuple[int, ...] = ()  # incarnations stored in a form that this version does not know
+    tasks: dict[str, Task] = field(default_factory=dict)  # by name
