--- a/canvasplank/fleet/__init__.py
+++ b/canvasplank/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""Fleet-wide budgets, membership and ownership, over a store that all proxies reach (off by default)."""
+"""Fleet-wide budgets, membership and task leadership, in a database of all proxies.  Off by default."""
--- a/canvasplank/fleet/extension.py
+++ b/canvasplank/fleet/extension.py
@@ -1,4 +1,4 @@
-"""The fleet's coordination as a part of the program."""
+"""The fleet's coordination as an extension of the program."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 
 
 def load(path: str) -> ExtensionFactory:
-    """Read its file."""
+    """Read the fleet's configuration file; see ``load_fleet``."""
     settings = load_fleet(path)
     return lambda context: FleetExtension(context, settings)
 
 
 class FleetExtension(Extension):
-    """Holds this proxy's shares, and has the module's gate ask them."""
+    """Renews this proxy's leases and provides the module's gate with the budgets' delays."""
 
     def __init__(self, context: ExtensionContext, settings: Fleet) -> None:
         configuration = context.configuration
@@ -47,7 +47,7 @@
         self._context.discovery.on_others_see_discovery()
 
     async def start(self) -> None:
-        """See ``Extension``; until there is a lease the proxy has its part of what is kept back."""
+        """See ``Extension``; until its first lease the proxy has its unleased quota."""
         self._renewer.start()
 
     def export_metrics(self) -> None:
--- a/canvasplank/fleet/failure_detector.py
+++ b/canvasplank/fleet/failure_detector.py
@@ -1,7 +1,7 @@
-"""Who has not been heard of for a lease: by durations on this proxy's own steady clock alone.
+"""Detects members whose lease has expired, by durations on this proxy's own steady clock only.
 
-No I/O and no clock.  It errs on the side of the one that is watched: a row counts from after the answer that
-first showed it as it is, up to before the request that says so is sent.
+No I/O and no clock: each method is given the time.  It errs in favour of the observed member: a duration runs
+from after the response that first showed a heartbeat, to before the request that reports it expired.
 """
 
 from __future__ import annotations
@@ -13,22 +13,22 @@
 
 
 class FailureDetector:
-    """The rows as they were last seen, and since when."""
+    """The newest heartbeat of each member, and since when it has been unchanged."""
 
     def __init__(self, lease: Lease) -> None:
         self._lease = lease
-        self._since: dict[int, tuple[Heartbeat, float]] = {}  # by incarnation: its row, and when that was new
+        self._since: dict[int, tuple[Heartbeat, float]] = {}  # by incarnation; when first seen, in ms
 
     def observe(self, heartbeats: Iterable[Heartbeat], now_ms: float) -> None:
-        """All rows there are, from an answer that is here now."""
-        fresh: dict[int, tuple[Heartbeat, float]] = {}
+        """Record the heartbeats of all members, from a response that has just arrived."""
+        observed: dict[int, tuple[Heartbeat, float]] = {}
         for heartbeat in heartbeats:
-            before, since_ms = self._since.get(heartbeat.incarnation, (None, now_ms))
-            fresh[heartbeat.incarnation] = (heartbeat, since_ms if before == heartbeat else now_ms)
-        self._since = fresh
+            previous, since_ms = self._since.get(heartbeat.incarnation, (None, now_ms))
+            observed[heartbeat.incarnation] = (heartbeat, since_ms if previous == heartbeat else now_ms)
+        self._since = observed
 
     def expired(self, now_ms: float) -> tuple[Heartbeat, ...]:
-        """Those that a request sent now may have removed."""
+        """The heartbeats whose members a request sent now may have removed, sorted."""
         return tuple(
             heartbeat
             for heartbeat, since_ms in sorted(self._since.values())
--- a/canvasplank/fleet/fair_division.py
+++ b/canvasplank/fleet/fair_division.py
@@ -1,7 +1,8 @@
-"""Divides a whole among those who want a part of it, in whole numbers.
+"""Divides a total fairly among demands, in whole numbers.
 
-Max-min: everybody gets what it wants, or an equal level where that is too much; what nobody wants is spread
-evenly, so that a share is there before the demand is.  The parts never sum to more than the whole.
+Max-min fairness: each gets its demand, or an equal level where the demands sum to more than the total; what
+nobody demands is spread evenly, so that a share is there before its demand is.  Quotas never sum to more than
+the total.
 """
 
 from __future__ import annotations
@@ -10,26 +11,27 @@
 from typing import TypeVar
 
 Key = TypeVar("Key", bound=Hashable)
-FLOOR_PART = 8  # of an even part: so little is kept for somebody who wants nothing
+FLOOR_DIVISOR = 8  # an idle one gets an even quota divided by this, so that its first set-ups need not wait
 
 
-def divide(whole: int, wants: Mapping[Key, int | None]) -> dict[Key, int]:
-    """Parts of ``whole`` by who wants what; None is not known yet and counts as an even part.
+def divide(total: int, demands: Mapping[Key, int | None]) -> dict[Key, int]:
+    """Quotas of ``total`` by demand; a demand of None is not known yet and counts as an even quota.
 
-    The order of ``wants`` is that of its keys' claims to what does not divide; give it sorted.
+    A remainder goes to the first keys of ``demands``: give it sorted where the result must not depend on the
+    order of arrival.
     """
-    if not wants or whole <= 0:
-        return dict.fromkeys(wants, 0)
-    even = whole // len(wants)
-    floor = even // FLOOR_PART
-    wanted = {key: even if want is None else max(want, floor) for key, want in wants.items()}
-    left = whole - sum(wanted.values())
-    if left >= 0:
-        each, over = divmod(left, len(wants))
-        return {key: want + each + (place < over) for place, (key, want) in enumerate(wanted.items())}
-    parts: dict[Key, int] = {}
-    left = whole
-    for place, key in enumerate(sorted(wanted, key=wanted.__getitem__)):  # the least wants first
-        parts[key] = min(wanted[key], left // (len(wants) - place))
-        left -= parts[key]
-    return parts
+    if not demands or total <= 0:
+        return dict.fromkeys(demands, 0)
+    even = total // len(demands)
+    floor = even // FLOOR_DIVISOR
+    claims = {key: even if demand is None else max(demand, floor) for key, demand in demands.items()}
+    surplus = total - sum(claims.values())
+    if surplus >= 0:
+        each, remainder = divmod(surplus, len(claims))
+        return {key: claim + each + (place < remainder) for place, (key, claim) in enumerate(claims.items())}
+    quotas: dict[Key, int] = {}
+    undivided = total
+    for place, key in enumerate(sorted(claims, key=claims.__getitem__)):  # the smallest claim first
+        quotas[key] = min(claims[key], undivided // (len(claims) - place))
+        undivided -= quotas[key]
+    return quotas
--- a/canvasplank/fleet/lease_holder.py
+++ b/canvasplank/fleet/lease_holder.py
@@ -1,7 +1,8 @@
-"""What this proxy may use of each budget now, and what it asks of the store next.
+"""What this proxy may use of each budget now, and its next request to the store.
 
-No I/O and no clock: every call is told the time on a clock that is never set and goes on while the machine
-sleeps.  A share is used less before that is said, and more only once the newest request's answer is here.
+No I/O and no clock: each method is given the time, in milliseconds on a clock that is never set and that goes
+on while the machine sleeps.  A share is lowered before the request that reports it, and raised only by the
+response to the newest request.
 """
 
 from __future__ import annotations
@@ -12,41 +13,41 @@
 from canvasplank.fleet.lease_messages import Heartbeat, LeaseRequest, LeaseResponse
 from canvasplank.fleet.state import Allocation
 
-NEVER = float("-inf")
+NEVER = float("-inf")  # a time before all others
 
 
 @dataclass(frozen=True, slots=True)
 class BudgetLimits:
-    """One budget, as this proxy's file has it; rates in thousandths of a unit a second."""
+    """One budget by this proxy's configuration; rates in thousandths of a unit a second."""
 
     total: int
-    reserve: int
-    max_members: int  # proxies that there may be
+    reserve: int  # of the total, for proxies without a lease
+    max_members: int  # processes that may run at once
 
     @property
     def unleased_quota(self) -> int:
-        """Of what is kept back, this proxy's: it may use that always."""
+        """This proxy's quota of the reserve, which it may use without a lease."""
         return self.reserve // self.max_members
 
 
 @dataclass(frozen=True, slots=True)
 class Lease:
-    """How long a share may be used, and how much clocks and pauses are trusted."""
+    """How long a share may be used, and the tolerances for clocks and pauses."""
 
     lease_ms: float
-    margin_ms: float  # between the last look at the clock and the use, at each end
-    drift: float  # the most that a steady clock may gain or lose, as a part
+    margin_ms: float  # for the time between reading the clock and acting on it
+    drift: float  # how much a steady clock may gain or lose at most, as a fraction
 
     def usable_ms(self) -> float:
-        """After a request was sent: so long its answer may be used."""
+        """How long after a request was sent its response's shares may be used."""
         return self.lease_ms * (1 - self.drift) - self.margin_ms
 
-    def expiry_ms(self, theirs_ms: float) -> float:
-        """After a row was first seen: unchanged for so long, nobody uses it any more.
+    def expiry_ms(self, member_lease_ms: float) -> float:
+        """How long after a heartbeat was first seen, and has not changed, its member uses no share any more.
 
-        Guards, with the lease that the row itself names, a proxy whose file has a longer one than ours.
+        The longer of the two leases counts, since the member's configuration may differ from ours.
         """
-        return max(self.lease_ms, theirs_ms) * (1 + self.drift) + self.margin_ms
+        return max(self.lease_ms, member_lease_ms) * (1 + self.drift) + self.margin_ms
 
 
 class LeaseHolder:
@@ -55,30 +56,30 @@
     def __init__(
         self, name: str, limits: Mapping[str, BudgetLimits], lease: Lease, max_members: int | None = None
     ) -> None:
-        """``max_members``: proxies that there may be, for one that holds no budgets."""
+        """``max_members``: processes that may run at once; needed by one that holds no budgets."""
         self.name, self.limits, self._lease = name, dict(limits), lease
         self._max_members = max_members or min(each.max_members for each in limits.values())
         self.incarnation: int | None = None
-        self.until_ms = NEVER  # so long the shares may be used
+        self.until_ms = NEVER  # the shares may be used before this time
         self._seq = 0
         self._sent_ms = NEVER
         self._in_use = dict.fromkeys(limits, 0)
         self._target = dict.fromkeys(limits, 0)
 
     def allowance(self, budget: str, now_ms: float) -> int:
-        """What it may use now: its part of what is kept back, and its share while the lease runs."""
+        """What it may use now, in thousandths a second: its unleased quota and its share."""
         return self.limits[budget].unleased_quota + self.share(budget, now_ms)
 
     def share(self, budget: str, now_ms: float) -> int:
-        """The leased part of that."""
+        """The leased share; 0 once the lease has expired."""
         return self._in_use[budget] if now_ms < self.until_ms else 0
 
     def in_use(self, budget: str) -> int:
-        """The leased part as it was granted, whether or not the lease still runs."""
+        """The leased share, whether or not the lease has expired."""
         return self._in_use[budget]
 
     def is_below_target(self) -> bool:
-        """Whether it should have more, which others are to let go of."""
+        """Whether a share is below its target: others are still to release the difference."""
         return any(self._in_use[budget] < self._target[budget] for budget in self.limits)
 
     def next_request(
@@ -89,9 +90,9 @@
         *,
         leaving: bool = False,
     ) -> LeaseRequest:
-        """The next one; nothing that was sent before it counts any more.
+        """The next request; responses to earlier ones are ignored from here on.
 
-        ``now_ms`` must be read before anything of it is sent: the lease runs from there.
+        ``now_ms`` must be read before the request is sent: the lease runs from there.
         """
         self._seq += 1
         self._sent_ms = now_ms
@@ -113,7 +114,7 @@
         )
 
     def on_response(self, response: LeaseResponse) -> bool:
-        """Take an answer; False: it is not that of the newest request and tells nothing."""
+        """Take over a response's grants; False: it answers an earlier request and was ignored."""
         if response.seq != self._seq:
             return False
         if response.incarnation is None:
@@ -124,12 +125,12 @@
         self.until_ms = self._sent_ms + self._lease.usable_ms()
         for budget, grant in response.grants.items():
             self._target[budget] = grant.target
-            # What it should let go of it uses no more from here on, and says so with the next request.
+            # The excess over the target is not used from here on; the next request reports it as released.
             self._in_use[budget] = min(grant.share, grant.target)
         return True
 
     def has_excess(self, response: LeaseResponse) -> bool:
-        """Whether the answer's shares are more than it uses now: others may be waiting for the rest."""
+        """Whether it was granted more than it uses now: others may be waiting for the excess."""
         return any(grant.share > grant.target for grant in response.grants.values())
 
     def _drop_shares(self) -> None:
