--- a/canvasplank/fleet/lease_holder.py
+++ b/canvasplank/fleet/lease_holder.py
@@ -7,6 +7,7 @@
 
 from __future__ import annotations
 
+import copy
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass
 
@@ -133,6 +134,12 @@
         """Whether it was granted more than it uses now: others may be waiting for the excess."""
         return any(grant.share > grant.target for grant in response.grants.values())
 
+    def copy(self) -> LeaseHolder:
+        """An independent holder in the same state, for the model checker."""
+        duplicate = copy.copy(self)
+        duplicate._in_use, duplicate._target = dict(self._in_use), dict(self._target)
+        return duplicate
+
     def _drop_shares(self) -> None:
         self.until_ms = NEVER
         self._in_use = dict.fromkeys(self.limits, 0)
--- a/tests/test_budgets.py
+++ b/tests/test_budgets.py
@@ -20,7 +20,7 @@
 from canvasplank.fleet.lease_messages import Grant
 from canvasplank.fleet.renewal_schedule import RenewalSchedule
 from canvasplank.fleet.state import FleetState, Member
-from verification.leases import WHOLE, Bounds, Explorer
+from verification.leases import TOTAL, Bounds, Explorer
 from verification.spending import Trace, most_shared, worst_window
 
 LEASE = Lease(3000.0, 100.0, 0.001)
@@ -329,15 +329,15 @@
 class TestEveryInterleaving:
     """The program's own holder, watch and ledger, in every order of steps up to some bounds."""
 
-    SLIPPING = Bounds(ticks=3, asks=2, starts=2, late=0)
-    LATE = Bounds(ticks=0, asks=3, starts=2)
-    THREE = Bounds(ticks=0, asks=2, starts=3, processes=3, late=0, slips=0)
-    LAPSING = Bounds(ticks=3, asks=2, starts=2, late=0, slips=0)
+    SLIPPING = Bounds(ticks=3, requests=2, initial_processes=2, delaying=0)
+    LATE = Bounds(ticks=0, requests=3, initial_processes=2)
+    THREE = Bounds(ticks=0, requests=2, initial_processes=3, processes=3, delaying=0, clock_slips=0)
+    LAPSING = Bounds(ticks=3, requests=2, initial_processes=2, delaying=0, clock_slips=0)
 
     @pytest.mark.parametrize("bounds", [SLIPPING, LATE, THREE], ids=["clocks slip", "late", "three"])
     def test_nothing_sums_to_more_than_the_whole(self, bounds):
         found = Explorer(Lease(2.0, 1.0, 0.0), bounds).run()
-        assert found.path is None and found.whole and found.states > 5_000
+        assert found.path is None and found.complete and found.states > 5_000
 
     @pytest.mark.parametrize(
         ("lease", "bounds", "apply"),
@@ -362,12 +362,14 @@
     @given(st.lists(st.integers(0, 10**6), max_size=70))
     @settings(max_examples=150, deadline=None)
     def test_long_walks_beyond_the_bounds(self, choices):
-        explorer = Explorer(Lease(3.0, 1.0, 0.0), Bounds(ticks=25, asks=20, processes=4, starts=2, late=4))
-        state = explorer.first()
+        explorer = Explorer(
+            Lease(3.0, 1.0, 0.0), Bounds(ticks=25, requests=20, processes=4, initial_processes=2, delaying=4)
+        )
+        state = explorer.initial_state()
         for choice in choices:
             steps = list(explorer.steps(state))
             state = steps[choice % len(steps)][1]
-            assert state.used() <= WHOLE
+            assert state.in_use() <= TOTAL
 
 
 class TestChecker:
--- a/verification/__init__.py
+++ b/verification/__init__.py
@@ -1,1 +1,1 @@
-"""Checkers: a model of the lease protocol, explored, and proofs over what processes said that they used."""
+"""Checkers: an exhaustive exploration of the lease protocol, and invariants over the traces of processes."""
--- a/verification/spending.py
+++ b/verification/spending.py
@@ -1,8 +1,9 @@
-"""Proves from the processes' own traces that they kept a budget together.
+"""Checks, over the traces of all processes, that they kept to a budget together.
 
-Two proofs, each over every instant or window.  Shares: what all processes said that they may use, each until
-its lease ends or its next word, sums to no more than the whole.  Units: in every window what they spent
-together is no more than the whole allows for it, its burst, and one unit for each process.
+Two invariants, each checked over every instant or window.  Shares: the leased shares of all processes, each
+until its lease ends or the process logs another, sum to no more than what may be leased.  Units: in every
+window the units spent by all processes are no more than the total allows for it, its burst, and one unit for
+each process.
 """
 
 from __future__ import annotations
@@ -17,72 +18,74 @@
 
 @dataclass(slots=True)
 class Trace:
-    """What one process said; times in ms on the machine's steady clock."""
+    """The budget events of one process; times in ms on the machine's steady clock, rates a second."""
 
     process: str
-    own: float = 0.0  # its part of what is kept back, a second
-    shares: list[tuple[float, float, float]] = field(default_factory=list)  # from, until, a second
-    spent: list[float] = field(default_factory=list)
+    own: float = 0.0  # its unleased quota
+    shares: list[tuple[float, float, float]] = field(default_factory=list)  # from, until, share
+    spent: list[float] = field(default_factory=list)  # a time for each unit
 
 
 def read_trace(path: Path, budget: str) -> Trace:
-    """The trace in a process's log of JSON lines; a last line that is cut short is a killed process's."""
+    """The trace in a process's log of JSON lines; a line that is cut short, as by a kill, is skipped."""
     trace = Trace(path.stem)
     for line in path.read_text().splitlines():
         try:
-            said = json.loads(line)
+            event = json.loads(line)
         except ValueError:
             continue
-        if said.get("event") == "budget.share" and said["budget"] == budget:
-            trace.own = said["own"] / THOUSANDTHS
-            if trace.shares:  # the one before ends with this word, at the latest
-                began, until, share = trace.shares[-1]
-                trace.shares[-1] = began, min(until, said["at_ms"]), share
-            trace.shares.append((said["at_ms"], said["until_ms"], said["share"] / THOUSANDTHS))
-        elif said.get("event") == "budget.spent" and budget in said["budgets"]:
-            trace.spent.append(said["at_ms"])
+        if event.get("event") == "budget.share" and event["budget"] == budget:
+            trace.own = event["own"] / THOUSANDTHS
+            if trace.shares:  # the share before ends at this event, at the latest
+                start_ms, until_ms, share = trace.shares[-1]
+                trace.shares[-1] = start_ms, min(until_ms, event["at_ms"]), share
+            trace.shares.append((event["at_ms"], event["until_ms"], event["share"] / THOUSANDTHS))
+        elif event.get("event") == "budget.spent" and budget in event["budgets"]:
+            trace.spent.append(event["at_ms"])
     return trace
 
 
 def most_shared(traces: Iterable[Trace]) -> float:
-    """The most that the leased shares ever summed to, a second."""
-    edges: list[tuple[float, float]] = []
+    """The maximum, over all instants, of the sum of the leased shares, a second."""
+    changes: list[tuple[float, float]] = []
     for trace in traces:
-        for began, until, share in trace.shares:
-            if until > began:
-                edges += [(began, share), (until, -share)]
-    total = most = 0.0
-    for _, change in sorted(edges):  # at one instant what ends comes first
-        total += change
-        most = max(most, total)
-    return most
+        for start_ms, until_ms, share in trace.shares:
+            if until_ms > start_ms:
+                changes += [(start_ms, share), (until_ms, -share)]
+    current = maximum = 0.0
+    for _, change in sorted(changes):  # at one instant a share that ends comes before one that starts
+        current += change
+        maximum = max(maximum, current)
+    return maximum
 
 
-def worst_window(traces: Iterable[Trace], whole_per_s: float, burst_ms: float) -> float:
-    """The most units spent in any window past what the whole allows for it, its burst included.
+def worst_window(traces: Iterable[Trace], total_per_s: float, burst_ms: float) -> float:
+    """The maximum, over all windows, of the units spent beyond what the total and the burst allow for it.
 
-    No more than the number of processes is within the bound: each may spend a unit it has saved up.
+    No more than the number of processes is within the invariant: each may spend a unit that it has saved up.
     """
-    spent = sorted(at for trace in traces for at in trace.spent)
-    # Units up to the j-th, less the whole's for the time up to it: from i to j there are (j - i + 1) units.
-    worst, least = float("-inf"), float("inf")
-    for place, at in enumerate(spent):
-        least = min(least, place - whole_per_s * at / THOUSANDTHS)
-        worst = max(worst, place + 1 - whole_per_s * at / THOUSANDTHS - least)
-    return worst - whole_per_s * burst_ms / THOUSANDTHS if spent else 0.0
+    spent_ms = sorted(at_ms for trace in traces for at_ms in trace.spent)
+    # From the i-th unit to the j-th there are j - i + 1 units.  Its excess is the difference of
+    # two values, each a number of units less what the total allows up to its time; the first is the minimum.
+    worst, minimum = float("-inf"), float("inf")
+    for place, at_ms in enumerate(spent_ms):
+        allowed = total_per_s * at_ms / THOUSANDTHS
+        minimum = min(minimum, place - allowed)
+        worst = max(worst, place + 1 - allowed - minimum)
+    return worst - total_per_s * burst_ms / THOUSANDTHS if spent_ms else 0.0
 
 
-def used_per_s(traces: Iterable[Trace], began_ms: float, ended_ms: float) -> float:
-    """Units a second that all spent together in this time."""
-    count = sum(began_ms <= at < ended_ms for trace in traces for at in trace.spent)
-    return count * THOUSANDTHS / (ended_ms - began_ms)
+def used_per_s(traces: Iterable[Trace], start_ms: float, end_ms: float) -> float:
+    """Units a second that all processes together spent from ``start_ms`` until before ``end_ms``."""
+    count = sum(start_ms <= at_ms < end_ms for trace in traces for at_ms in trace.spent)
+    return count * THOUSANDTHS / (end_ms - start_ms)
 
 
 def most_in(times: Sequence[float], window: float) -> int:
-    """The most of these times, which are sorted, in any window."""
-    most = first = 0
+    """The maximum number of these times, which are sorted, in any window of this length."""
+    maximum = first = 0
     for last, at in enumerate(times):
         while times[first] <= at - window:
             first += 1
-        most = max(most, last - first + 1)
-    return most
+        maximum = max(maximum, last - first + 1)
+    return maximum
