--- /dev/null
+++ b/tests/test_budget_limiter.py
@@ -0,0 +1,101 @@
+"""Token buckets, demand estimates, and the gate that asks the budgets."""
+
+from __future__ import annotations
+
+import pytest
+from conftest import Gateway, ready, sent_to
+from fleet_members import joined
+
+from canvasplank.fleet.budget_limiter import BudgetLimiter, BudgetScope, DemandEstimator, TokenBucket
+
+
+class TestSpending:
+    """Buckets over allowances."""
+
+    def test_a_pause_past_the_lease_saves_up_nothing_of_what_was_leased(self):
+        bucket = TokenBucket(250.0, 0.0)
+        bucket.settle(10_000.0, unleased_quota=2_000, share=40_000, until_ms=200.0)
+        spent = 0
+        while bucket.wait_ms(2_000) == 0:
+            bucket.spend()
+            spent += 1
+        assert spent == 1, "a unit; a quarter second of two a second is less"
+
+    def test_a_rate_is_kept_and_a_burst_is_bounded(self):
+        bucket, spent = TokenBucket(250.0, 0.0), 0
+        for now in range(0, 4000, 5):
+            allowance = bucket.settle(float(now), 0, 40_000, 1e9)
+            while bucket.wait_ms(allowance) == 0:
+                bucket.spend()
+                spent += 1
+        assert 155 <= spent <= 160
+        bucket.settle(60_000.0, 0, 40_000, 1e9)
+        for _ in range(10):
+            assert bucket.wait_ms(40_000) == 0
+            bucket.spend()
+        assert bucket.wait_ms(40_000) == pytest.approx(25.0), "ten units: a quarter of a second"
+
+    def test_without_an_allowance_it_waits_for_ever(self):
+        assert TokenBucket(250.0, 0.0).wait_ms(0) == float("inf")
+
+    @pytest.mark.parametrize(
+        ("kind", "of", "tenant", "attempt", "server", "covered"),
+        [
+            ("set-ups", "", None, 0, "s", True),
+            ("set-ups", "", "acme", 3, "s", True),
+            ("member", "acme", "acme", 0, "s", True),
+            ("member", "acme", "acme", 1, "s", False),  # a repeat is no set-up of the member's
+            ("member", "acme", "beta", 0, "s", False),
+            ("repeats", "", "acme", 0, "s", False),
+            ("repeats", "", None, 1, "s", True),
+            ("server", "s", None, 1, "s", True),
+            ("server", "s", None, 0, "t", False),
+        ],
+    )
+    def test_what_a_budget_covers(self, kind, of, tenant, attempt, server, covered):
+        assert BudgetScope(kind, of).covers(tenant, attempt, server) is covered
+
+    def test_a_unit_of_each_or_none(self):
+        _, [holder] = joined("a")
+        limiter = BudgetLimiter(holder, {"b": BudgetScope("set-ups")}, 250.0, 0.0)
+        assert not limiter.spend(["b"], 0.0) and limiter.spend(["b"], 100.0)
+        assert limiter.spend([], 100.0), "what no budget covers is free"
+
+    def test_demand_is_reported_in_steps_and_grows_where_it_is_held_back(self):
+        demand = DemandEstimator()
+        assert demand.report(0.0, 10_000) is None
+
+        def used(count, now_ms):
+            for _ in range(count):
+                demand.spent()
+            return demand.report(now_ms, 10_000)
+
+        assert used(8, 1000.0) == 10_000
+        assert used(7, 2000.0) == 10_000, "within the band: no news"
+        demand.saturated()
+        assert used(10, 3000.0) == 20_000
+        assert used(0, 4000.0) == 10_000 and used(0, 5000.0) == 5_000, "down by halves"
+
+
+class TestModule:
+    """The gate asks; a call that the budgets hold back is held like any other."""
+
+    def test_a_call_waits_for_its_budget_and_no_other_kind_waits_with_it(self):
+        asked = []
+
+        def delay(call, attempt, server_id, take):
+            if take:
+                asked.append((call.id, attempt, server_id))
+            return 300.0 if call.tenant == "acme" and g.now < 1000 else 0.0
+
+        g = Gateway(budgets=delay)
+        g.servers(ready("a", 0))
+        g.alive["a"] = 40
+        held_id, actions = g.call(tenant="acme")
+        other_id, others = g.call(tenant="beta")
+        assert not sent_to(actions) and sent_to(others) == ["a"]
+        timers = len(g.timers)
+        g.until(900)
+        assert len(g.timers) - timers < 12, "it looks again when the budget may allow it, not each tick"
+        assert sent_to(g.until(1400)) == ["a"]
+        assert asked == [(other_id, 0, "a"), (held_id, 0, "a")]
