--- a/canvasplank/fleet/lease_renewer.py
+++ b/canvasplank/fleet/lease_renewer.py
@@ -140,7 +140,7 @@
             eager = previous_incarnation is not None
         else:
             eager = self.holder.has_excess(response) or self.holder.is_below_target()
-        return self._schedule.after_answer(len(self.failure_detector), eager=eager)
+        return self._schedule.after_response(len(self.failure_detector), eager=eager)
 
     def _next_request(self) -> LeaseRequest:
         sent_ms = self._clock()  # before anything is sent, or a connection made: the lease runs from here
--- a/canvasplank/fleet/renewal_schedule.py
+++ b/canvasplank/fleet/renewal_schedule.py
@@ -25,7 +25,7 @@
         self._failures = 0  # in a row
         self._eager_pauses = 0  # in a row
 
-    def after_answer(self, members: int, *, eager: bool) -> float:
+    def after_response(self, members: int, *, eager: bool) -> float:
         """The pause after a response; ``eager``: a share is moving and the next request moves it on.
 
         An eager pause grows with the number of members: hundreds that join at once, each waiting for shares
--- a/tests/test_budget_limiter.py
+++ b/tests/test_budget_limiter.py
@@ -1,18 +1,24 @@
-"""Token buckets, demand estimates, and the gate that asks the budgets."""
+"""Token buckets, demand estimates, and the gate that they delay."""
 
 from __future__ import annotations
 
 import pytest
 from conftest import Gateway, ready, sent_to
-from fleet_members import joined
+from fleet_members import join
 
-from canvasplank.fleet.budget_limiter import BudgetLimiter, BudgetScope, DemandEstimator, TokenBucket
+from canvasplank.fleet.budget_limiter import (
+    BudgetKind,
+    BudgetLimiter,
+    BudgetScope,
+    DemandEstimator,
+    TokenBucket,
+)
 
 
-class TestSpending:
-    """Buckets over allowances."""
+class TestBudgetLimiter:
+    """Token buckets at allowances, and demand estimates."""
 
-    def test_a_pause_past_the_lease_saves_up_nothing_of_what_was_leased(self):
+    def test_a_pause_past_the_lease_saves_up_nothing_of_the_share(self):
         bucket = TokenBucket(250.0, 0.0)
         bucket.settle(10_000.0, unleased_quota=2_000, share=40_000, until_ms=200.0)
         spent = 0
@@ -21,7 +27,7 @@
             spent += 1
         assert spent == 1, "a unit; a quarter second of two a second is less"
 
-    def test_a_rate_is_kept_and_a_burst_is_bounded(self):
+    def test_the_rate_and_the_burst_are_bounded(self):
         bucket, spent = TokenBucket(250.0, 0.0), 0
         for now in range(0, 4000, 5):
             allowance = bucket.settle(float(now), 0, 40_000, 1e9)
@@ -35,16 +41,16 @@
             bucket.spend()
         assert bucket.wait_ms(40_000) == pytest.approx(25.0), "ten units: a quarter of a second"
 
-    def test_without_an_allowance_it_waits_for_ever(self):
+    def test_without_an_allowance_the_wait_is_infinite(self):
         assert TokenBucket(250.0, 0.0).wait_ms(0) == float("inf")
 
     @pytest.mark.parametrize(
-        ("kind", "of", "tenant", "attempt", "server", "covered"),
+        ("kind", "subject", "tenant", "attempt", "server", "covered"),
         [
             ("set-ups", "", None, 0, "s", True),
             ("set-ups", "", "acme", 3, "s", True),
             ("member", "acme", "acme", 0, "s", True),
-            ("member", "acme", "acme", 1, "s", False),  # a repeat is no set-up of the member's
+            ("member", "acme", "acme", 1, "s", False),  # a retry is not covered
             ("member", "acme", "beta", 0, "s", False),
             ("repeats", "", "acme", 0, "s", False),
             ("repeats", "", None, 1, "s", True),
@@ -52,16 +58,16 @@
             ("server", "s", None, 0, "t", False),
         ],
     )
-    def test_what_a_budget_covers(self, kind, of, tenant, attempt, server, covered):
-        assert BudgetScope(kind, of).covers(tenant, attempt, server) is covered
+    def test_set_ups_that_a_budget_covers(self, kind, subject, tenant, attempt, server, covered):
+        assert BudgetScope(BudgetKind(kind), subject).covers(tenant, attempt, server) is covered
 
-    def test_a_unit_of_each_or_none(self):
-        _, [holder] = joined("a")
-        limiter = BudgetLimiter(holder, {"b": BudgetScope("set-ups")}, 250.0, 0.0)
+    def test_a_unit_of_each_budget_is_taken_or_of_none(self):
+        _, [holder] = join("a")
+        limiter = BudgetLimiter(holder, {"b": BudgetScope(BudgetKind.SET_UPS)}, 250.0, 0.0)
         assert not limiter.spend(["b"], 0.0) and limiter.spend(["b"], 100.0)
         assert limiter.spend([], 100.0), "what no budget covers is free"
 
-    def test_demand_is_reported_in_steps_and_grows_where_it_is_held_back(self):
+    def test_the_reported_demand_changes_in_steps_and_grows_where_set_ups_wait(self):
         demand = DemandEstimator()
         assert demand.report(0.0, 10_000) is None
 
@@ -71,21 +77,21 @@
             return demand.report(now_ms, 10_000)
 
         assert used(8, 1000.0) == 10_000
-        assert used(7, 2000.0) == 10_000, "within the band: no news"
+        assert used(7, 2000.0) == 10_000, "within the band: unchanged"
         demand.saturated()
         assert used(10, 3000.0) == 20_000
         assert used(0, 4000.0) == 10_000 and used(0, 5000.0) == 5_000, "down by halves"
 
 
-class TestModule:
-    """The gate asks; a call that the budgets hold back is held like any other."""
+class TestGate:
+    """The gate takes units; a call that a budget delays is held like any other."""
 
-    def test_a_call_waits_for_its_budget_and_no_other_kind_waits_with_it(self):
-        asked = []
+    def test_a_call_waits_for_its_budget_and_calls_that_it_does_not_cover_do_not(self):
+        spent = []
 
         def delay(call, attempt, server_id, take):
             if take:
-                asked.append((call.id, attempt, server_id))
+                spent.append((call.id, attempt, server_id))
             return 300.0 if call.tenant == "acme" and g.now < 1000 else 0.0
 
         g = Gateway(budgets=delay)
@@ -96,6 +102,6 @@
         assert not sent_to(actions) and sent_to(others) == ["a"]
         timers = len(g.timers)
         g.until(900)
-        assert len(g.timers) - timers < 12, "it looks again when the budget may allow it, not each tick"
+        assert len(g.timers) - timers < 12, "it tries again when the budget may admit it, not each tick"
         assert sent_to(g.until(1400)) == ["a"]
-        assert asked == [(other_id, 0, "a"), (held_id, 0, "a")]
+        assert spent == [(other_id, 0, "a"), (held_id, 0, "a")]
--- a/tests/test_failure_detector.py
+++ b/tests/test_failure_detector.py
@@ -3,22 +3,22 @@
 from __future__ import annotations
 
 import msgspec
-from fleet_members import LEASE, ask, joined
+from fleet_members import LEASE, join, renew
 
 from canvasplank.fleet.failure_detector import FailureDetector
 
 
-class TestLeaseExpiry:
-    """When a member counts as dead."""
+class TestFailureDetector:
+    """When others may remove a member."""
 
-    def test_whoever_has_not_renewed_for_a_lease_since_it_was_seen_is_dead(self):
-        watch, expiry_ms = FailureDetector(LEASE), LEASE.expiry_ms(3000.0)
-        rows, [holder] = joined("a")
-        [sign] = ask(rows, holder)[1].heartbeats
-        watch.observe([sign], 100.0)
-        watch.observe([sign], 2000.0)
-        assert not watch.expired(99.0 + expiry_ms) and watch.expired(100.0 + expiry_ms) == (sign,)
-        watch.observe([msgspec.structs.replace(sign, seq=9)], 2500.0)
-        assert not watch.expired(100.0 + expiry_ms)
-        watch.observe([], 2600.0)
-        assert not watch.expired(9e9)
+    def test_a_member_whose_heartbeat_has_not_changed_for_a_lease_is_expired(self):
+        detector, expiry_ms = FailureDetector(LEASE), LEASE.expiry_ms(3000.0)
+        state, [holder] = join("a")
+        [heartbeat] = renew(state, holder)[1].heartbeats
+        detector.observe([heartbeat], 100.0)
+        detector.observe([heartbeat], 2000.0)
+        assert not detector.expired(99.0 + expiry_ms) and detector.expired(100.0 + expiry_ms) == (heartbeat,)
+        detector.observe([msgspec.structs.replace(heartbeat, seq=9)], 2500.0)
+        assert not detector.expired(100.0 + expiry_ms)
+        detector.observe([], 2600.0)
+        assert not detector.expired(9e9)
--- a/tests/test_lease_verification.py
+++ b/tests/test_lease_verification.py
@@ -15,46 +15,46 @@
 from verification.spending import Trace, most_shared, worst_window
 
 
-def careless(rows, request, *, drop=()):
-    """The ledger without some of its checks."""
-    members = dict(rows.members)
-    if "seq" in drop and request.incarnation in members:
+def apply_without_checks(state, request, *, dropped=()):
+    """The transaction without some of its checks."""
+    members = dict(state.members)
+    if "seq" in dropped and request.incarnation in members:
         members[request.incarnation] = msgspec.structs.replace(members[request.incarnation], seq=-1)
-    if "incarnation" in drop and request.incarnation is not None and request.incarnation not in members:
-        # Whoever says that it was in the fleet is believed, with what it says that it uses.
+    if "incarnation" in dropped and request.incarnation is not None and request.incarnation not in members:
+        # A process that claims to be a member is believed, with the shares that it claims to use.
         members[request.incarnation] = Member(
             request.incarnation, request.name, -1, request.max_members, request.lease_ms, request.in_use
         )
-    if "sign" in drop:
+    if "heartbeat" in dropped:
         request = msgspec.structs.replace(
             request,
             expired=tuple(
-                msgspec.structs.replace(sign, seq=members[sign.incarnation].seq)
-                for sign in request.expired
-                if sign.incarnation in members
+                msgspec.structs.replace(heartbeat, seq=members[heartbeat.incarnation].seq)
+                for heartbeat in request.expired
+                if heartbeat.incarnation in members
             ),
         )
-    after, answer = lease_transaction.apply(
-        FleetState(members, rows.next_incarnation, rows.unreadable), request
+    after, response = lease_transaction.apply(
+        FleetState(members, state.next_incarnation, state.unreadable), request
     )
-    if "order" in drop and answer.incarnation is not None:
-        # The store lowers a share first, and its holder hears of it.
-        member = after.members[answer.incarnation]
-        target = answer.grants["b"].target
+    if "order" in dropped and response.incarnation is not None:
+        # The store lowers a share before its holder does.
+        member = after.members[response.incarnation]
+        target = response.grants["b"].target
         lowered = msgspec.structs.replace(
             member.allocations["b"], held=min(member.allocations["b"].held, target)
         )
-        after.members[answer.incarnation] = msgspec.structs.replace(member, allocations={"b": lowered})
-        answer = msgspec.structs.replace(answer, grants={"b": Grant(lowered.held, target)})
-    return after, answer
+        after.members[response.incarnation] = msgspec.structs.replace(member, allocations={"b": lowered})
+        response = msgspec.structs.replace(response, grants={"b": Grant(lowered.held, target)})
+    return after, response
 
 
 def without(*checks):
-    return lambda rows, request: careless(rows, request, drop=checks)
+    return lambda state, request: apply_without_checks(state, request, dropped=checks)
 
 
 class TestEveryInterleaving:
-    """The program's own holder, watch and ledger, in every order of steps up to some bounds."""
+    """The program's own holder, failure detector and transaction, in every order of steps."""
 
     SLIPPING = Bounds(ticks=3, requests=2, initial_processes=2, delaying=0)
     LATE = Bounds(ticks=0, requests=3, initial_processes=2)
@@ -62,9 +62,9 @@
     LAPSING = Bounds(ticks=3, requests=2, initial_processes=2, delaying=0, clock_slips=0)
 
     @pytest.mark.parametrize("bounds", [SLIPPING, LATE, THREE], ids=["clocks slip", "late", "three"])
-    def test_nothing_sums_to_more_than_the_whole(self, bounds):
-        found = Explorer(Lease(2.0, 1.0, 0.0), bounds).run()
-        assert found.path is None and found.complete and found.states > 5_000
+    def test_shares_never_sum_to_more_than_the_total(self, bounds):
+        exploration = Explorer(Lease(2.0, 1.0, 0.0), bounds).run()
+        assert exploration.path is None and exploration.complete and exploration.states > 5_000
 
     @pytest.mark.parametrize(
         ("lease", "bounds", "apply"),
@@ -73,22 +73,22 @@
             (Lease(2.0, 1.0, 0.0), LATE, without("order")),
             (Lease(2.0, 1.0, 0.0), LATE, without("seq")),
             (Lease(2.0, 1.0, 0.0), LAPSING, without("incarnation")),
-            (Lease(2.0, 1.0, 0.0), LAPSING, without("sign")),
+            (Lease(2.0, 1.0, 0.0), LAPSING, without("heartbeat")),
         ],
         ids=[
             "no margin",
             "the store lowers first",
-            "late ones count",
+            "stale requests count",
             "no incarnation",
-            "renewal overlooked",
+            "renewal ignored",
         ],
     )
-    def test_it_finds_the_fault_where_a_check_is_taken_out(self, lease, bounds, apply):
+    def test_a_violation_is_found_where_a_check_is_removed(self, lease, bounds, apply):
         assert Explorer(lease, bounds, apply).run().path
 
     @given(st.lists(st.integers(0, 10**6), max_size=70))
     @settings(max_examples=150, deadline=None)
-    def test_long_walks_beyond_the_bounds(self, choices):
+    def test_random_walks_beyond_the_bounds(self, choices):
         explorer = Explorer(
             Lease(3.0, 1.0, 0.0), Bounds(ticks=25, requests=20, processes=4, initial_processes=2, delaying=4)
         )
@@ -99,15 +99,15 @@
             assert state.in_use() <= TOTAL
 
 
-class TestChecker:
-    """The proof over traces can fail."""
+class TestTraceInvariants:
+    """The invariants over traces can fail."""
 
     def test_overlapping_shares_are_found(self):
         one = Trace("a", shares=[(0.0, 100.0, 30.0)])
         assert most_shared([one, Trace("b", shares=[(100.0, 200.0, 30.0)])]) == 30.0
         assert most_shared([one, Trace("b", shares=[(99.0, 200.0, 30.0)])]) == 60.0
 
-    def test_a_window_over_the_whole_is_found(self):
+    def test_a_window_above_the_total_is_found(self):
         even = [Trace("a", spent=[100.0 * n for n in range(50)])]
         assert worst_window(even, 10.0, 250.0) <= 1
         assert worst_window([*even, Trace("b", spent=[2000.0 + n for n in range(5)])], 10.0, 250.0) > 2
