--- a/benchmarks/budgets.py
+++ b/benchmarks/budgets.py
@@ -1,8 +1,9 @@
-"""Measures fleet-wide budgets on processes and stand-ins: ``python -m benchmarks.budgets FOLDER``.
+"""Measures fleet-wide budgets on processes and emulators: ``python -m benchmarks.budgets FOLDER``.
 
-Writes ``budgets.csv`` and a chart into the folder: how soon a joining proxy has its share and a dead one's is
-used again, what is used of the whole while one proxy has most of the demand (against equal static parts), the
-store's load by the number of proxies, set-up times, and a schedule of faults over many processes, proved.
+Writes ``budgets.csv`` and a chart into the folder: how soon a joining proxy has its share and a killed one's
+is used again, what is used of the total while one proxy has nine tenths of the demand (against equal static
+quotas), the store's load by the number of proxies, set-up times, and a schedule of faults over many processes
+with the invariants of ``verification.spending``.  The labels of results stay, so that runs compare.
 """
 
 from __future__ import annotations
@@ -20,8 +21,10 @@
 from dataclasses import replace
 from functools import partial
 from pathlib import Path
+from typing import NamedTuple
 
 from canvasplank.counters import Counters
+from canvasplank.fleet.budget_limiter import BudgetKind
 from canvasplank.fleet.config import Budget, Fleet
 from canvasplank.fleet.lease_renewer import LeaseRenewer
 from emulators.budgets import BudgetFleet, Plan
@@ -31,13 +34,23 @@
 from emulators.server import CallServer
 from verification.spending import most_shared, read_trace, used_per_s, worst_window
 
-PLAN = Plan(whole_per_s=160.0, kept_back=0.1, most=128, lease_ms=3000.0, renew_ms=1000.0)
-Row = tuple[str, str, str, float]
+PLAN = Plan(total_per_s=160.0, reserve_fraction=0.1, max_members=128, lease_ms=3000.0, renew_ms=1000.0)
+REACHED = 0.8  # of a share that is due: from there on it counts as reached
+CONCURRENT_STARTS = 8
+
+
+class Measurement(NamedTuple):
+    """One line of the results."""
+
+    what: str
+    variant: str
+    unit: str
+    value: float
 
 
 @asynccontextmanager
 async def sharing(plan: Plan, count: int, *, off: bool = False) -> AsyncIterator[tuple[BudgetFleet, Callers]]:
-    """So many proxies on a stand-in PostgreSQL in this process."""
+    """This number of proxies on an emulated PostgreSQL in this process; ``off``: without budgets."""
     with tempfile.TemporaryDirectory() as folder:
         store = PostgresqlStandIn(Path(folder))
         await store.start()
@@ -51,8 +64,9 @@
                         proxy = await started.proxy(f"n{number}", number)
                         await callers.add_proxy(proxy.address)
                 else:
-                    for first in range(0, count, 8):
-                        await shared.start([f"n{n}" for n in range(first, min(count, first + 8))])
+                    for first in range(0, count, CONCURRENT_STARTS):
+                        last = min(count, first + CONCURRENT_STARTS)
+                        await shared.start([f"n{n}" for n in range(first, last)])
                 yield shared, callers
             finally:
                 await callers.stop()
@@ -61,98 +75,101 @@
 
 
 def share(shared: BudgetFleet, name: str) -> float:
-    """What a proxy told last of its share, a second."""
+    """The share that a proxy logged last, a second."""
     shares = read_trace(shared.proxies[name].log, "all").shares
     return shares[-1][2] if shares else 0.0
 
 
-async def until(holds: Callable[[], bool], most_s: float = 30.0) -> float:
-    """How long until it holds."""
-    began = time.monotonic()
-    while not holds() and time.monotonic() < began + most_s:
+async def until(holds: Callable[[], bool], max_s: float = 30.0) -> float:
+    """Wait until a condition holds, ``max_s`` at most; the seconds that this took."""
+    start_s = time.monotonic()
+    while not holds() and time.monotonic() < start_s + max_s:
         await asyncio.sleep(0.05)
-    return time.monotonic() - began
+    return time.monotonic() - start_s
 
 
-async def joining_and_dying(count: int) -> list[Row]:
-    """How soon a newcomer has four fifths of an even part, and a dead one's share is with the others."""
+async def joining_and_dying(count: int) -> list[Measurement]:
+    """How soon a new proxy has four fifths of an even share, and others have a killed one's."""
     async with sharing(PLAN, count) as (shared, callers):
-        load = asyncio.create_task(callers.offer(2 * PLAN.whole_per_s, 120.0))
-        whole = PLAN.whole_per_s * (1 - PLAN.kept_back)
+        load = asyncio.create_task(callers.offer(2 * PLAN.total_per_s, 120.0))
+        leased_per_s = PLAN.total_per_s * (1 - PLAN.reserve_fraction)
         names = list(shared.proxies)
-        await until(lambda: all(share(shared, n) > 0.8 * whole / count for n in names))
-        began = time.monotonic()
-        await shared.proxy("late")
-        started_s = time.monotonic() - began
-        joined_s = await until(lambda: share(shared, "late") >= 0.8 * whole / (count + 1))
+        await until(lambda: all(share(shared, n) > REACHED * leased_per_s / count for n in names))
+        start_s = time.monotonic()
+        await shared.start_proxy("late")
+        started_s = time.monotonic() - start_s
+        joined_s = await until(lambda: share(shared, "late") >= REACHED * leased_per_s / (count + 1))
         others = [n for n in names if n != "n0"]
         before = sum(share(shared, n) for n in others)
-        gone = share(shared, "n0")
-        await shared.end("n0", signal.SIGKILL)
+        released = share(shared, "n0")
+        await shared.stop_proxy("n0", signal.SIGKILL)
         used_s = await until(
             lambda: (
                 sum(share(shared, n) for n in others)
-                >= before + 0.8 * gone * (len(others) / (len(others) + 1))
+                >= before + REACHED * released * (len(others) / (len(others) + 1))
             )
         )
         load.cancel()
         size = f"{count} proxies"
         return [
-            ("joining: started", size, "s", started_s),
-            ("joining: has its share", size, "s", joined_s),
-            ("dead: its share is used again", size, "s", used_s),
+            Measurement("joining: started", size, "s", started_s),
+            Measurement("joining: has its share", size, "s", joined_s),
+            Measurement("dead: its share is used again", size, "s", used_s),
         ]
 
 
-async def skewed(static: bool) -> list[Row]:
-    """What is used of the whole while one of eight proxies has nine tenths of the calls."""
-    plan = replace(PLAN, kept_back=1.0 if static else PLAN.kept_back, most=8)
+async def skewed(static: bool) -> list[Measurement]:
+    """What is used of the total while one of eight proxies has nine tenths of the calls."""
+    plan = replace(PLAN, reserve_fraction=1.0 if static else PLAN.reserve_fraction, max_members=8)
     async with sharing(plan, 8) as (shared, callers):
         flooded = shared.proxies["n0"].address
         callers.proxies = [flooded] * 63 + list(callers.proxies)[1:]  # nine tenths, and a tenth for the rest
-        load = asyncio.create_task(callers.offer(PLAN.whole_per_s, 14.0))
+        load = asyncio.create_task(callers.offer(PLAN.total_per_s, 14.0))
         await asyncio.sleep(13.5)
         traces = [read_trace(path, "all") for path in shared.logs()]
         newest = max(trace.spent[-1] for trace in traces)
         used = used_per_s(traces, newest - 6000, newest)
         load.cancel()
         variant = "equal static parts" if static else "shares by demand"
-        return [("one of eight has 9/10 of 160 calls/s: used", variant, "calls/s", used)]
+        return [Measurement("one of eight has 9/10 of 160 calls/s: used", variant, "calls/s", used)]
 
 
-async def store_load(count: int) -> list[Row]:
-    """Transactions a second and processor time, with this many agents in one process."""
+async def store_load(count: int) -> list[Measurement]:
+    """Transactions a second and processor time, with this number of lease renewers in one process."""
     with tempfile.TemporaryDirectory() as folder:
         store = PostgresqlStandIn(Path(folder))
         await store.start()
-        settings = Fleet("postgresql", count, [Budget("all", "set-ups", 10.0 * count)], dsn=store.dsn)
-        agents = [LeaseRenewer(settings, f"n{n}", n, Counters()) for n in range(count)]
-        for agent in agents:
-            agent.start()
+        settings = Fleet(
+            "postgresql", count, [Budget("all", BudgetKind.SET_UPS, 10.0 * count)], dsn=store.dsn
+        )
+        renewers = [LeaseRenewer(settings, f"n{n}", n, Counters()) for n in range(count)]
+        for renewer in renewers:
+            renewer.start()
         await asyncio.sleep(8.0)
-        commits, began = store.commits, time.monotonic()
-        cpu = resource.getrusage(resource.RUSAGE_SELF)
+        commits, start_s = store.commits, time.monotonic()
+        usage_before = resource.getrusage(resource.RUSAGE_SELF)
         await asyncio.sleep(6.0)
-        spent_s = time.monotonic() - began
-        after = resource.getrusage(resource.RUSAGE_SELF)
-        per_s = (store.commits - commits) / spent_s
-        cpu_ms = 1000 * (after.ru_utime + after.ru_stime - cpu.ru_utime - cpu.ru_stime) / spent_s / per_s
-        joined = sum(agent.holder.incarnation is not None for agent in agents)
-        for agent in agents:
-            agent._task.cancel()
+        elapsed_s = time.monotonic() - start_s
+        usage = resource.getrusage(resource.RUSAGE_SELF)
+        per_s = (store.commits - commits) / elapsed_s
+        cpu_s = usage.ru_utime + usage.ru_stime - usage_before.ru_utime - usage_before.ru_stime
+        cpu_ms = 1000 * cpu_s / elapsed_s / per_s
+        joined = sum(renewer.holder.incarnation is not None for renewer in renewers)
+        for renewer in renewers:
+            renewer._task.cancel()
         await store.stop()
         size = f"{count} proxies"
         return [
-            ("store: transactions", size, "a second", per_s),
-            ("store: members", size, "", joined),
-            ("store: per proxy", size, "a second", per_s / count),
-            ("store: stand-in and client together", size, "ms of processor a transaction", cpu_ms),
+            Measurement("store: transactions", size, "a second", per_s),
+            Measurement("store: members", size, "", joined),
+            Measurement("store: per proxy", size, "a second", per_s / count),
+            Measurement("store: stand-in and client together", size, "ms of processor a transaction", cpu_ms),
         ]
 
 
-async def set_up_times(variant: str) -> list[Row]:
-    """Set-up times with budgets off, on, and with the store stalled; the budget itself holds nothing back."""
-    plan = replace(PLAN, whole_per_s=4000.0, most=4, kept_back=0.5)
+async def set_up_times(variant: str) -> list[Measurement]:
+    """Set-up times with budgets off, on, and with the store stalled; the budget delays no call."""
+    plan = replace(PLAN, total_per_s=4000.0, max_members=4, reserve_fraction=0.5)
     async with sharing(plan, 4, off=variant == "off") as (shared, callers):
         await asyncio.sleep(2.0)
         shared.store.faults.stalled = variant == "store stalled"
@@ -161,70 +178,75 @@
         took = sorted(1000 * t.took_s for t in callers.tries.values() if t.outcome == "served")
         shared.store.faults.stalled = False
         return [
-            ("set-up time: median", variant, "ms", statistics.median(took)),
-            ("set-up time: 99 %", variant, "ms", took[int(0.99 * len(took))]),
-            ("set-ups served", variant, "of all", len(took) / len(callers.tries)),
+            Measurement("set-up time: median", variant, "ms", statistics.median(took)),
+            Measurement("set-up time: 99 %", variant, "ms", took[int(0.99 * len(took))]),
+            Measurement("set-ups served", variant, "of all", len(took) / len(callers.tries)),
         ]
 
 
-async def faults(count: int) -> list[Row]:
-    """A schedule of faults over many processes, proved by what every one of them said."""
+async def inject_faults(shared: BudgetFleet, count: int) -> None:
+    """Freeze, cut off and kill an eighth each, stall and restart the store, then restart half at once."""
+    await asyncio.sleep(6.0)
+    frozen = [f"n{n}" for n in range(0, count, 8)]
+    for name in frozen:
+        shared.proxies[name].freeze()
+    for name in [f"n{n}" for n in range(1, count, 8)]:
+        shared.links[name].cut()
+    for name in [f"n{n}" for n in range(2, count, 8)]:
+        shared.links[name].cut("back")
+    killed = [f"n{n}" for n in range(3, count, 8)]
+    await asyncio.gather(*(shared.stop_proxy(name, signal.SIGKILL) for name in killed))
+    await shared.start(killed)
+    await asyncio.sleep(5.0)
+    for name in frozen:
+        shared.proxies[name].wake()
+    for link in shared.links.values():
+        link.heal()
+    shared.store.faults.stalled = True
+    await asyncio.sleep(10.0)
+    shared.store.faults.stalled = False
+    await shared.store.restart(1.0)
+    await asyncio.sleep(8.0)
+    await asyncio.gather(*(shared.stop_proxy(f"n{n}", signal.SIGKILL) for n in range(count // 2)))
+    for first in range(0, count // 2, CONCURRENT_STARTS):
+        await shared.start([f"n{n}" for n in range(first, first + CONCURRENT_STARTS)])
+    await asyncio.sleep(8.0)
+
+
+async def faults(count: int) -> list[Measurement]:
+    """A schedule of faults over many processes, and the invariants over the traces of all of them."""
     async with sharing(PLAN, count) as (shared, callers):
-        load = asyncio.create_task(callers.offer(2 * PLAN.whole_per_s, 300.0))
-        await asyncio.sleep(6.0)
-        some = [f"n{n}" for n in range(0, count, 8)]
-        for name in some:
-            shared.proxies[name].freeze()
-        for name in [f"n{n}" for n in range(1, count, 8)]:
-            shared.links[name].cut()
-        for name in [f"n{n}" for n in range(2, count, 8)]:
-            shared.links[name].cut("back")
-        killed = [f"n{n}" for n in range(3, count, 8)]
-        await asyncio.gather(*(shared.end(name, signal.SIGKILL) for name in killed))
-        await shared.start(killed)
-        await asyncio.sleep(5.0)
-        for name in some:
-            shared.proxies[name].wake()
-        for link in shared.links.values():
-            link.heal()
-        shared.store.faults.stalled = True
-        await asyncio.sleep(10.0)
-        shared.store.faults.stalled = False
-        await shared.store.restart(1.0)
-        await asyncio.sleep(8.0)
-        await asyncio.gather(*(shared.end(f"n{n}", signal.SIGKILL) for n in range(count // 2)))
-        for first in range(0, count // 2, 8):
-            await shared.start([f"n{n}" for n in range(first, first + 8)])
-        await asyncio.sleep(8.0)
+        load = asyncio.create_task(callers.offer(2 * PLAN.total_per_s, 300.0))
+        await inject_faults(shared, count)
         load.cancel()
         traces = [read_trace(path, "all") for path in shared.logs()]
         size = f"{count} proxies, {len(traces)} processes"
         return [
-            (
+            Measurement(
                 "faults: most that shares summed to",
                 size,
-                f"of {PLAN.whole_per_s * 0.9:g} a second",
+                f"of {PLAN.total_per_s * 0.9:g} a second",
                 most_shared(traces),
             ),
-            (
+            Measurement(
                 "faults: worst window over the whole",
                 size,
                 f"units, {len(traces)} allowed",
-                worst_window(traces, PLAN.whole_per_s, PLAN.burst_ms),
+                worst_window(traces, PLAN.total_per_s, PLAN.burst_ms),
             ),
-            ("faults: units spent", size, "", float(sum(len(trace.spent) for trace in traces))),
+            Measurement("faults: units spent", size, "", float(sum(len(trace.spent) for trace in traces))),
         ]
 
 
-def chart(rows: list[Row], path: Path) -> None:
-    """The two comparisons that a picture tells best."""
+def chart(measurements: list[Measurement], path: Path) -> None:
+    """Draw the comparisons of use, of the store's load and of the time to a share."""
     import matplotlib
 
     matplotlib.use("svg")
     import matplotlib.pyplot as plt
 
     figure, axes = plt.subplots(1, 3, figsize=(12, 3.2))
-    for axis, what, title in zip(
+    for axis, suffix, title in zip(
         axes,
         ("used", "store: transactions", "has its share"),
         (
@@ -234,38 +256,38 @@
         ),
         strict=True,
     ):
-        found = [(variant, value) for name, variant, _, value in rows if name.endswith(what)]
-        axis.bar([variant for variant, _ in found], [value for _, value in found], color="#4477aa", width=0.5)
+        shown = [each for each in measurements if each.what.endswith(suffix)]
+        axis.bar([each.variant for each in shown], [each.value for each in shown], color="#4477aa", width=0.5)
         axis.set_title(title, fontsize=9)
         axis.tick_params(labelsize=8)
     figure.tight_layout()
     figure.savefig(path)
 
 
-async def measure() -> list[Row]:
-    """Everything, one after another."""
-    rows: list[Row] = []
-    plays: list[Callable[[], Awaitable[list[Row]]]] = [
+async def measure() -> list[Measurement]:
+    """Run all benchmarks, one after another."""
+    measurements: list[Measurement] = []
+    benchmarks: list[Callable[[], Awaitable[list[Measurement]]]] = [
         *(partial(joining_and_dying, count) for count in (8, 32)),
         *(partial(skewed, static) for static in (True, False)),
         *(partial(store_load, count) for count in (8, 64, 256)),
         *(partial(set_up_times, variant) for variant in ("off", "on", "store stalled")),
         partial(faults, 64),
     ]
-    for what in plays:
-        found = await what()
-        for row in found:
-            print(*row, sep="\t", flush=True)
-        rows += found
-    return rows
+    for benchmark in benchmarks:
+        results = await benchmark()
+        for each in results:
+            print(*each, sep="\t", flush=True)
+        measurements += results
+    return measurements
 
 
 def main(folder: str) -> None:
     """Measure, and write the table and the chart."""
-    rows = asyncio.run(measure())
+    measurements = asyncio.run(measure())
     with (Path(folder) / "budgets.csv").open("w", newline="") as file:
-        csv.writer(file).writerows([("what", "variant", "unit", "value"), *rows])
-    chart(rows, Path(folder) / "budgets.svg")
+        csv.writer(file).writerows([Measurement._fields, *measurements])
+    chart(measurements, Path(folder) / "budgets.svg")
 
 
 if __name__ == "__main__":
--- a/emulators/budgets.py
+++ b/emulators/budgets.py
@@ -1,4 +1,4 @@
-"""Proxies that share budgets over a store, with a link of its own between each proxy and the store."""
+"""Proxies that share budgets through a store, each connected to it by an interruptible link of its own."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 from emulators.link import Link
 from emulators.postgresql import PostgresqlStandIn
 
-FILE = """
+CONFIGURATION = """
 backend = "{backend}"
 path = "{path}"
 dsn = "{dsn}"
-proxies_most = {most}
+proxies_most = {max_members}
 lease_ms = {lease_ms}
 renew_ms = {renew_ms}
 request_ms = {renew_ms}
@@ -26,25 +26,25 @@
 [[budget]]
 name = "all"
 kind = "set-ups"
-whole_per_s = {whole_per_s}
-kept_back = {kept_back}
+whole_per_s = {total_per_s}
+kept_back = {reserve_fraction}
 """
 
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """One budget for all set-ups, and the figures of its leases."""
+    """One budget for all set-ups, and the settings of its leases."""
 
-    whole_per_s: float = 80.0
-    kept_back: float = 0.2
-    most: int = 32
+    total_per_s: float = 80.0
+    reserve_fraction: float = 0.2  # of the total, for proxies without a lease
+    max_members: int = 32
     lease_ms: float = 1500.0
     renew_ms: float = 400.0
     burst_ms: float = 250.0
 
 
 class BudgetFleet:
-    """A fleet whose proxies share a budget; on SQLite where there is no PostgreSQL."""
+    """A fleet whose proxies share a budget; in SQLite where it is given no PostgreSQL."""
 
     def __init__(
         self, fleet: Fleet, plan: Plan, callers: Callers, store: PostgresqlStandIn | None = None
@@ -54,12 +54,12 @@
         self.proxies: dict[str, Proxy] = {}
         self._starts = 0
 
-    async def proxy(self, name: str, **environment: str) -> Proxy:
-        """Start one, under a name that may be used already; its newest start is the one kept."""
+    async def start_proxy(self, name: str, **environment: str) -> Proxy:
+        """Start a proxy; where the name is in use already, ``proxies`` has the newer process."""
         self._starts += 1
         tag = f"{name}.{self._starts}"
         path = self.fleet.folder / f"{tag}.toml"
-        path.write_text(await self._file(name))
+        path.write_text(await self._configuration(name))
         proxy = await self.fleet.proxy(
             tag,
             self._starts,
@@ -72,40 +72,40 @@
         await self.callers.add_proxy(proxy.address)
         return proxy
 
-    async def end(self, name: str, how: signal.Signals) -> None:
-        """Signal one and wait for its end; nobody calls it any more."""
+    async def stop_proxy(self, name: str, signal_number: signal.Signals) -> None:
+        """Take a proxy from the callers, signal it and wait for its end."""
         self.callers.drop_proxy(self.proxies[name].address)
-        await self.proxies[name].stop(how)
+        await self.proxies[name].stop(signal_number)
 
     async def start(self, names: list[str]) -> None:
-        """Start these, all at once."""
-        await asyncio.gather(*(self.proxy(name) for name in names))
+        """Start these proxies concurrently."""
+        await asyncio.gather(*(self.start_proxy(name) for name in names))
 
-    async def _file(self, name: str) -> str:
+    async def _configuration(self, name: str) -> str:
         plan, dsn = self.plan, ""
         if self.store is not None:
-            where = urlsplit(self.store.dsn)
+            url = urlsplit(self.store.dsn)
             if name not in self.links:
-                self.links[name] = Link(f"{where.hostname}:{where.port}")
+                self.links[name] = Link(f"{url.hostname}:{url.port}")
                 await self.links[name].start()
-            dsn = where._replace(netloc=f"{where.username}@{self.links[name].address}").geturl()
-        return FILE.format(
+            dsn = url._replace(netloc=f"{url.username}@{self.links[name].address}").geturl()
+        return CONFIGURATION.format(
             backend="sqlite" if self.store is None else "postgresql",
             dsn=dsn,
             path=self.fleet.folder / "fleet.db",
-            most=plan.most,
+            max_members=plan.max_members,
             lease_ms=plan.lease_ms,
             renew_ms=plan.renew_ms,
             burst_ms=plan.burst_ms,
-            whole_per_s=plan.whole_per_s,
-            kept_back=plan.kept_back,
+            total_per_s=plan.total_per_s,
+            reserve_fraction=plan.reserve_fraction,
         )
 
     def logs(self) -> list[Path]:
-        """What every process that ever ran has said."""
+        """The logs of all processes, those that have ended included."""
         return [proxy.log for proxy in self.fleet.proxies]
 
     async def stop(self) -> None:
-        """End the links; the fleet ends its own."""
+        """Stop the links; the proxies belong to the fleet, which stops them."""
         for link in self.links.values():
             await link.stop()
--- a/emulators/tasks.py
+++ b/emulators/tasks.py
@@ -1,26 +1,29 @@
-"""Tasks that belong to a stand-in and end with it."""
+"""Tasks that belong to an emulator and end with it."""
 
 from __future__ import annotations
 
 import asyncio
 from collections.abc import Coroutine
+from typing import Any, TypeVar
+
+Result = TypeVar("Result")
 
 
 class Tasks:
-    """Keeps tasks from being collected while they run, and ends them all."""
+    """Owns tasks: references them while they run, and cancels them at the end."""
 
     def __init__(self) -> None:
-        self._tasks: set[asyncio.Task] = set()
+        self._tasks: set[asyncio.Task[Any]] = set()
 
-    def keep(self, work: Coroutine) -> asyncio.Task:
-        """Have it done beside everything else."""
+    def keep(self, work: Coroutine[Any, Any, Result]) -> asyncio.Task[Result]:
+        """Run a coroutine as a task of this owner."""
         task = asyncio.get_running_loop().create_task(work)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
         return task
 
     async def end(self) -> None:
-        """Cancel what still runs."""
+        """Cancel the tasks that still run, and wait for them."""
         for task in list(self._tasks):
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
--- a/tests/test_budgets_processes.py
+++ b/tests/test_budgets_processes.py
@@ -19,10 +19,10 @@
 
 NAMES = [f"n{number}" for number in range(8)]
 PLAN = Plan()
-LEASED_PER_S = PLAN.whole_per_s * (1 - PLAN.kept_back)
-OFFERED_PER_S = 160.0  # twice the whole: everybody would use all that it may
+LEASED_PER_S = PLAN.total_per_s * (1 - PLAN.reserve_fraction)
+OFFERED_PER_S = 160.0  # twice the total: every proxy would use all that it may
 WAIT_S = 20.0
-USED_LEAST = 50  # units: with fewer a proof that nothing went past the whole tells little
+MIN_UNITS_SPENT = 50  # with fewer, an invariant that holds proves little
 
 
 @asynccontextmanager
@@ -48,7 +48,7 @@
 
 
 async def until(holds, shared, what):
-    """Wait, within bounds, until the shares that the proxies told last are so."""
+    """Wait, within bounds, until a condition holds for the shares that the proxies logged last."""
     try:
         async with asyncio.timeout(WAIT_S):
             while not holds(shares(shared)):
@@ -57,43 +57,43 @@
         pytest.fail(f"{what}: {shares(shared)}")
 
 
-def said(shared) -> list[Trace]:
-    """What every process that ever ran has said of the budget."""
+def traces_of(shared) -> list[Trace]:
+    """The budget's traces of all processes, those that have ended included."""
     return [read_trace(path, "all") for path in shared.logs()]
 
 
 def shares(shared) -> dict[str, float]:
-    """What each living proxy told last of its share, a second."""
+    """The share that each running proxy logged last, a second."""
     traces = {name: read_trace(proxy.log, "all") for name, proxy in shared.proxies.items()}
     return {name: trace.shares[-1][2] for name, trace in traces.items() if trace.shares}
 
 
-async def proved(shared) -> None:
-    """No instant and no window over the whole, by what every process said, once enough was used to tell."""
+async def check_invariants(shared) -> None:
+    """No instant and no window above the total, by the traces of all processes, once enough was spent."""
     async with asyncio.timeout(WAIT_S):
-        while sum(len(trace.spent) for trace in said(shared)) <= USED_LEAST:
+        while sum(len(trace.spent) for trace in traces_of(shared)) <= MIN_UNITS_SPENT:
             await asyncio.sleep(0.05)
-    traces = said(shared)
+    traces = traces_of(shared)
     assert most_shared(traces) <= LEASED_PER_S + 1e-6
-    own = sum(trace.own for trace in traces if trace.spent or trace.shares)
-    assert own <= PLAN.whole_per_s * PLAN.kept_back + 1e-6
-    assert worst_window(traces, PLAN.whole_per_s, PLAN.burst_ms) <= len(traces)
+    unleased_per_s = sum(trace.own for trace in traces if trace.spent or trace.shares)
+    assert unleased_per_s <= PLAN.total_per_s * PLAN.reserve_fraction + 1e-6
+    assert worst_window(traces, PLAN.total_per_s, PLAN.burst_ms) <= len(traces)
 
 
-def all_have(least_per_s, *names):
-    return lambda now: all(now.get(name, 0.0) >= least_per_s for name in names or NAMES)
+def all_have(min_per_s, *names):
+    return lambda now: all(now.get(name, 0.0) >= min_per_s for name in names or NAMES)
 
 
 async def kill_and_reuse(shared):
-    """A killed one's share is used again, by its successor under the same name among others."""
+    """A killed proxy's share is used again, by its successor under the same name among others."""
     await until(all_have(4.0), shared, "all")
-    await shared.end("n0", signal.SIGKILL)
-    await shared.proxy("n0")
+    await shared.stop_proxy("n0", signal.SIGKILL)
+    await shared.start_proxy("n0")
     await until(all_have(4.0, "n0"), shared, "the successor")
 
 
 async def freeze_past_the_lease(shared):
-    """A frozen one's share goes to the others; woken, it joins anew and did no harm."""
+    """A frozen proxy's share goes to the others; woken, it joins anew and has broken no invariant."""
     await until(all_have(4.0), shared, "all")
     frozen = shared.proxies["n1"]
     frozen.freeze()
@@ -104,7 +104,7 @@
 
 
 async def cut_off(shared, *ways):
-    """One that is cut off falls to its part of what is kept back; the others get the rest."""
+    """A proxy that is cut off has only its unleased quota; the others get the rest."""
     await until(all_have(4.0), shared, "all")
     shared.links["n2"].cut(*ways)
     others = [name for name in NAMES if name != "n2"]
@@ -112,13 +112,13 @@
     spent = len(read_trace(shared.proxies["n2"].log, "all").spent)
     await asyncio.sleep(3.0)
     more = len(read_trace(shared.proxies["n2"].log, "all").spent) - spent
-    assert 0 < more <= 3.0 * 0.5 + 2, "its part of what is kept back: half a call a second"
+    assert 0 < more <= 3.0 * 0.5 + 2, "its unleased quota: half a call a second"
     shared.links["n2"].heal()
     await until(all_have(4.0, "n2"), shared, "again")
 
 
 async def reset_after_commit(shared):
-    """Commits whose answers are lost with their connections, again and again."""
+    """Commits whose responses are lost with their connections, several times."""
     for _ in range(6):
         shared.store.faults.drop_after_commit = 3
         await asyncio.sleep(0.4)
@@ -129,19 +129,21 @@
     await until(all_have(4.0), shared, "all, in the end")
 
 
-async def store_stalls(shared):
-    """The store stalls for longer than a lease, then restarts: all on what is kept back, then shares."""
+async def stall_and_restart(shared):
+    """The store stalls for longer than a lease, then restarts: only unleased quotas, then shares."""
     await until(all_have(4.0), shared, "all")
     shared.store.faults.stalled = True
-    await asyncio.sleep(PLAN.lease_ms / 1000)  # no request is out any more that might bring a share
-    lapsed = max(until for trace in said(shared) for _, until, _ in trace.shares)
-    # A part of what is kept back is a unit in two seconds here: so long may a proxy wait for its first.
+    await asyncio.sleep(PLAN.lease_ms / 1000)  # no request is in flight any more that might bring a share
+    expired_ms = max(until_ms for trace in traces_of(shared) for _, until_ms, _ in trace.shares)
+    # An unleased quota is a unit in two seconds here: a proxy may wait so long for its first.
     async with asyncio.timeout(WAIT_S):
-        while steady_ms() < lapsed + 3000 or not used_per_s(said(shared), lapsed, steady_ms()):
+        while steady_ms() < expired_ms + 3000 or not used_per_s(traces_of(shared), expired_ms, steady_ms()):
             await asyncio.sleep(0.05)
-    now, traces = steady_ms(), said(shared)
-    own_per_s, for_s = sum(trace.own for trace in traces), (now - lapsed) / 1000
-    assert used_per_s(traces, lapsed, now) * for_s <= own_per_s * for_s + len(traces), "one saved up each"
+    now_ms, traces = steady_ms(), traces_of(shared)
+    unleased_per_s, for_s = sum(trace.own for trace in traces), (now_ms - expired_ms) / 1000
+    assert used_per_s(traces, expired_ms, now_ms) * for_s <= unleased_per_s * for_s + len(traces), (
+        "one saved up each"
+    )
     shared.store.faults.stalled = False
     await shared.store.restart(0.5)
     await until(all_have(4.0), shared, "again")
@@ -151,15 +153,15 @@
     """All of them killed and started at once, under the names of the dead."""
     await until(all_have(4.0), shared, "all")
     await asyncio.sleep(1.0)
-    await asyncio.gather(*(shared.end(name, signal.SIGKILL) for name in NAMES))
+    await asyncio.gather(*(shared.stop_proxy(name, signal.SIGKILL) for name in NAMES))
     await shared.start(NAMES)
-    await until(all_have(4.0), shared, "all, once the dead ones' leases are over")
+    await until(all_have(4.0), shared, "all, once the killed ones' leases have expired")
 
 
-async def one_leaves(shared):
-    """One that is told to stop gives its share back at once, not after a lease."""
+async def shut_down(shared):
+    """A proxy that is stopped gracefully releases its share at once, not after a lease."""
     await until(all_have(4.0), shared, "all")
-    await shared.end("n3", signal.SIGTERM)
+    await shared.stop_proxy("n3", signal.SIGTERM)
     others = [name for name in NAMES if name != "n3"]
     await until(all_have(8.4, *others), shared, "a seventh each")
     assert not any("fleet.removed" in proxy.text() for proxy in shared.proxies.values())
@@ -168,22 +170,22 @@
 @pytest.mark.parametrize("on_postgresql", [False, True], ids=["sqlite", "postgresql"])
 @pytest.mark.parametrize("fault", [kill_and_reuse, freeze_past_the_lease])
 def test_the_sum_holds_on_either_store(tmp_path, fault, on_postgresql):
-    play(tmp_path, fault, on_postgresql)
+    run_with(tmp_path, fault, on_postgresql)
 
 
-@pytest.mark.parametrize("fault", [cut_off, reset_after_commit, store_stalls, mass_join, one_leaves])
+@pytest.mark.parametrize("fault", [cut_off, reset_after_commit, stall_and_restart, mass_join, shut_down])
 def test_the_sum_holds_through_faults_of_the_store(tmp_path, fault):
-    play(tmp_path, fault, True)
+    run_with(tmp_path, fault, True)
 
 
-def test_the_sum_holds_while_answers_are_cut_off_and_requests_arrive(tmp_path):
-    play(tmp_path, lambda shared: cut_off(shared, "back"), True)
+def test_the_sum_holds_while_responses_are_cut_off_and_requests_arrive(tmp_path):
+    run_with(tmp_path, lambda shared: cut_off(shared, "back"), True)
 
 
-def play(folder, fault, on_postgresql):
+def run_with(folder, fault, on_postgresql):
     async def run():
         async with sharing(folder, on_postgresql) as shared:
             await fault(shared)
-            await proved(shared)
+            await check_invariants(shared)
 
     asyncio.run(run())
