--- a/canvasplank/fleet/state.py
+++ b/canvasplank/fleet/state.py
@@ -15,9 +15,8 @@
 class Allocation(msgspec.Struct, frozen=True):
     """One member's allocation of one budget, in thousandths of a unit a second."""
 
-    total: int = msgspec.field(
-        name="whole"
-    )  # what the fleet may use together, by this member's configuration
+    # What the fleet may use together, by this member's configuration.
+    total: int = msgspec.field(name="whole")
     reserve: int  # of the total, for proxies without a lease
     held: int  # the largest share that it may be using now
     demand: int | None = None  # None: not known yet
