--- a/canvasplank/database/postgresql.py
+++ b/canvasplank/database/postgresql.py
@@ -63,9 +63,9 @@
         try:
             return await operation
         except REJECTIONS as error:
-            raise StoreRefusedError(f"PostgreSQL: {error}") from None
+            raise StoreRefusedError(f"PostgreSQL: {error}") from error
         except FAILURES as error:
-            raise StoreUnavailableError(f"PostgreSQL: {error or type(error).__name__}") from None
+            raise StoreUnavailableError(f"PostgreSQL: {error or type(error).__name__}") from error
 
     @property
     def _open_connection(self) -> asyncpg.Connection:
--- a/canvasplank/database/sqlite.py
+++ b/canvasplank/database/sqlite.py
@@ -52,11 +52,11 @@
         try:
             return await self._thread.run(operation)
         except WorkerThreadBusyError as error:
-            raise StoreUnavailableError(f"SQLite {self._path}: {error}") from None
+            raise StoreUnavailableError(f"SQLite {self._path}: {error}") from error
         except REJECTIONS as error:
-            raise StoreRefusedError(f"SQLite: {error}") from None
+            raise StoreRefusedError(f"SQLite: {error}") from error
         except (sqlite3.Error, NewerSchemaError) as error:
-            raise StoreUnavailableError(f"SQLite {self._path}: {error}") from None
+            raise StoreUnavailableError(f"SQLite {self._path}: {error}") from error
 
     @property
     def _open_connection(self) -> sqlite3.Connection:
--- a/tests/test_project_rules.py
+++ b/tests/test_project_rules.py
@@ -110,6 +110,7 @@
     "runtime.worker_thread",
     "database.errors",
     "database.location",
+    "database.statements",
     "database.migrations",
     "database.sqlite",
     "database.postgresql",
