--- a/benchmarks/ownership.py
+++ b/benchmarks/ownership.py
@@ -218,7 +218,7 @@
 
 async def _waits(play: Play) -> bool:
     with contextlib.suppress(StoreUnavailableError):
-        return bool(await play.fleet.read(usage_ledger.TO_EXPORT))
+        return bool(await play.fleet.read(usage_ledger.SELECT_UNEXPORTED))
     await play.fleet.open()
     return True
 
--- a/canvasplank/cli.py
+++ b/canvasplank/cli.py
@@ -136,10 +136,10 @@
     """Do the fleet's work: close periods of the usage ledger, export them, remove old records."""
     from canvasplank.runtime import structured_logging
     from canvasplank.worker.config import load_work
-    from canvasplank.worker.task_runner import Worker
+    from canvasplank.worker.task_runner import TaskRunner
 
     async def run() -> None:
-        await Worker(load_fleet(path), load_work(work_path), name, secrets.randbits(32)).run()
+        await TaskRunner(load_fleet(path), load_work(work_path), name, secrets.randbits(32)).run()
 
     try:
         structured_logging.configure(os.environ.get("CANVASPLANK_LOG", "human"))
--- a/canvasplank/worker/__init__.py
+++ b/canvasplank/worker/__init__.py
@@ -1,1 +1,1 @@
-"""Work on behalf of the whole fleet, one owner at a time: the usage ledger, its export, housekeeping."""
+"""The worker process: tasks that one leader at a time runs for the fleet."""
--- a/canvasplank/worker/export_files.py
+++ b/canvasplank/worker/export_files.py
@@ -1,7 +1,7 @@
-"""A closing's file: whole or not there, once, and the same bytes whoever writes it.
+"""Export files of the usage ledger: published atomically and once, with the same bytes whoever writes them.
 
-A hidden file is written and synced, then linked under its name.  A link never replaces what is there, so a
-late owner cannot put an old file back.
+A hidden partial file is written and synced, then linked under its final name.  A link never replaces an
+existing file, so a former leader that resumes late cannot restore an old file.
 """
 
 from __future__ import annotations
@@ -13,77 +13,84 @@
 from datetime import UTC, datetime
 from pathlib import Path
 
-from canvasplank.worker.usage_ledger import Sum
+from canvasplank.worker.usage_ledger import UsageSum
 
-MARK = ".canvasplank-usage"  # a folder with this in it is ours
+FOLDER_MARKER = ".canvasplank-usage"  # marks a folder as an export folder
 COLUMNS = ("period_start", "member", "class_name", "final", "correction", "calls")
 
 
-class FolderError(Exception):
-    """The export folder cannot be used; the message says why, in one line."""
+class ExportFolderError(Exception):
+    """The export folder cannot be used; the message gives the reason in one line."""
 
 
-class ContentError(Exception):
-    """A closing's file is there with other content: nobody of ours wrote that."""
+class ExportConflictError(Exception):
+    """An export file exists with other content, which no worker has written."""
 
 
-def claim(folder: Path) -> None:
-    """See that the folder is ours to write to; one that holds something else is left alone."""
+def claim_folder(folder: Path) -> None:
+    """Mark an empty folder as the export folder, or check that it is marked and writable.
+
+    Raises ``ExportFolderError``; a folder that holds other files is never written to.
+    """
     try:
         names = {path.name for path in folder.iterdir()}
-        if MARK not in names:
+        if FOLDER_MARKER not in names:
             if names:
-                raise FolderError(f"{folder} holds what is not ours: {min(names)}")
-            (folder / MARK).write_text("exports of the usage ledger\n")
+                raise ExportFolderError(f"{folder} holds what is not ours: {min(names)}")
+            (folder / FOLDER_MARKER).write_text("exports of the usage ledger\n")
         if not os.access(folder, os.W_OK):
-            raise FolderError(f"{folder} cannot be written to")
+            raise ExportFolderError(f"{folder} cannot be written to")
     except OSError as error:
-        raise FolderError(f"{folder}: {error.strerror}") from None
+        raise ExportFolderError(f"{folder}: {error.strerror}") from None
 
 
-def as_csv(sums: Sequence[Sum], period_ms: int) -> bytes:
-    """Lines with a header."""
+def to_csv(sums: Sequence[UsageSum], period_ms: int) -> bytes:
+    """The sums as CSV with a header line; ``period_start`` is an ISO 8601 time in UTC."""
     text = io.StringIO(newline="")
     writer = csv.writer(text, lineterminator="\n")
     writer.writerow(COLUMNS)
-    for each in sums:
-        start = datetime.fromtimestamp(each.period * period_ms / 1000, UTC)
-        rest = (getattr(each, name) for name in COLUMNS[1:])
+    for entry in sums:
+        start = datetime.fromtimestamp(entry.period * period_ms / 1000, UTC)
+        rest = (getattr(entry, name) for name in COLUMNS[1:])
         writer.writerow((start.isoformat(), *rest))
     return text.getvalue().encode()
 
 
-def as_parquet(sums: Sequence[Sum], period_ms: int) -> bytes:
-    """The same columns, by pyarrow, which is imported only here."""
+def to_parquet(sums: Sequence[UsageSum], period_ms: int) -> bytes:
+    """The sums as Parquet with the same columns; pyarrow is imported only here."""
     import pyarrow
     from pyarrow import parquet
 
-    starts = pyarrow.array([each.period * period_ms for each in sums], pyarrow.timestamp("ms", "UTC"))
-    rest = {name: [getattr(each, name) for each in sums] for name in COLUMNS[1:]}
+    starts = pyarrow.array([entry.period * period_ms for entry in sums], pyarrow.timestamp("ms", "UTC"))
+    rest = {name: [getattr(entry, name) for entry in sums] for name in COLUMNS[1:]}
     sink = pyarrow.BufferOutputStream()
     parquet.write_table(pyarrow.table({"period_start": starts, **rest}), sink, compression="none")
     return sink.getvalue().to_pybytes()
 
 
-FORMATS: dict[str, Callable[[Sequence[Sum], int], bytes]] = {"csv": as_csv, "parquet": as_parquet}
+ENCODERS: dict[str, Callable[[Sequence[UsageSum], int], bytes]] = {"csv": to_csv, "parquet": to_parquet}
+
 
+def publish(folder: Path, name: str, content: bytes, pause_point: Callable[[str], None]) -> bool:
+    """Publish the file durably; False if it exists already with the same content.
 
-def publish(folder: Path, name: str, content: bytes, pause: Callable[[str], None]) -> bool:
-    """Have the file be there; False: it was already, and holds the same."""
-    hidden = folder / f".{name}.{os.getpid()}"
-    with hidden.open("wb") as file:
+    ``pause_point`` is called between the write and the link (see ``task_runner.pause_at``).  Raises
+    ``ExportConflictError`` if the file exists with other content.
+    """
+    partial = folder / f".{name}.{os.getpid()}"
+    with partial.open("wb") as file:
         file.write(content)
         file.flush()
         os.fsync(file.fileno())
-    pause("export:written")
+    pause_point("export:written")
     try:
-        os.link(hidden, folder / name)
+        os.link(partial, folder / name)
     except FileExistsError:
         if (folder / name).read_bytes() != content:
-            raise ContentError(f"{folder / name} is there with other content") from None
+            raise ExportConflictError(f"{folder / name} is there with other content") from None
         return False
     finally:
-        hidden.unlink(missing_ok=True)
+        partial.unlink(missing_ok=True)
     descriptor = os.open(folder, os.O_RDONLY)
     try:
         os.fsync(descriptor)
@@ -92,7 +99,7 @@
     return True
 
 
-def sweep(folder: Path) -> None:
-    """Remove hidden files that a killed writer has left; one that is being written is written anew."""
+def remove_partial_files(folder: Path) -> None:
+    """Remove the partial files of killed writers; a writer that is still alive writes its own again."""
     for path in folder.glob(".usage-*"):
         path.unlink(missing_ok=True)
--- a/canvasplank/worker/task_runner.py
+++ b/canvasplank/worker/task_runner.py
@@ -1,7 +1,8 @@
-"""A process that does the fleet's work: ``canvasplank worker``.
+"""The process that runs the fleet's tasks: ``canvasplank worker``.
 
-It is in the fleet like a proxy, without budgets, and owns tasks under terms.  Whatever it does for one is
-done under the term that it was given: the store refuses the effect where that is over, however sure it is.
+It is a member of the fleet like a proxy, without budgets, and leads tasks under fencing tokens.  Every
+transaction for a task names its token: the store rejects it once the term has ended, whatever this process
+still believes.
 """
 
 from __future__ import annotations
@@ -23,79 +24,85 @@
 from canvasplank.fleet.lease_renewer import LeaseRenewer
 from canvasplank.runtime.structured_logging import log_event
 from canvasplank.runtime.worker_thread import WorkerThread, WorkerThreadBusyError
-from canvasplank.store import schema as records
+from canvasplank.store import schema as store_schema
 from canvasplank.worker import export_files, usage_ledger
-from canvasplank.worker.config import Work
-from canvasplank.worker.export_files import ContentError, FolderError
-from canvasplank.worker.usage_ledger import Statement, Sum
+from canvasplank.worker.config import WorkerSettings
+from canvasplank.worker.export_files import ExportConflictError, ExportFolderError
+from canvasplank.worker.usage_ledger import Statement, UsageSum
 
 LOG = logging.getLogger(__name__)
-MS = 1000.0
-LEAVE_S = 1.0
+MS_PER_S = 1000.0
+HANDOVER_TIMEOUT_S = 1.0  # bound on leaving the fleet at the end
 CLOSE, EXPORT, RETAIN = TASKS = ("close", "export", "retain")
 
 
-def pause(point: str) -> None:
-    """Stop here where ``CANVASPLANK_PAUSE`` names this point, until told to go on: for experiments."""
+def pause_at(point: str) -> None:
+    """Stop the process (SIGSTOP) if ``CANVASPLANK_PAUSE`` names this point: for tests and experiments."""
     if os.environ.get("CANVASPLANK_PAUSE") == point:
         log_event(LOG, "worker.paused", point=point)
         os.kill(os.getpid(), signal.SIGSTOP)
 
 
-class Worker:
-    """One worker process."""
+class TaskRunner:
+    """Polls the tasks that this process leads, and runs what is due."""
 
-    def __init__(self, fleet: Fleet, work: Work, name: str, seed: int) -> None:
-        self._work = work
-        self._folder = Path(work.folder)
+    def __init__(self, fleet: Fleet, settings: WorkerSettings, name: str, seed: int) -> None:
+        self._settings = settings
+        self._folder = Path(settings.export_folder)
         self._renewer = LeaseRenewer(fleet, name, seed, Counters(), works=TASKS)
         self._backend: Backend = fleet.create_backend()
-        self._schemas: tuple[Schema, ...] = (records.SCHEMA, usage_ledger.SCHEMA)
-        self._open = False
+        self._schemas: tuple[Schema, ...] = (store_schema.SCHEMA, usage_ledger.SCHEMA)
+        self._connected = False
         self._thread = WorkerThread("export")
-        self._steps: dict[str, Callable[[FencingToken], Awaitable[bool]]] = {
+        self._handlers: dict[str, Callable[[FencingToken], Awaitable[bool]]] = {
             CLOSE: self._close,
             EXPORT: self._export,
             RETAIN: self._retain,
         }
-        self._stopping = asyncio.Event()
-        self._closed_ms = float("-inf")  # when this one closed last, by its steady clock
+        self._stop_requested = asyncio.Event()
+        self._last_closing_ms = float("-inf")  # of this process, by the monotonic clock
 
     async def run(self) -> None:
-        """Work until told to stop; then hand everything over at once."""
+        """Run until SIGTERM or SIGINT; then hand all tasks over at once."""
         loop = asyncio.get_running_loop()
         for number in (signal.SIGTERM, signal.SIGINT):
-            loop.add_signal_handler(number, self._stopping.set)
+            loop.add_signal_handler(number, self._stop_requested.set)
         self._renewer.start()
-        while not self._stopping.is_set():
+        while not self._stop_requested.is_set():
             for token in self._renewer.leadership.tokens():
-                await self._do(token)
+                await self._run_task(token)
             with contextlib.suppress(TimeoutError):
-                async with asyncio.timeout(self._work.look_ms / MS):
-                    await self._stopping.wait()
-        await self._renewer.close(LEAVE_S)
+                async with asyncio.timeout(self._settings.poll_interval_ms / MS_PER_S):
+                    await self._stop_requested.wait()
+        await self._renewer.close(HANDOVER_TIMEOUT_S)
         await self._backend.close()
 
-    async def _do(self, token: FencingToken) -> None:
-        """One look at a task: what it comes to is told the fleet, or refused by it."""
+    async def _run_task(self, token: FencingToken) -> None:
+        """Run a task once, and report its success or failure to the task leadership."""
         leadership = self._renewer.leadership
         try:
-            if not self._open:
-                await self._prepare()
-            progressed = await self._steps[token.task](token)
+            if not self._connected:
+                await self._connect()
+            progressed = await self._handlers[token.task](token)
         except StaleTermError as refused:
             leadership.on_stale(token)
             log_event(LOG, "worker.refused", text=f"refused: {refused}", task=token.task, term=token.term)
         except (StoreUnavailableError, TimeoutError) as error:
-            # Guards against taking the store's trouble for this worker's: elsewhere it would be no better.
-            self._open = False
+            # Not a failure of the task: another worker could not reach the store either.
+            self._connected = False
             log_event(
                 LOG,
                 "worker.waits",
                 text=f"{token.task}: the store does not answer: {error}",
                 task=token.task,
             )
-        except (StoreRefusedError, FolderError, ContentError, WorkerThreadBusyError, OSError) as error:
+        except (
+            StoreRefusedError,
+            ExportFolderError,
+            ExportConflictError,
+            WorkerThreadBusyError,
+            OSError,
+        ) as error:
             leadership.failed(token)
             log_event(
                 LOG,
@@ -109,63 +116,73 @@
             if progressed:
                 log_event(LOG, "worker.did", text=f"{token.task}: done", task=token.task, term=token.term)
 
-    async def _prepare(self) -> None:
+    async def _connect(self) -> None:
         await self._backend.open()
         for each in self._schemas:
             await self._backend.migrate(each)
-        self._open = True
+        self._connected = True
 
     # ------------------------------------------------------------------------------------ the tasks
 
     async def _close(self, token: FencingToken) -> bool:
-        work = self._work
-        [(found,)] = await self._backend.read(usage_ledger.LAST_CLOSED)
+        settings = self._settings
+        [(found,)] = await self._backend.read(usage_ledger.SELECT_LAST_CLOSING)
         last = None if found is None else int(found)
-        late = time.monotonic() * MS >= self._closed_ms + work.period_ms
-        made = usage_ledger.next_closing(time.time() * MS, work.period_ms, work.grace_ms, last, late)
-        if made is None:
+        overdue = time.monotonic() * MS_PER_S >= self._last_closing_ms + settings.period_ms
+        closing = usage_ledger.next_closing(
+            time.time() * MS_PER_S, settings.period_ms, settings.grace_ms, last, overdue
+        )
+        if closing is None:
             return False
-        [(waiting,)] = await self._backend.read(usage_ledger.WAITING, (made.before_ms, int(work.repeat_ms)))
+        [(waiting,)] = await self._backend.read(
+            usage_ledger.COUNT_CLOSABLE, (closing.before_ms, int(settings.repeat_window_ms))
+        )
         if not int(waiting):
             return False
-        pause("close:decided")
-        self._closed_ms = time.monotonic() * MS
-        statements = usage_ledger.closing(made, work.period_ms, int(work.repeat_ms), last, token.term)
-        await self._backend.execute_fenced(token, _paused(statements, "close:written"))
-        pause("close:committed")
+        pause_at("close:decided")
+        self._last_closing_ms = time.monotonic() * MS_PER_S
+        statements = usage_ledger.closing_statements(
+            closing, settings.period_ms, int(settings.repeat_window_ms), last, token.term
+        )
+        await self._backend.execute_fenced(token, _pause_after(statements, "close:written"))
+        pause_at("close:committed")
         return True
 
     async def _export(self, token: FencingToken) -> bool:
-        waiting = await self._backend.read(usage_ledger.TO_EXPORT)
+        waiting = await self._backend.read(usage_ledger.SELECT_UNEXPORTED)
         for (number,) in waiting:
-            sums = [Sum(*row) for row in await self._backend.read(usage_ledger.SUMS, (int(number),))]
-            pause("export:read")
+            sums = [
+                UsageSum(*row) for row in await self._backend.read(usage_ledger.SELECT_SUMS, (int(number),))
+            ]
+            pause_at("export:read")
             await self._thread.run(lambda sums=sums, number=number: self._publish(int(number), sums))
-            pause("export:linked")
-            await self._backend.execute_fenced(token, usage_ledger.exported(int(number), token.term))
-            pause("export:marked")
+            pause_at("export:linked")
+            await self._backend.execute_fenced(
+                token, usage_ledger.mark_exported_statements(int(number), token.term)
+            )
+            pause_at("export:marked")
         return bool(waiting)
 
-    def _publish(self, number: int, sums: list[Sum]) -> None:
-        export_files.claim(self._folder)
-        export_files.sweep(self._folder)
-        for form in self._work.formats:
-            content = export_files.FORMATS[form](sums, self._work.period_ms)
-            export_files.publish(self._folder, f"usage-{number}.{form}", content, pause)
+    def _publish(self, number: int, sums: list[UsageSum]) -> None:
+        export_files.claim_folder(self._folder)
+        export_files.remove_partial_files(self._folder)
+        for format_name in self._settings.export_formats:
+            content = export_files.ENCODERS[format_name](sums, self._settings.period_ms)
+            export_files.publish(self._folder, f"usage-{number}.{format_name}", content, pause_at)
 
     async def _retain(self, token: FencingToken) -> bool:
-        before_ms = int(time.time() * MS - self._work.keep_ms)
-        [(old,)] = await self._backend.read(usage_ledger.TO_REMOVE, (before_ms,))
+        before_ms = int(time.time() * MS_PER_S - self._settings.retention_ms)
+        [(old,)] = await self._backend.read(usage_ledger.COUNT_EXPIRED, (before_ms,))
         if not int(old):
             return False
-        pause("retain:decided")
+        pause_at("retain:decided")
         await self._backend.execute_fenced(
-            token, _paused(usage_ledger.retention(before_ms), "retain:written")
+            token, _pause_after(usage_ledger.retention_statements(before_ms), "retain:written")
         )
         return True
 
 
-def _paused(statements: Iterator[Statement], point: str) -> Iterator[Statement]:
-    """Effects, and a point after the last of them, before the commit."""
+def _pause_after(statements: Iterator[Statement], point: str) -> Iterator[Statement]:
+    """The statements, then a pause point before their commit."""
     yield from statements
-    pause(point)
+    pause_at(point)
--- a/tests/test_ownership.py
+++ b/tests/test_ownership.py
@@ -32,7 +32,7 @@
 from canvasplank.store.sqlite import Sqlite
 from canvasplank.worker import export_files, usage_ledger
 from canvasplank.worker.config import load_work
-from canvasplank.worker.usage_ledger import Closing, Sum, next_closing
+from canvasplank.worker.usage_ledger import Closing, UsageSum, next_closing
 from emulators.link import Link
 from emulators.postgresql import PostgresqlStandIn
 
@@ -176,9 +176,9 @@
                     ]
                 )
                 await fleet.execute_fenced(
-                    token, usage_ledger.closing(Closing(0, 1000), 1000, 300, None, token.term)
+                    token, usage_ledger.closing_statements(Closing(0, 1000), 1000, 300, None, token.term)
                 )
-                assert await sums(fleet, 0) == [Sum(0, "acme", "low", "served", 0, 11)]
+                assert await sums(fleet, 0) == [UsageSum(0, "acme", "low", "served", 0, 11)]
                 await store.write(
                     [
                         self.record(50, 700, member=None),
@@ -187,20 +187,20 @@
                     ]
                 )
                 await fleet.execute_fenced(
-                    token, usage_ledger.closing(Closing(1, 2000), 1000, 300, 0, token.term)
+                    token, usage_ledger.closing_statements(Closing(1, 2000), 1000, 300, 0, token.term)
                 )
                 assert await sums(fleet, 1) == [
-                    Sum(0, "", "low", "served", 1, 1),
-                    Sum(1, "acme", "low", "refused", 0, 1),
+                    UsageSum(0, "", "low", "served", 1, 1),
+                    UsageSum(1, "acme", "low", "refused", 0, 1),
                 ]
                 with pytest.raises(StoreRefusedError):
                     await fleet.execute_fenced(
-                        token, usage_ledger.closing(Closing(1, 2000), 1000, 300, 0, token.term)
+                        token, usage_ledger.closing_statements(Closing(1, 2000), 1000, 300, 0, token.term)
                     )
-                await fleet.execute_fenced(token, usage_ledger.retention(10_000))
+                await fleet.execute_fenced(token, usage_ledger.retention_statements(10_000))
                 assert len(await fleet.read("SELECT call_id FROM call_outcome")) == 16, "nothing is exported"
-                await fleet.execute_fenced(token, usage_ledger.exported(0, token.term))
-                await fleet.execute_fenced(token, usage_ledger.retention(10_000))
+                await fleet.execute_fenced(token, usage_ledger.mark_exported_statements(0, token.term))
+                await fleet.execute_fenced(token, usage_ledger.retention_statements(10_000))
                 assert len(await fleet.read("SELECT call_id FROM call_outcome")) == 3
 
         asyncio.run(run())
@@ -226,17 +226,17 @@
                     ]
                 )
                 await fleet.execute_fenced(
-                    token, usage_ledger.closing(Closing(0, 1000), 1000, 300, None, token.term)
+                    token, usage_ledger.closing_statements(Closing(0, 1000), 1000, 300, None, token.term)
                 )
                 assert await sums(fleet, 0) == [
-                    Sum(0, "acme", "low", "failed", 0, 3),
-                    Sum(0, "acme", "low", "served", 0, 2),
+                    UsageSum(0, "acme", "low", "failed", 0, 3),
+                    UsageSum(0, "acme", "low", "served", 0, 2),
                 ]
                 await store.write([tried(9, 1100, "served", "c")])  # the repeat of one near the period's end
                 await fleet.execute_fenced(
-                    token, usage_ledger.closing(Closing(1, 2000), 1000, 300, 0, token.term)
+                    token, usage_ledger.closing_statements(Closing(1, 2000), 1000, 300, 0, token.term)
                 )
-                assert await sums(fleet, 1) == [Sum(1, "acme", "low", "served", 0, 1)]
+                assert await sums(fleet, 1) == [UsageSum(1, "acme", "low", "served", 0, 1)]
 
         asyncio.run(run())
 
@@ -249,9 +249,9 @@
                 late = token._replace(term=token.term - 1)
                 with pytest.raises(StaleTermError, match="term 0 of close is over"):
                     await fleet.execute_fenced(
-                        late, usage_ledger.closing(Closing(0, 1000), 1000, 300, None, late.term)
+                        late, usage_ledger.closing_statements(Closing(0, 1000), 1000, 300, None, late.term)
                     )
-                assert await fleet.read(usage_ledger.LAST_CLOSED) == [(None,)]
+                assert await fleet.read(usage_ledger.SELECT_LAST_CLOSING) == [(None,)]
 
         asyncio.run(run())
 
@@ -274,21 +274,21 @@
 class TestFiles:
     """Whole or not there, once."""
 
-    SUMS = (Sum(0, "acme", "low", "served", 0, 11), Sum(0, "", "low", "failed", 1, 2))
+    SUMS = (UsageSum(0, "acme", "low", "served", 0, 11), UsageSum(0, "", "low", "failed", 1, 2))
 
     def publish(self, folder, content, pause=lambda point: None):
         return export_files.publish(folder, "usage-0.csv", content, pause)
 
     def test_both_formats_hold_the_same(self, tmp_path):
-        (tmp_path / "u.parquet").write_bytes(export_files.as_parquet(self.SUMS, 3_600_000))
+        (tmp_path / "u.parquet").write_bytes(export_files.to_parquet(self.SUMS, 3_600_000))
         table = parquet.read_table(tmp_path / "u.parquet").to_pylist()
-        lines = list(csv.DictReader(export_files.as_csv(self.SUMS, 3_600_000).decode().splitlines()))
+        lines = list(csv.DictReader(export_files.to_csv(self.SUMS, 3_600_000).decode().splitlines()))
         assert [str(row["calls"]) for row in table] == [line["calls"] for line in lines] == ["11", "2"]
         assert lines[0]["period_start"] == "1970-01-01T00:00:00+00:00" == table[0]["period_start"].isoformat()
 
     def test_what_is_there_is_never_replaced(self, tmp_path):
         assert self.publish(tmp_path, b"one") and not self.publish(tmp_path, b"one")
-        with pytest.raises(export_files.ContentError):
+        with pytest.raises(export_files.ExportConflictError):
             self.publish(tmp_path, b"other")
         assert [path.name for path in tmp_path.iterdir()] == ["usage-0.csv"]
 
@@ -299,15 +299,15 @@
         with pytest.raises(KeyboardInterrupt):
             self.publish(tmp_path, b"one", die)
         (tmp_path / ".usage-0.csv.99").write_bytes(b"on")
-        export_files.sweep(tmp_path)
+        export_files.remove_partial_files(tmp_path)
         assert not list(tmp_path.iterdir())
 
     def test_a_folder_that_is_not_ours_is_left_alone(self, tmp_path):
         (tmp_path / "somebody's").touch()
-        with pytest.raises(export_files.FolderError, match="holds what is not ours"):
-            export_files.claim(tmp_path)
-        with pytest.raises(export_files.FolderError, match="No such file"):
-            export_files.claim(tmp_path / "nowhere")
+        with pytest.raises(export_files.ExportFolderError, match="holds what is not ours"):
+            export_files.claim_folder(tmp_path)
+        with pytest.raises(export_files.ExportFolderError, match="No such file"):
+            export_files.claim_folder(tmp_path / "nowhere")
 
 
 @pytest.mark.parametrize(
@@ -370,7 +370,7 @@
 
 
 async def sums(fleet, period):
-    return [Sum(*row) for row in await fleet.read(usage_ledger.SUMS, (period,))]
+    return [UsageSum(*row) for row in await fleet.read(usage_ledger.SELECT_SUMS, (period,))]
 
 
 class Workers:
@@ -448,7 +448,9 @@
     """Wait until files hold so many calls; then see that nothing more comes."""
     try:
         async with asyncio.timeout(WAIT_S):
-            while sum(workers.exported().values()) < count or await fleet.read(usage_ledger.TO_EXPORT):
+            while sum(workers.exported().values()) < count or await fleet.read(
+                usage_ledger.SELECT_UNEXPORTED
+            ):
                 await asyncio.sleep(0.1)
     except TimeoutError:
         logs = {name: workers.log(name)[-1500:] for name in workers.processes}
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -45,7 +45,7 @@
 from canvasplank.warm_start.peer_snapshot import Learned, PeerView
 from canvasplank.warm_start.start_hints import exported
 from canvasplank.worker import export_files, usage_ledger
-from canvasplank.worker.usage_ledger import Sum
+from canvasplank.worker.usage_ledger import UsageSum
 
 STORED = Path(__file__).parent / "fixtures" / "stored"
 START_MS = 1_800_000_000_000  # Unix time of the first record
@@ -135,8 +135,10 @@
     )
     closing = FencingToken("close", 1, 3)
     made = usage_ledger.Closing(PERIOD, (PERIOD + 1) * PERIOD_MS)
-    await fleet.execute_fenced(closing, usage_ledger.closing(made, PERIOD_MS, REPEAT_MS, None, closing.term))
-    await fleet.execute_fenced(FencingToken("export", 1, 3), usage_ledger.exported(PERIOD, 1))
+    await fleet.execute_fenced(
+        closing, usage_ledger.closing_statements(made, PERIOD_MS, REPEAT_MS, None, closing.term)
+    )
+    await fleet.execute_fenced(FencingToken("export", 1, 3), usage_ledger.mark_exported_statements(PERIOD, 1))
     await fleet.close()
     await store.close()
 
@@ -165,9 +167,9 @@
 
 
 SUMS = [
-    Sum(PERIOD, "", "reading", "failed", 0, 2),
-    Sum(PERIOD, "acme", "reading", "served", 0, 1),
-    Sum(PERIOD - 1, "acme", "reading", "refused", 1, 3),
+    UsageSum(PERIOD, "", "reading", "failed", 0, 2),
+    UsageSum(PERIOD, "acme", "reading", "served", 0, 1),
+    UsageSum(PERIOD - 1, "acme", "reading", "refused", 1, 3),
 ]
 
 
@@ -249,30 +251,33 @@
 
 
 def test_the_usage_ledger_is_read_and_closed_again(tmp_path):
-    async def close_next() -> tuple[list[Sum], list[Sum]]:
+    async def close_next() -> tuple[list[UsageSum], list[UsageSum]]:
         fleet = FleetSqlite(str(restored("fleet.db", tmp_path)))
         await fleet.open()
         try:
             await fleet.migrate(usage_ledger.SCHEMA)
-            first = [Sum(*row) for row in await fleet.read(usage_ledger.SUMS, (PERIOD,))]
-            assert await fleet.read(usage_ledger.LAST_CLOSED) == [(PERIOD,)]
+            first = [UsageSum(*row) for row in await fleet.read(usage_ledger.SELECT_SUMS, (PERIOD,))]
+            assert await fleet.read(usage_ledger.SELECT_LAST_CLOSING) == [(PERIOD,)]
             made = usage_ledger.Closing(PERIOD + 1, (PERIOD + 2) * PERIOD_MS)
             await fleet.execute_fenced(
-                FencingToken("close", 1, 3), usage_ledger.closing(made, PERIOD_MS, REPEAT_MS, PERIOD, 1)
+                FencingToken("close", 1, 3),
+                usage_ledger.closing_statements(made, PERIOD_MS, REPEAT_MS, PERIOD, 1),
             )
-            return first, [Sum(*row) for row in await fleet.read(usage_ledger.SUMS, (PERIOD + 1,))]
+            return first, [
+                UsageSum(*row) for row in await fleet.read(usage_ledger.SELECT_SUMS, (PERIOD + 1,))
+            ]
         finally:
             await fleet.close()
 
     first, second = asyncio.run(close_next())
     assert first == [
-        Sum(PERIOD, "", "reading", "failed", 0, 1),
-        Sum(PERIOD, "", "reading", "given_up", 0, 1),
-        Sum(PERIOD, "", "reading", "served", 0, 1),
-        Sum(PERIOD, "acme", "reading", "refused", 0, 1),
-        Sum(PERIOD, "acme", "reading", "served", 0, 1),
+        UsageSum(PERIOD, "", "reading", "failed", 0, 1),
+        UsageSum(PERIOD, "", "reading", "given_up", 0, 1),
+        UsageSum(PERIOD, "", "reading", "served", 0, 1),
+        UsageSum(PERIOD, "acme", "reading", "refused", 0, 1),
+        UsageSum(PERIOD, "acme", "reading", "served", 0, 1),
     ]
-    assert second == [Sum(PERIOD + 1, "zenith", "reading", "served", 0, 1)]
+    assert second == [UsageSum(PERIOD + 1, "zenith", "reading", "served", 0, 1)]
 
 
 def test_the_records_of_calls_are_read(tmp_path):
@@ -368,7 +373,7 @@
 
 def test_an_export_as_csv_stays():
     data = (STORED / "usage.csv").read_bytes()
-    assert export_files.as_csv(SUMS, PERIOD_MS) == data
+    assert export_files.to_csv(SUMS, PERIOD_MS) == data
     assert next(csv.reader(io.StringIO(data.decode()))) == [
         "period_start",
         "member",
@@ -381,7 +386,7 @@
 
 def test_an_export_as_parquet_stays():
     stored = parquet.read_table(STORED / "usage.parquet")
-    assert parquet.read_table(pyarrow.BufferReader(export_files.as_parquet(SUMS, PERIOD_MS))).equals(stored)
+    assert parquet.read_table(pyarrow.BufferReader(export_files.to_parquet(SUMS, PERIOD_MS))).equals(stored)
     assert stored.column_names == ["period_start", "member", "class_name", "final", "correction", "calls"]
 
 
@@ -390,5 +395,5 @@
     name = f"usage-{PERIOD}.{form}"
     (tmp_path / name).write_bytes((STORED / f"usage.{form}").read_bytes())
     assert not export_files.publish(
-        tmp_path, name, export_files.FORMATS[form](SUMS, PERIOD_MS), lambda point: None
+        tmp_path, name, export_files.ENCODERS[form](SUMS, PERIOD_MS), lambda point: None
     )
