--- a/canvasplank/worker/export_files.py
+++ b/canvasplank/worker/export_files.py
@@ -19,11 +19,15 @@
 COLUMNS = ("period_start", "member", "class_name", "final", "correction", "calls")
 
 
-class ExportFolderError(Exception):
+class ExportError(Exception):
+    """Root of the errors of an export."""
+
+
+class ExportFolderError(ExportError):
     """The export folder cannot be used; the message gives the reason in one line."""
 
 
-class ExportConflictError(Exception):
+class ExportConflictError(ExportError):
     """An export file exists with other content, which no worker has written."""
 
 
@@ -41,7 +45,7 @@
         if not os.access(folder, os.W_OK):
             raise ExportFolderError(f"{folder} cannot be written to")
     except OSError as error:
-        raise ExportFolderError(f"{folder}: {error.strerror}") from None
+        raise ExportFolderError(f"{folder}: {error.strerror}") from error
 
 
 def to_csv(sums: Sequence[UsageSum], period_ms: int) -> bytes:
@@ -65,7 +69,8 @@
     rest = {name: [getattr(entry, name) for entry in sums] for name in COLUMNS[1:]}
     sink = pyarrow.BufferOutputStream()
     parquet.write_table(pyarrow.table({"period_start": starts, **rest}), sink, compression="none")
-    return sink.getvalue().to_pybytes()
+    content: bytes = sink.getvalue().to_pybytes()
+    return content
 
 
 ENCODERS: dict[str, Callable[[Sequence[UsageSum], int], bytes]] = {"csv": to_csv, "parquet": to_parquet}
--- a/canvasplank/worker/task_runner.py
+++ b/canvasplank/worker/task_runner.py
@@ -14,11 +14,13 @@
 import signal
 import time
 from collections.abc import Awaitable, Callable, Iterator
+from functools import partial
 from pathlib import Path
 
 from canvasplank.counters import Counters
 from canvasplank.database.errors import StoreRefusedError, StoreUnavailableError
 from canvasplank.database.migrations import Schema
+from canvasplank.database.statements import Statement
 from canvasplank.fleet.backend import Backend, FencingToken, StaleTermError
 from canvasplank.fleet.config import Fleet
 from canvasplank.fleet.lease_renewer import LeaseRenewer
@@ -27,8 +29,8 @@
 from canvasplank.store import schema as store_schema
 from canvasplank.worker import export_files, usage_ledger
 from canvasplank.worker.config import WorkerSettings
-from canvasplank.worker.export_files import ExportConflictError, ExportFolderError
-from canvasplank.worker.usage_ledger import Statement, UsageSum
+from canvasplank.worker.export_files import ExportError
+from canvasplank.worker.usage_ledger import UsageSum
 
 LOG = logging.getLogger(__name__)
 MS_PER_S = 1000.0
@@ -98,8 +100,7 @@
             )
         except (
             StoreRefusedError,
-            ExportFolderError,
-            ExportConflictError,
+            ExportError,
             WorkerThreadBusyError,
             OSError,
         ) as error:
@@ -125,6 +126,7 @@
     # ------------------------------------------------------------------------------------ the tasks
 
     async def _close(self, token: FencingToken) -> bool:
+        """Close the next period of the ledger if it is due and has records; whether it did."""
         settings = self._settings
         [(found,)] = await self._backend.read(usage_ledger.SELECT_LAST_CLOSING)
         last = None if found is None else int(found)
@@ -134,10 +136,10 @@
         )
         if closing is None:
             return False
-        [(waiting,)] = await self._backend.read(
+        [(closable,)] = await self._backend.read(
             usage_ledger.COUNT_CLOSABLE, (closing.before_ms, int(settings.repeat_window_ms))
         )
-        if not int(waiting):
+        if not int(closable):
             return False
         pause_at("close:decided")
         self._last_closing_ms = time.monotonic() * MS_PER_S
@@ -149,19 +151,20 @@
         return True
 
     async def _export(self, token: FencingToken) -> bool:
-        waiting = await self._backend.read(usage_ledger.SELECT_UNEXPORTED)
-        for (number,) in waiting:
+        """Publish the files of every closing that is not marked as exported; whether there was one."""
+        unexported = await self._backend.read(usage_ledger.SELECT_UNEXPORTED)
+        for (number,) in unexported:
             sums = [
                 UsageSum(*row) for row in await self._backend.read(usage_ledger.SELECT_SUMS, (int(number),))
             ]
             pause_at("export:read")
-            await self._thread.run(lambda sums=sums, number=number: self._publish(int(number), sums))
+            await self._thread.run(partial(self._publish, int(number), sums))
             pause_at("export:linked")
             await self._backend.execute_fenced(
                 token, usage_ledger.mark_exported_statements(int(number), token.term)
             )
             pause_at("export:marked")
-        return bool(waiting)
+        return bool(unexported)
 
     def _publish(self, number: int, sums: list[UsageSum]) -> None:
         export_files.claim_folder(self._folder)
@@ -171,9 +174,10 @@
             export_files.publish(self._folder, f"usage-{number}.{format_name}", content, pause_at)
 
     async def _retain(self, token: FencingToken) -> bool:
+        """Delete counted and exported records older than the retention time; whether there were any."""
         before_ms = int(time.time() * MS_PER_S - self._settings.retention_ms)
-        [(old,)] = await self._backend.read(usage_ledger.COUNT_EXPIRED, (before_ms,))
-        if not int(old):
+        [(expired,)] = await self._backend.read(usage_ledger.COUNT_EXPIRED, (before_ms,))
+        if not int(expired):
             return False
         pause_at("retain:decided")
         await self._backend.execute_fenced(
--- a/canvasplank/worker/usage_ledger.py
+++ b/canvasplank/worker/usage_ledger.py
@@ -13,6 +13,7 @@
 import msgspec
 
 from canvasplank.database.migrations import Schema
+from canvasplank.database.statements import Statement
 
 SCHEMA = Schema(
     "usage_schema_version",
@@ -98,8 +99,6 @@
 _DELETE_EXPIRED = f"DELETE {_EXPIRED}"
 NO_CLOSED_PERIOD = -1
 
-Statement = tuple[str, tuple]
-
 
 class UsageSum(msgspec.Struct, frozen=True):
     """One row of ``usage_sum``: the calls of one member and class with one final answer in one period."""
@@ -145,18 +144,20 @@
     closing: Closing, period_ms: int, repeat_ms: int, last_closed: int | None, term: int
 ) -> Iterator[Statement]:
     """The statements of a closing; if one of this number exists, the first violates its key."""
-    yield _INSERT_CLOSING, (closing.number, term)
-    yield _CLAIM_RECORDS, (closing.number, closing.before_ms, repeat_ms)
-    yield _COUNT_ONE_PER_CALL, (closing.number,)
-    yield _DISCOUNT_REPEATS, (closing.number, repeat_ms)
-    yield _INSERT_SUMS, (closing.number, period_ms, NO_CLOSED_PERIOD if last_closed is None else last_closed)
+    yield Statement(_INSERT_CLOSING, (closing.number, term))
+    yield Statement(_CLAIM_RECORDS, (closing.number, closing.before_ms, repeat_ms))
+    yield Statement(_COUNT_ONE_PER_CALL, (closing.number,))
+    yield Statement(_DISCOUNT_REPEATS, (closing.number, repeat_ms))
+    yield Statement(
+        _INSERT_SUMS, (closing.number, period_ms, NO_CLOSED_PERIOD if last_closed is None else last_closed)
+    )
 
 
 def mark_exported_statements(number: int, term: int) -> Iterator[Statement]:
     """The statement that records that a closing's files are published."""
-    yield _MARK_EXPORTED, (term, number)
+    yield Statement(_MARK_EXPORTED, (term, number))
 
 
 def retention_statements(before_ms: int) -> Iterator[Statement]:
     """The statement that deletes counted and exported records of calls taken before this Unix time."""
-    yield _DELETE_EXPIRED, (before_ms,)
+    yield Statement(_DELETE_EXPIRED, (before_ms,))
