--- a/benchmarks/ownership.py
+++ b/benchmarks/ownership.py
@@ -21,7 +21,7 @@
 from canvasplank.database.errors import StoreUnavailableError
 from canvasplank.fleet.postgresql import Postgresql as FleetPostgresql
 from canvasplank.store.postgresql import Postgresql
-from canvasplank.store.records import Outcome
+from canvasplank.store.records import CallOutcome
 from canvasplank.worker import usage_ledger
 from emulators.callers import Callers
 from emulators.fleet import fleet
@@ -144,7 +144,7 @@
         for first in range(0, count, BATCH):
             now_ms = int(time.time() * 1000)
             batch = [
-                Outcome(f"{n:016x}", "n0", now_ms - n % 3000, "low", "served", "s", 1, now_ms)
+                CallOutcome(f"{n:016x}", "n0", now_ms - n % 3000, "low", "served", "s", 1, now_ms)
                 for n in range(first, min(count, first + BATCH))
             ]
             if rng.random() < 0.3:
@@ -191,7 +191,10 @@
         await play.start((await apart.stdout.readline()).decode().strip())
         now_ms = int(time.time() * 1000) - 5000
         await play.records.write(
-            [Outcome(f"{n:016x}", "n0", now_ms - n, "low", "served", "s", 1, now_ms) for n in range(100_000)]
+            [
+                CallOutcome(f"{n:016x}", "n0", now_ms - n, "low", "served", "s", 1, now_ms)
+                for n in range(100_000)
+            ]
         )
         server = CallServer("s-0", capacity_per_s=5000.0, hold_ms=50.0, lines=100_000)
         async with fleet(Path(folder), [server], instances=1) as started:
--- a/canvasplank/store/backend.py
+++ b/canvasplank/store/backend.py
@@ -1,15 +1,15 @@
-"""What the writer asks of a database."""
+"""The port between the writer and a database."""
 
 from __future__ import annotations
 
 from collections.abc import Sequence
 from typing import NamedTuple, Protocol
 
-from canvasplank.store.records import Outcome
+from canvasplank.store.records import CallOutcome
 
 
-class Count(NamedTuple):
-    """How many records have the same class, answer and ending."""
+class CallCount(NamedTuple):
+    """The number of records with the same class, final answer and ending."""
 
     class_name: str
     final: str
@@ -18,16 +18,16 @@
 
 
 class Backend(Protocol):
-    """A database that keeps records; methods raise ``StoreUnavailableError`` or ``StoreRefusedError``."""
+    """A database that stores records; methods raise ``StoreUnavailableError`` or ``StoreRefusedError``."""
 
     async def open(self) -> None:
-        """Connect and bring the tables up to date."""
+        """Connect and migrate the tables."""
 
-    async def write(self, batch: Sequence[Outcome]) -> None:
-        """All of them or none, durably; records that are there already change nothing."""
+    async def write(self, batch: Sequence[CallOutcome]) -> None:
+        """Write all records or none, durably; records that are stored already change nothing."""
 
-    async def count(self, since_ms: int, instance: str) -> list[Count]:
-        """Records of calls taken since then, by class and answer; an empty instance: of all."""
+    async def count_calls(self, since_ms: int, instance: str) -> list[CallCount]:
+        """Count records of calls taken since this Unix time, of one instance or (empty) of all."""
 
     async def close(self) -> None:
-        """Let go of it; it may be opened again."""
+        """Close the connection; it may be opened again."""
--- a/canvasplank/store/extension.py
+++ b/canvasplank/store/extension.py
@@ -1,26 +1,26 @@
-"""The store of record as a part of the program."""
+"""The store of record as an extension."""
 
 from __future__ import annotations
 
 from canvasplank.extensions.extension import Extension, ExtensionContext, ExtensionFactory
-from canvasplank.store.config import Store, load_store
+from canvasplank.store.config import StoreSettings, load_store
 from canvasplank.store.outbox import Outbox
 from canvasplank.store.writer import Writer
 
 
 def load(path: str) -> ExtensionFactory:
-    """Read its file."""
+    """Read the settings file; raises ``ConfigurationError``."""
     settings = load_store(path)
     return lambda context: StoreExtension(context, settings)
 
 
 class StoreExtension(Extension):
-    """Hears of every call's outcome through the exchange and has it written."""
+    """Records the outcome of every call of the exchange in the store."""
 
-    def __init__(self, context: ExtensionContext, settings: Store) -> None:
+    def __init__(self, context: ExtensionContext, settings: StoreSettings) -> None:
         self._settings = settings
         seed = int(context.configuration.seed, 16)
-        outbox = Outbox(settings.queue_most, settings.batch_most, settings.linger_ms, seed)
+        outbox = Outbox(settings.max_queue, settings.max_batch, settings.linger_ms, seed)
         self._writer = Writer(
             outbox,
             settings.create_backend(),
@@ -36,8 +36,8 @@
 
     def export_metrics(self) -> None:
         """See ``Extension``."""
-        self._writer.count()
+        self._writer.export_metrics()
 
     async def drain(self, within_s: float) -> None:
-        """See ``Extension``; no longer than is set."""
-        await self._writer.drain(min(self._settings.drain_ms / 1000, within_s))
+        """See ``Extension``; bounded by ``drain_timeout_ms`` as well."""
+        await self._writer.drain(min(self._settings.drain_timeout_ms / 1000, within_s))
--- a/canvasplank/store/outbox.py
+++ b/canvasplank/store/outbox.py
@@ -1,8 +1,8 @@
-"""Records on their way to the store: a bounded queue, batches, and what follows a batch that fails.
+"""Records on their way to the store: a bounded queue, batches, and the retry of a failed batch.
 
-Pure: no input or output, no clock of its own.  Whoever carries the batches says what became of each
-(``written``, ``failed``, ``refused``) and asks ``wait_ms`` when to look again.  At most one batch is out, and
-every record that was taken in is queued, out, or counted once as written, rejected or superseded.
+Pure: no input or output, no clock of its own.  The caller, which carries the batches, reports the outcome of
+each (``on_written``, ``on_failed``, ``on_rejected``) and polls again after ``wait_ms``.  At most one batch is
+in flight, and every accepted record is queued, in flight, or counted once as written, rejected or superseded.
 """
 
 from __future__ import annotations
@@ -11,43 +11,43 @@
 from collections import Counter
 from itertools import islice
 
-from canvasplank.store.records import Key, Outcome
+from canvasplank.store.records import CallOutcome, RecordKey
 
-BACKOFF_MS, BACKOFF_MOST_MS = 100.0, 5_000.0  # between two tries of a batch, doubling
-JITTER_LEAST = 0.5  # so that instances sharing a store that restarted do not all come back together
+MIN_BACKOFF_MS, MAX_BACKOFF_MS = 100.0, 5_000.0  # between two attempts of a batch, doubling
+MIN_JITTER_FACTOR = 0.5  # spreads the retries of instances that share a restarted store
 
 
 class Outbox:
-    """The queue between the calls and the store."""
+    """The queue between the calls and the store; times are milliseconds of any one monotonic clock."""
 
-    def __init__(self, queue_most: int, batch_most: int, linger_ms: float, seed: int = 0) -> None:
+    def __init__(self, max_queue: int, max_batch: int, linger_ms: float, seed: int = 0) -> None:
         self.counts: Counter[str] = Counter()
-        self._queue: dict[Key, Outcome] = {}  # in the order of their coming
-        self._out: list[Outcome] = []
-        self._queue_most = queue_most
-        self._batch_most = self._limit = batch_most
+        self._queue: dict[RecordKey, CallOutcome] = {}  # in order of arrival
+        self._in_flight: list[CallOutcome] = []
+        self._max_queue = max_queue
+        self._max_batch = self._batch_limit = max_batch
         self._linger_ms = linger_ms
-        self._since_ms: float | None = None  # when the oldest queued record came
-        self._backoff_ms = BACKOFF_MS
-        self._not_before_ms = 0.0
+        self._oldest_ms: float | None = None  # arrival of the oldest queued record
+        self._backoff_ms = MIN_BACKOFF_MS
+        self._retry_at_ms = 0.0
         self._random = random.Random(seed)
-        self.closing = False  # nothing more is to come: write without lingering
+        self.closing = False  # no more records will come: write without lingering
 
     def __len__(self) -> int:
         """Records not yet known to be written."""
-        return len(self._queue) + len(self._out)
+        return len(self._queue) + len(self._in_flight)
 
     @property
-    def full_batch(self) -> bool:
-        """Whether waiting for more gains nothing."""
-        return len(self._queue) >= self._limit
+    def has_full_batch(self) -> bool:
+        """Whether the next batch is complete, so that lingering gains nothing."""
+        return len(self._queue) >= self._batch_limit
 
-    def put(self, record: Outcome, now_ms: float) -> bool:
-        """Queue one; False: there is no room and it was dropped.
+    def put(self, record: CallOutcome, now_ms: float) -> bool:
+        """Queue a record; False if the queue is full and it was dropped.
 
-        The later row of a call takes the place of the earlier one that is still queued, and needs no room.
-        The newest record is the one dropped: guards what is already promised an order, and the memory of the
-        calls against a store that has gone.
+        The later row of a call replaces an earlier one that is still queued, and needs no room.  The newest
+        record is the one dropped: the order of those queued stays, and the queue's memory is bounded while
+        the store is away.
         """
         key = record.key
         if key in self._queue:
@@ -55,69 +55,70 @@
             if record.version > self._queue[key].version:
                 self._queue[key] = record
             return True
-        if len(self) >= self._queue_most:
+        if len(self) >= self._max_queue:
             self.counts["dropped"] += 1
             return False
         self.counts["queued"] += 1
         self._queue[key] = record
-        if self._since_ms is None:
-            self._since_ms = now_ms
+        if self._oldest_ms is None:
+            self._oldest_ms = now_ms
         return True
 
     def wait_ms(self, now_ms: float) -> float | None:
-        """How long until a batch may go; 0: now; None: there is nothing to go, or one is out."""
-        if self._out or not self._queue:
+        """The time until a batch may be taken; None if nothing is queued or a batch is in flight."""
+        if self._in_flight or not self._queue:
             return None
-        linger_ms = 0.0 if self.closing or self.full_batch else self._linger_ms
-        return max(0.0, (self._since_ms or 0.0) + linger_ms - now_ms, self._not_before_ms - now_ms)
+        linger_ms = 0.0 if self.closing or self.has_full_batch else self._linger_ms
+        return max(0.0, (self._oldest_ms or 0.0) + linger_ms - now_ms, self._retry_at_ms - now_ms)
 
-    def take(self, now_ms: float) -> list[Outcome]:
-        """The next batch, which is out from now on; empty: not now."""
+    def take(self, now_ms: float) -> list[CallOutcome]:
+        """The next batch, in flight from now on; empty if none may be taken now."""
         wait_ms = self.wait_ms(now_ms)
         if wait_ms is None or wait_ms > 0:
             return []
-        self._out = [self._queue.pop(key) for key in list(islice(self._queue, self._limit))]
-        self._since_ms = now_ms if self._queue else None
-        return self._out
+        self._in_flight = [self._queue.pop(key) for key in list(islice(self._queue, self._batch_limit))]
+        self._oldest_ms = now_ms if self._queue else None
+        return self._in_flight
 
-    def written(self) -> None:
-        """The store has the batch."""
-        self.counts["written"] += len(self._out)
+    def on_written(self) -> None:
+        """The store has committed the batch."""
+        self.counts["written"] += len(self._in_flight)
         self.counts["batches"] += 1
-        self._out = []
-        self._backoff_ms, self._not_before_ms = BACKOFF_MS, 0.0
-        self._limit = min(self._batch_most, self._limit * 2)
+        self._in_flight = []
+        self._backoff_ms, self._retry_at_ms = MIN_BACKOFF_MS, 0.0
+        self._batch_limit = min(self._max_batch, self._batch_limit * 2)
 
-    def failed(self, now_ms: float) -> None:
-        """Whether the store has it is not known: the whole batch goes again, later.
+    def on_failed(self, now_ms: float) -> None:
+        """It is unknown whether the store has the batch: all of it is retried after a backoff.
 
-        Writing is by upsert on the record's key, so what was written after all is not written twice.
+        Writing is idempotent (an upsert on the record's key), so a batch that was committed after all is not
+        written twice.
         """
         self.counts["retried"] += 1
-        self._put_back(now_ms)
-        self._not_before_ms = now_ms + self._backoff_ms * self._random.uniform(JITTER_LEAST, 1.0)
-        self._backoff_ms = min(BACKOFF_MOST_MS, 2 * self._backoff_ms)
+        self._requeue(now_ms)
+        self._retry_at_ms = now_ms + self._backoff_ms * self._random.uniform(MIN_JITTER_FACTOR, 1.0)
+        self._backoff_ms = min(MAX_BACKOFF_MS, 2 * self._backoff_ms)
 
-    def refused(self, now_ms: float) -> Outcome | None:
-        """The store will not have something in it: halve it until that is alone, then leave that out.
+    def on_rejected(self, now_ms: float) -> CallOutcome | None:
+        """The store rejects a record of the batch: retry in halves; returns that record once it is isolated.
 
-        Guards against one bad record holding back, or taking with it, all that are queued with it.
+        The record is then left out, so that it neither blocks nor loses the others.
         """
-        if len(self._out) == 1:
-            [bad] = self._out
-            self._out = []
+        if len(self._in_flight) == 1:
+            [rejected] = self._in_flight
+            self._in_flight = []
             self.counts["rejected"] += 1
-            return bad
+            return rejected
         self.counts["halved"] += 1
-        self._limit = max(1, len(self._out) // 2)
-        self._put_back(now_ms)
+        self._batch_limit = max(1, len(self._in_flight) // 2)
+        self._requeue(now_ms)
         return None
 
-    def _put_back(self, now_ms: float) -> None:
-        """To the front again, but for rows of calls of which a later row has come meanwhile."""
-        again = {record.key: record for record in self._out}
-        self.counts["superseded"] += sum(key in self._queue for key in again)
-        self._queue = again | self._queue  # the queue's own row wins, in the place of the older
-        self._out = []
-        if self._since_ms is None:
-            self._since_ms = now_ms
+    def _requeue(self, now_ms: float) -> None:
+        """Put the batch back in front, except rows that a later row of the same call supersedes."""
+        retried = {record.key: record for record in self._in_flight}
+        self.counts["superseded"] += sum(key in self._queue for key in retried)
+        self._queue = retried | self._queue  # the later row takes the earlier one's place in the order
+        self._in_flight = []
+        if self._oldest_ms is None:
+            self._oldest_ms = now_ms
--- a/canvasplank/store/records.py
+++ b/canvasplank/store/records.py
@@ -1,4 +1,4 @@
-"""What is kept of a call: one row, written at its final answer and once more when it is over."""
+"""The record of a call: one row, written at its final answer and again at the end of an established call."""
 
 from __future__ import annotations
 
@@ -6,18 +6,22 @@
 
 from canvasplank import interface as api
 
-ANSWERED, OVER = 1, 2  # the row's version: at the final answer, and when an established call has ended
-SERVED, GIVEN_UP = "served", "given_up"  # beside the names of ``exchange.Final``
-ENDINGS = {api.Outcome.ENDED: "ended", api.Outcome.CANCELLED: "released", api.Outcome.RESET: "cut"}
+ANSWERED, ENDED = 1, 2  # a row's version: at the final answer, and at the end of an established call
+SERVED, GIVEN_UP = "served", "given_up"  # final answers beside those of ``exchange.FinalAnswer``
+ENDING_BY_OUTCOME = {
+    api.Outcome.ENDED: "ended",
+    api.Outcome.CANCELLED: "released",
+    api.Outcome.RESET: "cut",
+}
 
-Key = tuple[str, str, int]
+RecordKey = tuple[str, str, int]
 
 
-class Outcome(msgspec.Struct, frozen=True):
-    """One call's row; times are Unix milliseconds of this program's one clock.
+class CallOutcome(msgspec.Struct, frozen=True):
+    """A row of ``call_outcome``; times are Unix milliseconds of this program's one clock.
 
-    A row of a later version holds all that an earlier one did, so that either may be lost or come twice and
-    the order in which they are written does not matter.
+    The columns are the fields' encoded names (``schema.COLUMNS``).  A row of a later version holds all that
+    an earlier one does, so either may be lost or repeated, and they may be written in any order.
     """
 
     call_id: str
@@ -25,16 +29,16 @@
     taken_ms: int
     class_name: str
     final: str  # served, refused, failed, invalid or given_up
-    server: str | None  # where it is established, or was tried last
+    server: str | None  # where the call is established, or was attempted last
     attempts: int
     answered_ms: int
     ended_ms: int | None = None
     ending: str | None = None  # ended, released (by its caller) or cut
     version: int = ANSWERED
-    member: str | None = None  # whose call it is, where the settings name members
-    number: str | None = None  # the number called: a caller's repeats are found by it
+    tenant: str | None = msgspec.field(default=None, name="member")  # if the configuration names members
+    number: str | None = None  # the called number, by which a caller's repeats are recognised
 
     @property
-    def key(self) -> Key:
-        """What makes a record one: an id may come again, at another instance or years later."""
+    def key(self) -> RecordKey:
+        """The primary key: the same call id may occur at another instance, or years later."""
         return self.call_id, self.instance, self.taken_ms
--- a/canvasplank/store/schema.py
+++ b/canvasplank/store/schema.py
@@ -1,11 +1,11 @@
-"""The tables and statements of the store of record (see ``engine.migrations`` for their SQL)."""
+"""The tables and statements of the store of record (see ``database.migrations`` for the dialect)."""
 
 from __future__ import annotations
 
 import msgspec
 
 from canvasplank.database.migrations import Schema
-from canvasplank.store.records import Outcome
+from canvasplank.store.records import CallOutcome
 
 MIGRATIONS: tuple[tuple[str, ...], ...] = (
     (
@@ -15,7 +15,7 @@
         "PRIMARY KEY (call_id, instance, taken_ms))",
     ),
     ("CREATE INDEX call_outcome_taken ON call_outcome (taken_ms)",),
-    # Whose call it is; which closing of the usage ledger has looked at it, and whether that counted it.
+    # The member whose call it is, the closing of the usage ledger that claimed it, and whether it counts.
     (
         "ALTER TABLE call_outcome ADD COLUMN member text",
         "ALTER TABLE call_outcome ADD COLUMN closed_in bigint",
@@ -36,10 +36,10 @@
     "ended_ms": "bigint",
     "version": "integer",
 }
-COLUMNS = tuple(field.name for field in msgspec.structs.fields(Outcome))
+COLUMNS = tuple(field.encode_name for field in msgspec.structs.fields(CallOutcome))
 _KEY = ("call_id", "instance", "taken_ms")
 
-# Writing a row again changes nothing, and a row never gives way to an earlier one.
+# Idempotent: writing a row again changes nothing, and an earlier version never replaces a later one.
 UPSERT = (
     f"INSERT INTO call_outcome ({', '.join(COLUMNS)}) VALUES ("
     + ", ".join(f"CAST(${n} AS {_TYPES.get(name, 'text')})" for n, name in enumerate(COLUMNS, 1))
@@ -47,7 +47,7 @@
     + ", ".join(f"{name} = excluded.{name}" for name in COLUMNS if name not in _KEY)
     + " WHERE excluded.version > call_outcome.version"
 )
-COUNT = (
+COUNT_CALLS = (
     "SELECT class_name, final, ending, count(*) FROM call_outcome "
     "WHERE taken_ms >= CAST($1 AS bigint) AND (CAST($2 AS text) = '' OR instance = CAST($2 AS text)) "
     "GROUP BY class_name, final, ending ORDER BY class_name, final, ending"
@@ -56,6 +56,6 @@
 Row = tuple[str | int | None, ...]
 
 
-def row(record: Outcome) -> Row:
-    """A record's values in the order of the columns."""
+def row(record: CallOutcome) -> Row:
+    """The record's values in the order of ``COLUMNS``."""
     return msgspec.structs.astuple(record)
--- a/canvasplank/store/sqlite.py
+++ b/canvasplank/store/sqlite.py
@@ -7,8 +7,8 @@
 
 from canvasplank.database.sqlite import SqliteEngine, to_sqlite, transaction
 from canvasplank.store import schema
-from canvasplank.store.backend import Count
-from canvasplank.store.records import Outcome
+from canvasplank.store.backend import CallCount
+from canvasplank.store.records import CallOutcome
 
 
 class Sqlite(SqliteEngine):
@@ -17,7 +17,7 @@
     def __init__(self, path: str) -> None:
         super().__init__(path, schema.SCHEMA, "store")
 
-    async def write(self, batch: Sequence[Outcome]) -> None:
+    async def write(self, batch: Sequence[CallOutcome]) -> None:
         """See ``Backend``."""
         rows = [schema.row(record) for record in batch]
 
@@ -27,7 +27,9 @@
 
         await self.run(write)
 
-    async def count(self, since_ms: int, instance: str) -> list[Count]:
+    async def count_calls(self, since_ms: int, instance: str) -> list[CallCount]:
         """See ``Backend``."""
-        rows = await self.run(lambda c: c.execute(to_sqlite(schema.COUNT), (since_ms, instance)).fetchall())
-        return [Count(*row) for row in rows]
+        rows = await self.run(
+            lambda c: c.execute(to_sqlite(schema.COUNT_CALLS), (since_ms, instance)).fetchall()
+        )
+        return [CallCount(*row) for row in rows]
--- a/canvasplank/store/writer.py
+++ b/canvasplank/store/writer.py
@@ -1,7 +1,7 @@
-"""Carries records from the outbox to the store: the only part of the program that ever waits on a store.
+"""Carries records from the outbox to the store: the only module that waits for a store.
 
-The exchange tells it of each call's answer and end, which costs a queue entry.  One task writes, each write
-within a bound; what fails is taken up again after a pause, on a new connection.
+The exchange reports each call's answer and end, which costs it a queue entry.  One task writes, each write
+within a time limit; a failed write is retried after a backoff, on a new connection.
 """
 
 from __future__ import annotations
@@ -17,34 +17,34 @@
 from canvasplank.exchange.call_records import CallRecord
 from canvasplank.store.backend import Backend
 from canvasplank.store.outbox import Outbox
-from canvasplank.store.records import ENDINGS, OVER, SERVED, Outcome
+from canvasplank.store.records import ENDED, ENDING_BY_OUTCOME, SERVED, CallOutcome
 
 LOG = logging.getLogger(__name__)
-LOG_EVERY_S = 5.0  # between two lines about the same trouble
-CLOSE_S = 0.5  # a store may take so long to be let go of
-MS = 1000.0
+LOG_INTERVAL_S = 5.0  # between two log lines of the same kind
+CLOSE_TIMEOUT_S = 0.5  # bound on closing the connection
+MS_PER_S = 1000.0
 
 
 class Writer:
-    """The ``Recorder`` of the exchange, and the task behind it."""
+    """The ``Recorder`` of the exchange, and the task that writes its records, which ``drain`` ends."""
 
     def __init__(
-        self, outbox: Outbox, backend: Backend, instance: str, write_s: float, counters: Counters
+        self, outbox: Outbox, backend: Backend, instance: str, write_timeout_s: float, counters: Counters
     ) -> None:
         self._outbox, self._backend = outbox, backend
-        self._instance, self._write_s, self._counters = instance, write_s, counters
-        self._open = False
-        self._more = asyncio.Event()
+        self._instance, self._write_timeout_s, self._counters = instance, write_timeout_s, counters
+        self._connected = False
+        self._records_ready = asyncio.Event()
         self._task: asyncio.Task | None = None
         self._logged_s: dict[str, float] = {}
-        self._troubled = False
+        self._failing = False
 
     # ------------------------------------------------------------------------------------ for the exchange
 
     def call_answered(self, call: CallRecord, final: str, now_ms: float) -> None:
         """See ``Recorder``."""
         self._put(
-            Outcome(
+            CallOutcome(
                 call.id,
                 self._instance,
                 int(call.taken_ms),
@@ -53,7 +53,7 @@
                 call.last_server_id,
                 call.attempts,
                 int(now_ms),
-                member=call.tenant,
+                tenant=call.tenant,
                 number=call.number,
             )
         )
@@ -61,7 +61,7 @@
     def call_ended(self, call: CallRecord, outcome: api.Outcome, now_ms: float) -> None:
         """See ``Recorder``."""
         self._put(
-            Outcome(
+            CallOutcome(
                 call.id,
                 self._instance,
                 int(call.taken_ms),
@@ -71,46 +71,46 @@
                 call.attempts,
                 int(call.established_ms),
                 int(now_ms),
-                ENDINGS.get(outcome),
-                OVER,
+                ENDING_BY_OUTCOME.get(outcome),
+                ENDED,
                 call.tenant,
                 call.number,
             )
         )
 
-    def _put(self, record: Outcome) -> None:
+    def _put(self, record: CallOutcome) -> None:
         was_empty = not len(self._outbox)
         if not self._outbox.put(record, self._now_ms()):
-            self._say(
+            self._log_limited(
                 "queue", f"the queue is full ({len(self._outbox)} records): call {record.call_id} dropped"
             )
-        if was_empty or self._outbox.full_batch:
-            self._more.set()
+        if was_empty or self._outbox.has_full_batch:
+            self._records_ready.set()
 
     # ------------------------------------------------------------------------------------ the task
 
     def start(self) -> None:
-        """Begin to write; guards the serving against a store that is slow to open: nothing waits for it."""
+        """Start the writing task, which opens the store itself: a slow store does not delay serving."""
         self._task = asyncio.get_running_loop().create_task(self._run())
 
-    async def drain(self, within_s: float) -> None:
-        """Write what is left, as far as it goes in this time; what does not is told."""
+    async def drain(self, timeout_s: float) -> None:
+        """Write what is queued within this time and end the task; what remains unwritten is logged."""
         if self._task is None:
             return
         self._outbox.closing = True
-        self._more.set()
+        self._records_ready.set()
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(max(0.0, within_s)):
+            async with asyncio.timeout(max(0.0, timeout_s)):
                 await asyncio.shield(self._task)
         self._task.cancel()
         with contextlib.suppress(asyncio.CancelledError):
             await self._task
-        self.count()
-        if left := len(self._outbox):
-            LOG.error("store: %d records were not written before the end", left)
+        self.export_metrics()
+        if unwritten := len(self._outbox):
+            LOG.error("store: %d records were not written before the end", unwritten)
 
-    def count(self) -> None:
-        """Have the counters show the outbox's counts, and how many records wait."""
+    def export_metrics(self) -> None:
+        """Export the outbox's counts and the number of waiting records to the counters."""
         for name, count in self._outbox.counts.items():
             self._counters.set(f"store.{name}", count)
         self._counters.set("store.waiting", len(self._outbox))
@@ -123,59 +123,65 @@
             elif wait_ms is None and self._outbox.closing:
                 break
             else:
-                await self._rest(wait_ms)
-        await self._let_go()
+                await self._wait_for_records(wait_ms)
+        await self._disconnect()
 
-    async def _rest(self, wait_ms: float | None) -> None:
-        """Until there is more, or so long.  Guards against a full queue ending a pause after a failure."""
-        self._more.clear()
+    async def _wait_for_records(self, wait_ms: float | None) -> None:
+        """Wait until records are queued, or for ``wait_ms``.
+
+        The event is cleared first: it may be set from before, and must not cut a backoff short.
+        """
+        self._records_ready.clear()
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(None if wait_ms is None else wait_ms / MS):
-                await self._more.wait()
+            async with asyncio.timeout(None if wait_ms is None else wait_ms / MS_PER_S):
+                await self._records_ready.wait()
 
-    async def _write(self, batch: list[Outcome]) -> None:
+    async def _write(self, batch: list[CallOutcome]) -> None:
         try:
-            async with asyncio.timeout(self._write_s):
-                if not self._open:
+            async with asyncio.timeout(self._write_timeout_s):
+                if not self._connected:
                     await self._backend.open()
-                    self._open = True
+                    self._connected = True
                 await self._backend.write(batch)
         except StoreRefusedError as error:
-            if (bad := self._outbox.refused(self._now_ms())) is not None:
-                self._say(
+            if (rejected := self._outbox.on_rejected(self._now_ms())) is not None:
+                self._log_limited(
                     "refused",
-                    f"call {bad.call_id} ({bad.class_name}, {bad.final}) is refused and left out: {error}",
+                    f"call {rejected.call_id} ({rejected.class_name}, {rejected.final}) "
+                    f"is refused and left out: {error}",
                 )
         except (StoreUnavailableError, TimeoutError) as error:
-            await self._fail(str(error) or f"no answer within {self._write_s:g} s")
-        except Exception as error:  # guards the records against a fault of ours: the task must go on
+            await self._on_write_failed(str(error) or f"no answer within {self._write_timeout_s:g} s")
+        except Exception as error:  # a defect of this program must not end the task
             LOG.exception("store: writing failed")
-            await self._fail(type(error).__name__)
+            await self._on_write_failed(type(error).__name__)
         else:
-            self._outbox.written()
-            if self._troubled:
-                self._troubled = False
+            self._outbox.on_written()
+            if self._failing:
+                self._failing = False
                 LOG.info("store: written again, %d records wait", len(self._outbox))
 
-    async def _fail(self, why: str) -> None:
-        self._outbox.failed(self._now_ms())
-        if not self._troubled:
+    async def _on_write_failed(self, reason: str) -> None:
+        self._outbox.on_failed(self._now_ms())
+        if not self._failing:
             self._logged_s.pop("failed", None)
-        self._troubled = True
-        self._say("failed", f"not written, {len(self._outbox)} records wait: {' '.join(why.split())}")
-        await self._let_go()
-
-    async def _let_go(self) -> None:
-        self._open = False
-        await close_within(self._backend, CLOSE_S)
-
-    def _say(self, about: str, text: str) -> None:
-        """One line, and no more of its kind for a while."""
-        now_s = self._now_ms() / MS
-        if now_s >= self._logged_s.get(about, -LOG_EVERY_S) + LOG_EVERY_S:
-            self._logged_s[about] = now_s
+        self._failing = True
+        self._log_limited(
+            "failed", f"not written, {len(self._outbox)} records wait: {' '.join(reason.split())}"
+        )
+        await self._disconnect()
+
+    async def _disconnect(self) -> None:
+        self._connected = False
+        await close_within(self._backend, CLOSE_TIMEOUT_S)
+
+    def _log_limited(self, kind: str, text: str) -> None:
+        """Log a warning, at most one of its kind per ``LOG_INTERVAL_S``."""
+        now_s = self._now_ms() / MS_PER_S
+        if now_s >= self._logged_s.get(kind, -LOG_INTERVAL_S) + LOG_INTERVAL_S:
+            self._logged_s[kind] = now_s
             LOG.warning("store: %s", text)
 
     def _now_ms(self) -> float:
-        """The loop's steady time: only pauses are measured by it, records carry the program's one clock."""
-        return asyncio.get_running_loop().time() * MS
+        """The loop's monotonic time, for backoff and lingering: records carry the program's one clock."""
+        return asyncio.get_running_loop().time() * MS_PER_S
--- a/tests/test_ownership.py
+++ b/tests/test_ownership.py
@@ -28,7 +28,7 @@
 from canvasplank.fleet.state import FleetState, Task
 from canvasplank.fleet.task_leadership import BACKOFF_MS, TaskLeadership
 from canvasplank.store.postgresql import Postgresql
-from canvasplank.store.records import Outcome
+from canvasplank.store.records import CallOutcome
 from canvasplank.store.sqlite import Sqlite
 from canvasplank.worker import export_files, usage_ledger
 from canvasplank.worker.config import load_work
@@ -157,9 +157,9 @@
 class TestLedger:
     """Closings in SQL, on both engines."""
 
-    def record(self, number, taken_ms, final="served", instance="n0", member="acme"):
-        return Outcome(
-            f"{number:016x}", instance, taken_ms, "low", final, "s", 1, taken_ms + 40, member=member
+    def record(self, number, taken_ms, final="served", instance="n0", tenant="acme"):
+        return CallOutcome(
+            f"{number:016x}", instance, taken_ms, "low", final, "s", 1, taken_ms + 40, tenant=tenant
         )
 
     @pytest.mark.parametrize("kind", ["sqlite", "postgresql"])
@@ -181,7 +181,7 @@
                 assert await sums(fleet, 0) == [UsageSum(0, "acme", "low", "served", 0, 11)]
                 await store.write(
                     [
-                        self.record(50, 700, member=None),
+                        self.record(50, 700, tenant=None),
                         self.record(77, 999, "served", "n3"),
                         self.record(60, 1500, "refused"),
                     ]
@@ -462,7 +462,7 @@
 def outcomes(first, count):
     now_ms = int(time.time() * 1000) - 3 * PERIOD_MS
     return [
-        Outcome(
+        CallOutcome(
             f"{number:016x}",
             "n0",
             now_ms + number % 1000,
@@ -471,7 +471,7 @@
             "s",
             1,
             now_ms + 40,
-            member="acme",
+            tenant="acme",
         )
         for number in range(first, first + count)
     ]
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -17,13 +17,13 @@
 from canvasplank.exchange.call_records import CallRecord
 from canvasplank.store import schema
 from canvasplank.store.__main__ import cli
-from canvasplank.store.backend import Count
+from canvasplank.store.backend import CallCount
 from canvasplank.store.config import load_store
 from canvasplank.store.outbox import Outbox
 from canvasplank.store.postgresql import Postgresql
-from canvasplank.store.records import ANSWERED, OVER, Outcome
+from canvasplank.store.records import ANSWERED, ENDED, CallOutcome
 from canvasplank.store.sqlite import Sqlite
-from canvasplank.store.writer import LOG_EVERY_S, Writer
+from canvasplank.store.writer import LOG_INTERVAL_S, Writer
 from emulators.callers import Callers
 from emulators.fleet import fleet, free_port
 from emulators.postgresql import PostgresqlStandIn
@@ -33,8 +33,8 @@
 ALL = f"SELECT {', '.join(schema.COLUMNS)} FROM call_outcome ORDER BY call_id, taken_ms"
 
 
-def record(at: int, version: int = ANSWERED, **more) -> Outcome:
-    return Outcome(
+def record(at: int, version: int = ANSWERED, **more) -> CallOutcome:
+    return CallOutcome(
         f"{at:016x}",
         "n0",
         1_800_000_000_000 + at,
@@ -85,9 +85,9 @@
         return self.server.rows(ALL)
 
 
-def writer(backend, write_s: float = 5.0, queue_most: int = 10_000) -> tuple[Writer, Outbox]:
-    outbox = Outbox(queue_most, 50, 0.0)
-    return Writer(outbox, backend, "n0", write_s, Counters()), outbox
+def writer(backend, write_timeout_s: float = 5.0, max_queue: int = 10_000) -> tuple[Writer, Outbox]:
+    outbox = Outbox(max_queue, 50, 0.0)
+    return Writer(outbox, backend, "n0", write_timeout_s, Counters()), outbox
 
 
 async def written(outbox: Outbox) -> None:
@@ -118,21 +118,25 @@
         async with store(tmp_path) as used:
             await used.backend.open()
             await used.backend.write([record(1), record(2)])
-            await used.backend.write([record(2, OVER, ended_ms=1_800_000_009_000, ending="ended"), record(3)])
+            await used.backend.write(
+                [record(2, ENDED, ended_ms=1_800_000_009_000, ending="ended"), record(3)]
+            )
             await used.backend.write([record(2), record(1)])  # again, after an answer that was lost
             await used.backend.close()
             await used.backend.open()  # the tables are there already
-            assert await used.backend.count(0, "") == [
-                Count("low", "served", None, 2),
-                Count("low", "served", "ended", 1),
+            assert await used.backend.count_calls(0, "") == [
+                CallCount("low", "served", None, 2),
+                CallCount("low", "served", "ended", 1),
+            ]
+            assert await used.backend.count_calls(0, "n1") == []
+            assert await used.backend.count_calls(1_800_000_000_003, "n0") == [
+                CallCount("low", "served", None, 1)
             ]
-            assert await used.backend.count(0, "n1") == []
-            assert await used.backend.count(1_800_000_000_003, "n0") == [Count("low", "served", None, 1)]
             return used.rows()
 
     assert asyncio.run(run()) == [
         schema.row(record(1)),
-        schema.row(record(2, OVER, ended_ms=1_800_000_009_000, ending="ended")),
+        schema.row(record(2, ENDED, ended_ms=1_800_000_009_000, ending="ended")),
         schema.row(record(3)),
     ]
 
@@ -159,7 +163,7 @@
 
     async def run():
         async with OnPostgresql(tmp_path) as used:
-            server, (made, outbox) = used.server, writer(used.backend, write_s=0.3)
+            server, (made, outbox) = used.server, writer(used.backend, write_timeout_s=0.3)
             if fault == "away":
                 await server.stop()
             made.start()
@@ -215,7 +219,7 @@
             await used.backend.open()
             other = sqlite3.connect(used.path, isolation_level=None)
             other.execute("BEGIN IMMEDIATE")
-            made, outbox = writer(used.backend, write_s=0.1)
+            made, outbox = writer(used.backend, write_timeout_s=0.1)
             made.start()
             made.call_answered(call(1), "served", 1_800_000_000_041.0)
             async with asyncio.timeout(WAIT_S):
@@ -232,7 +236,7 @@
 
 def test_what_is_not_written_by_the_end_is_told(tmp_path, caplog):
     async def run():
-        made, _ = writer(Sqlite(str(tmp_path / "no" / "such" / "folder.db")), queue_most=3)
+        made, _ = writer(Sqlite(str(tmp_path / "no" / "such" / "folder.db")), max_queue=3)
         made.start()
         for number in range(5):
             made.call_ended(call(number), api.Outcome.RESET, 1_800_000_000_050.0)
@@ -271,7 +275,7 @@
     async def fill():
         backend = Sqlite(str(path))
         await backend.open()
-        await backend.write([record(1), record(2, OVER, ended_ms=1_800_000_009_000, ending="cut")])
+        await backend.write([record(1), record(2, ENDED, ended_ms=1_800_000_009_000, ending="cut")])
         await backend.close()
 
     asyncio.run(fill())
@@ -354,7 +358,7 @@
     text = f'backend = "postgresql"\ndsn = "postgresql://u@127.0.0.1:{free_port()}/d"\nqueue_most = 20\n'
     began = time.monotonic()
     tries, log = asyncio.run(_served(tmp_path, 1, 60.0, 1.0, text))
-    most = 1 + (time.monotonic() - began) // LOG_EVERY_S  # one line, and one more every 5 s
+    most = 1 + (time.monotonic() - began) // LOG_INTERVAL_S  # one line, and one more every 5 s
     assert {made.outcome for made in tries.values()} == {"served"}
     assert 1 <= log.count("store: not written") <= most and 1 <= log.count("the queue is full") <= most
     assert "records were not written before the end" in log
--- a/tests/test_store_outbox.py
+++ b/tests/test_store_outbox.py
@@ -8,16 +8,18 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from canvasplank.store.outbox import BACKOFF_MOST_MS, Outbox
-from canvasplank.store.records import ANSWERED, OVER, Outcome
+from canvasplank.store.outbox import MAX_BACKOFF_MS, Outbox
+from canvasplank.store.records import ANSWERED, ENDED, CallOutcome
 
 
-def record(number: int, version: int = ANSWERED) -> Outcome:
-    return Outcome(f"{number:016x}", "n0", 1000 + number, "low", "served", "s-1", 1, 1040, version=version)
+def record(number: int, version: int = ANSWERED) -> CallOutcome:
+    return CallOutcome(
+        f"{number:016x}", "n0", 1000 + number, "low", "served", "s-1", 1, 1040, version=version
+    )
 
 
-def outbox(queue_most: int = 100, batch_most: int = 10, linger_ms: float = 50.0) -> Outbox:
-    return Outbox(queue_most, batch_most, linger_ms)
+def outbox(max_queue: int = 100, max_batch: int = 10, linger_ms: float = 50.0) -> Outbox:
+    return Outbox(max_queue, max_batch, linger_ms)
 
 
 def test_a_batch_goes_when_it_is_full_or_has_lingered():
@@ -27,18 +29,18 @@
     assert box.wait_ms(20) == 30 and box.take(20) == []
     assert box.take(50) == [record(1)]
     assert box.wait_ms(60) is None, "one batch at a time"
-    box.written()
+    box.on_written()
     for number in range(12):
         box.put(record(number), 100)
     assert len(box.take(100)) == 10
 
 
 def test_the_later_row_of_a_call_takes_the_place_of_the_queued_one_also_when_full():
-    box = outbox(queue_most=2)
+    box = outbox(max_queue=2)
     assert box.put(record(1), 0) and box.put(record(2), 0)
     assert not box.put(record(3), 0) and box.counts["dropped"] == 1
-    assert box.put(record(1, OVER), 0)
-    assert box.take(50) == [record(1, OVER), record(2)]
+    assert box.put(record(1, ENDED), 0)
+    assert box.take(50) == [record(1, ENDED), record(2)]
 
 
 def test_a_failed_batch_goes_again_first_and_gives_way_to_later_rows():
@@ -47,10 +49,10 @@
     box.put(record(2), 0)
     box.take(50)
     box.put(record(3), 60)
-    box.put(record(1, OVER), 60)  # while its first row is out
-    box.failed(70)
+    box.put(record(1, ENDED), 60)  # while its first row is out
+    box.on_failed(70)
     assert box.take(70) == [], "not before the pause"
-    assert box.take(1000) == [record(1, OVER), record(2), record(3)]
+    assert box.take(1000) == [record(1, ENDED), record(2), record(3)]
 
 
 def test_pauses_double_up_to_a_bound_and_end_with_a_write():
@@ -59,18 +61,18 @@
     now, pauses = 0.0, []
     for _ in range(12):
         assert box.take(now)
-        box.failed(now)
+        box.on_failed(now)
         pauses.append(box.wait_ms(now))
         now += pauses[-1]
-    assert pauses[0] <= 100 and pauses[5] > pauses[0] and max(pauses) <= BACKOFF_MOST_MS
+    assert pauses[0] <= 100 and pauses[5] > pauses[0] and max(pauses) <= MAX_BACKOFF_MS
     box.take(now)
-    box.written()
+    box.on_written()
     box.put(record(2), now)
     assert box.wait_ms(now) == 0
 
 
 def test_one_bad_record_is_found_by_halving_and_left_out_alone():
-    box = outbox(batch_most=16, linger_ms=0)
+    box = outbox(max_batch=16, linger_ms=0)
     for number in range(16):
         box.put(record(number), 0)
     written, tries, bad = [], 0, None
@@ -78,10 +80,10 @@
         tries += 1
         batch = box.take(0)
         if record(11) in batch:
-            bad = box.refused(0) or bad
+            bad = box.on_rejected(0) or bad
         else:
             written += batch
-            box.written()
+            box.on_written()
     assert bad == record(11) and tries < 20
     assert sorted(written, key=lambda r: r.call_id) == [record(n) for n in range(16) if n != 11]
 
@@ -92,14 +94,14 @@
 )
 def test_whatever_happens_every_record_is_accounted_for(steps, seed):
     """The store is a dictionary by key; at the end it holds the last row of every call that was taken in."""
-    box, chance = outbox(queue_most=12, batch_most=4, linger_ms=0), random.Random(seed)
+    box, chance = outbox(max_queue=12, max_batch=4, linger_ms=0), random.Random(seed)
     taken, store, rejected, now, batch = {}, {}, set(), 0.0, []
     for number, step in enumerate([*steps, *["take", "written"] * 100]):
         now += 6000
         if step in ("put", "over"):
             known = [key for key in taken if key not in rejected]
             again = step == "over" and known
-            new = record(int(chance.choice(known)[0], 16), OVER) if again else record(number)
+            new = record(int(chance.choice(known)[0], 16), ENDED) if again else record(number)
             if box.put(new, now):
                 taken[new.key] = max(new, taken.get(new.key, new), key=lambda r: r.version)
         elif step == "take" and not batch:
@@ -110,10 +112,10 @@
                     if store.get(each.key, each).version <= each.version:
                         store[each.key] = each
             if step == "refused":
-                bad = box.refused(now)
+                bad = box.on_rejected(now)
                 rejected |= {bad.key} if bad else set()
             else:
-                box.written() if step == "written" else box.failed(now)
+                box.on_written() if step == "written" else box.on_failed(now)
             batch = []
         counts = box.counts
         assert counts["queued"] == len(box) + counts["written"] + counts["rejected"] + counts["superseded"]
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -38,8 +38,8 @@
     Member,
     Task,
 )
-from canvasplank.store.backend import Count
-from canvasplank.store.records import ANSWERED, OVER, Outcome
+from canvasplank.store.backend import CallCount
+from canvasplank.store.records import ANSWERED, ENDED, CallOutcome
 from canvasplank.store.sqlite import Sqlite as StoreSqlite
 from canvasplank.warm_start import client, peer_snapshot
 from canvasplank.warm_start.peer_snapshot import Learned, PeerView
@@ -79,18 +79,20 @@
     return path
 
 
-def outcome(place: int, final: str = "served", after_ms: int = 0, **more) -> Outcome:
+def outcome(place: int, final: str = "served", after_ms: int = 0, **more) -> CallOutcome:
     taken_ms = START_MS + 1000 * place + after_ms
-    return Outcome(f"{place:016x}", "proxy-1", taken_ms, "reading", final, "core-a", 1, taken_ms + 40, **more)
+    return CallOutcome(
+        f"{place:016x}", "proxy-1", taken_ms, "reading", final, "core-a", 1, taken_ms + 40, **more
+    )
 
 
 OUTCOMES = [
-    outcome(1, version=OVER, ended_ms=START_MS + 9000, ending="ended", member="acme", number="7f01"),
-    outcome(2, version=OVER, ended_ms=START_MS + 9500, ending="cut"),
-    outcome(3, "refused", member="acme", number="7f02", version=ANSWERED),
+    outcome(1, version=ENDED, ended_ms=START_MS + 9000, ending="ended", tenant="acme", number="7f01"),
+    outcome(2, version=ENDED, ended_ms=START_MS + 9500, ending="cut"),
+    outcome(3, "refused", tenant="acme", number="7f02", version=ANSWERED),
     outcome(4, "failed"),
     outcome(5, "given_up", number="7f03"),
-    outcome(6, after_ms=PERIOD_MS, member="zenith"),
+    outcome(6, after_ms=PERIOD_MS, tenant="zenith"),
 ]
 
 
@@ -281,22 +283,22 @@
 
 
 def test_the_records_of_calls_are_read(tmp_path):
-    async def count() -> list[Count]:
+    async def count() -> list[CallCount]:
         store = StoreSqlite(str(restored("store.db", tmp_path)))
         await store.open()
         try:
-            return await store.count(0, "proxy-1")
+            return await store.count_calls(0, "proxy-1")
         finally:
             await store.close()
 
     assert sorted(asyncio.run(count()), key=str) == sorted(
         [
-            Count("reading", "failed", None, 1),
-            Count("reading", "given_up", None, 1),
-            Count("reading", "refused", None, 1),
-            Count("reading", "served", "cut", 1),
-            Count("reading", "served", "ended", 1),
-            Count("reading", "served", None, 1),
+            CallCount("reading", "failed", None, 1),
+            CallCount("reading", "given_up", None, 1),
+            CallCount("reading", "refused", None, 1),
+            CallCount("reading", "served", "cut", 1),
+            CallCount("reading", "served", "ended", 1),
+            CallCount("reading", "served", None, 1),
         ],
         key=str,
     )
@@ -311,7 +313,7 @@
     async def write() -> None:
         store = StoreSqlite(str(path))
         await store.open()
-        await store.write([outcome(3, "served", version=OVER, ended_ms=START_MS + 8000, ending="released")])
+        await store.write([outcome(3, "served", version=ENDED, ended_ms=START_MS + 8000, ending="released")])
         await store.close()
 
     path = restored("store.db", tmp_path)
