--- a/canvasplank/store/__main__.py
+++ b/canvasplank/store/__main__.py
@@ -15,9 +15,10 @@
 from canvasplank.database.errors import StoreRefusedError, StoreUnavailableError
 from canvasplank.store.backend import CallCount
 from canvasplank.store.config import load_store
+from canvasplank.store.records import Final
 
 COUNTER_LINE = re.compile(r'edge_(served|refused|failed)\{class="((?:[^"\\]|\\.)*)"\} (\d+)')
-FINALS_COUNTED_AS_FAILED = ("failed", "invalid")  # both are in the counter edge_failed
+FINALS_COUNTED_AS_FAILED = (Final.FAILED, Final.INVALID)  # both are in the counter edge_failed
 
 store_option = click.option(
     "--store",
@@ -63,7 +64,7 @@
 def summary(path: str, since: datetime | None, instance: str) -> None:
     """Print the number of calls by class, final answer and ending."""
     for count in query_counts(path, since, instance):
-        ending = count.ending or ("stands or unknown" if count.final == "served" else "-")
+        ending = count.ending or ("stands or unknown" if count.final == Final.SERVED else "-")
         click.echo(f"{count.class_name}\t{count.final}\t{ending}\t{count.calls}")
 
 
@@ -99,8 +100,8 @@
     """Records by class and counter; a call that its caller gave up is in no counter."""
     recorded: Counter[tuple[str, str]] = Counter()
     for count in counts:
-        if count.final != "given_up":
-            final = "failed" if count.final in FINALS_COUNTED_AS_FAILED else count.final
+        if count.final != Final.GIVEN_UP:
+            final = Final.FAILED if count.final in FINALS_COUNTED_AS_FAILED else count.final
             recorded[count.class_name, final] += count.calls
     return recorded
 
--- a/canvasplank/store/outbox.py
+++ b/canvasplank/store/outbox.py
@@ -31,7 +31,7 @@
         self._backoff_ms = MIN_BACKOFF_MS
         self._retry_at_ms = 0.0
         self._random = random.Random(seed)
-        self.closing = False  # no more records will come: write without lingering
+        self._closed = False
 
     def __len__(self) -> int:
         """Records not yet known to be written."""
@@ -42,6 +42,15 @@
         """Whether the next batch is complete, so that lingering gains nothing."""
         return len(self._queue) >= self._batch_limit
 
+    @property
+    def drained(self) -> bool:
+        """Whether it is closed and every record has been written or rejected."""
+        return self._closed and not len(self)
+
+    def close(self) -> None:
+        """No more records will come: batches no longer linger."""
+        self._closed = True
+
     def put(self, record: CallOutcome, now_ms: float) -> bool:
         """Queue a record; False if the queue is full and it was dropped.
 
@@ -68,7 +77,7 @@
         """The time until a batch may be taken; None if nothing is queued or a batch is in flight."""
         if self._in_flight or not self._queue:
             return None
-        linger_ms = 0.0 if self.closing or self.has_full_batch else self._linger_ms
+        linger_ms = 0.0 if self._closed or self.has_full_batch else self._linger_ms
         return max(0.0, (self._oldest_ms or 0.0) + linger_ms - now_ms, self._retry_at_ms - now_ms)
 
     def take(self, now_ms: float) -> list[CallOutcome]:
--- a/canvasplank/store/records.py
+++ b/canvasplank/store/records.py
@@ -2,16 +2,37 @@
 
 from __future__ import annotations
 
+import enum
+
 import msgspec
 
 from canvasplank import interface as api
 
 ANSWERED, ENDED = 1, 2  # a row's version: at the final answer, and at the end of an established call
-SERVED, GIVEN_UP = "served", "given_up"  # final answers beside those of ``exchange.FinalAnswer``
+
+
+class Final(enum.StrEnum):
+    """The stored values of ``final``: those of ``exchange.FinalAnswer``, and two more."""
+
+    SERVED = "served"  # established
+    REFUSED = "refused"
+    FAILED = "failed"
+    INVALID = "invalid"
+    GIVEN_UP = "given_up"  # by the caller
+
+
+class Ending(enum.StrEnum):
+    """The stored values of ``ending``."""
+
+    ENDED = "ended"
+    RELEASED = "released"  # by the caller
+    CUT = "cut"
+
+
 ENDING_BY_OUTCOME = {
-    api.Outcome.ENDED: "ended",
-    api.Outcome.CANCELLED: "released",
-    api.Outcome.RESET: "cut",
+    api.Outcome.ENDED: Ending.ENDED,
+    api.Outcome.CANCELLED: Ending.RELEASED,
+    api.Outcome.RESET: Ending.CUT,
 }
 
 RecordKey = tuple[str, str, int]
@@ -28,12 +49,12 @@
     instance: str
     taken_ms: int
     class_name: str
-    final: str  # served, refused, failed, invalid or given_up
+    final: str  # a value of ``Final``
     server: str | None  # where the call is established, or was attempted last
     attempts: int
     answered_ms: int
     ended_ms: int | None = None
-    ending: str | None = None  # ended, released (by its caller) or cut
+    ending: str | None = None  # a value of ``Ending``
     version: int = ANSWERED
     tenant: str | None = msgspec.field(default=None, name="member")  # if the configuration names members
     number: str | None = None  # the called number, by which a caller's repeats are recognised
--- a/canvasplank/store/schema.py
+++ b/canvasplank/store/schema.py
@@ -5,6 +5,7 @@
 import msgspec
 
 from canvasplank.database.migrations import Schema
+from canvasplank.database.statements import Row
 from canvasplank.store.records import CallOutcome
 
 MIGRATIONS: tuple[tuple[str, ...], ...] = (
@@ -53,8 +54,6 @@
     "GROUP BY class_name, final, ending ORDER BY class_name, final, ending"
 )
 
-Row = tuple[str | int | None, ...]
-
 
 def row(record: CallOutcome) -> Row:
     """The record's values in the order of ``COLUMNS``."""
--- a/canvasplank/store/writer.py
+++ b/canvasplank/store/writer.py
@@ -10,6 +10,8 @@
 import contextlib
 import logging
 
+import msgspec
+
 from canvasplank import interface as api
 from canvasplank.counters import Counters
 from canvasplank.database.errors import StoreRefusedError, StoreUnavailableError
@@ -17,7 +19,7 @@
 from canvasplank.exchange.call_records import CallRecord
 from canvasplank.store.backend import Backend
 from canvasplank.store.outbox import Outbox
-from canvasplank.store.records import ENDED, ENDING_BY_OUTCOME, SERVED, CallOutcome
+from canvasplank.store.records import ENDED, ENDING_BY_OUTCOME, CallOutcome, Final
 
 LOG = logging.getLogger(__name__)
 LOG_INTERVAL_S = 5.0  # between two log lines of the same kind
@@ -35,7 +37,7 @@
         self._instance, self._write_timeout_s, self._counters = instance, write_timeout_s, counters
         self._connected = False
         self._records_ready = asyncio.Event()
-        self._task: asyncio.Task | None = None
+        self._task: asyncio.Task[None] | None = None
         self._logged_s: dict[str, float] = {}
         self._failing = False
 
@@ -43,39 +45,29 @@
 
     def call_answered(self, call: CallRecord, final: str, now_ms: float) -> None:
         """See ``Recorder``."""
-        self._put(
-            CallOutcome(
-                call.id,
-                self._instance,
-                int(call.taken_ms),
-                call.class_name,
-                final,
-                call.last_server_id,
-                call.attempts,
-                int(now_ms),
-                tenant=call.tenant,
-                number=call.number,
-            )
-        )
+        self._put(self._record_of(call, final, call.last_server_id, now_ms))
 
     def call_ended(self, call: CallRecord, outcome: api.Outcome, now_ms: float) -> None:
         """See ``Recorder``."""
-        self._put(
-            CallOutcome(
-                call.id,
-                self._instance,
-                int(call.taken_ms),
-                call.class_name,
-                SERVED,
-                call.established_server_id,
-                call.attempts,
-                int(call.established_ms),
-                int(now_ms),
-                ENDING_BY_OUTCOME.get(outcome),
-                ENDED,
-                call.tenant,
-                call.number,
-            )
+        answered = self._record_of(call, Final.SERVED, call.established_server_id, call.established_ms)
+        ending = ENDING_BY_OUTCOME.get(outcome)
+        self._put(msgspec.structs.replace(answered, ended_ms=int(now_ms), ending=ending, version=ENDED))
+
+    def _record_of(
+        self, call: CallRecord, final: str, server_id: str | None, answered_ms: float
+    ) -> CallOutcome:
+        """The call's row at its final answer."""
+        return CallOutcome(
+            call.id,
+            self._instance,
+            int(call.taken_ms),
+            call.class_name,
+            final,
+            server_id,
+            call.attempts,
+            int(answered_ms),
+            tenant=call.tenant,
+            number=call.number,
         )
 
     def _put(self, record: CallOutcome) -> None:
@@ -97,7 +89,7 @@
         """Write what is queued within this time and end the task; what remains unwritten is logged."""
         if self._task is None:
             return
-        self._outbox.closing = True
+        self._outbox.close()
         self._records_ready.set()
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(max(0.0, timeout_s)):
@@ -120,7 +112,7 @@
             wait_ms = self._outbox.wait_ms(self._now_ms())
             if wait_ms == 0:
                 await self._write(self._outbox.take(self._now_ms()))
-            elif wait_ms is None and self._outbox.closing:
+            elif self._outbox.drained:
                 break
             else:
                 await self._wait_for_records(wait_ms)
--- a/tests/test_store_outbox.py
+++ b/tests/test_store_outbox.py
@@ -130,5 +130,6 @@
 def test_at_the_end_nothing_lingers(closing):
     box = outbox()
     box.put(record(1), 0)
-    box.closing = closing
+    if closing:
+        box.close()
     assert (box.take(0) == [record(1)]) is closing
