--- a/canvasplank/cli.py
+++ b/canvasplank/cli.py
@@ -1,4 +1,4 @@
-"""The command line: ``canvasplank run``, ``fleet``, ``budgets``, ``store``."""
+"""The command line: ``canvasplank run``, ``fleet``, ``worker``, ``budgets`` and ``store``."""
 
 from __future__ import annotations
 
@@ -17,11 +17,12 @@
 from canvasplank.fleet.backend import Backend
 from canvasplank.fleet.config import Fleet, load_fleet
 from canvasplank.fleet.lease_transaction import leased
-from canvasplank.fleet.state import Allocation, FleetState
+from canvasplank.fleet.state import FleetState
 from canvasplank.store.__main__ import cli as store_cli
 
-THOUSANDTHS = 1000.0
-QUIET_AFTER_PERIODS = 2.5  # renewals' periods: a member that has not renewed within is told as quiet
+MS_PER_S = 1000.0
+THOUSANDTHS_PER_UNIT = 1000.0  # allocations count thousandths of a unit a second
+QUIET_AFTER_RENEWALS = 2.5  # intervals of renewal without a request after which a member is shown as quiet
 
 Result = TypeVar("Result")
 
@@ -30,20 +31,23 @@
     "path",
     required=True,
     envvar="CANVASPLANK_FLEET",
-    help="The fleet's file, as deploy/fleet.toml.",
+    help="Settings file of the fleet, such as deploy/fleet.toml.",
 )
 
 
-def query(path: str, read: Callable[[Fleet, Backend], Awaitable[Result]]) -> Result:
-    """What the fleet's store says, or an exit with one line."""
+def query_fleet(path: str, query: Callable[[Fleet, Backend], Awaitable[Result]]) -> Result:
+    """The query's result from the fleet's store.
+
+    Raises ``ClickException`` (one line, exit status 1) if the settings or the store cannot be used.
+    """
 
     async def run() -> Result:
         fleet = load_fleet(path)
         backend = fleet.create_backend()
-        async with asyncio.timeout(fleet.request_ms / THOUSANDTHS):
+        async with asyncio.timeout(fleet.request_ms / MS_PER_S):
             await backend.open()
         try:
-            return await read(fleet, backend)
+            return await query(fleet, backend)
         finally:
             await backend.close()
 
@@ -53,14 +57,18 @@
         raise click.ClickException(str(error) or "the store gave no answer in time") from None
 
 
+async def _read_state(_: Fleet, backend: Backend) -> FleetState:
+    return await backend.read_state()
+
+
 @click.group()
 def cli() -> None:
-    """A signalling proxy, and what its operators ask of it and of its fleet."""
+    """A signalling proxy, and the commands to operate it and its fleet."""
 
 
 @cli.command()
 def run() -> None:
-    """Serve, by the environment's configuration (EDGE_CONFIG and so on)."""
+    """Run the proxy, configured by the environment (EDGE_CONFIG and so on)."""
     from canvasplank.program import serve
 
     sys.exit(serve())
@@ -68,27 +76,26 @@
 
 @cli.group()
 def fleet() -> None:
-    """Who is in the fleet."""
+    """Members of the fleet and the leaders of its tasks."""
 
 
 @fleet.command()
 @fleet_option
 def status(path: str) -> None:
-    """Each proxy that has a row: its name, incarnation, requests so far, and whether it renews.
+    """List the members: name, incarnation, requests so far, and whether the lease is being renewed.
 
-    Takes a little more than two periods of renewals, since that alone tells who is there.
+    Takes two and a half renewal intervals: only a renewal within that time shows that a member is alive.
     """
 
-    async def read(settings: Fleet, backend: Backend) -> tuple[FleetState, FleetState]:
+    async def read_twice(settings: Fleet, backend: Backend) -> tuple[FleetState, FleetState]:
         before = await backend.read_state()
-        await asyncio.sleep(QUIET_AFTER_PERIODS * settings.renew_ms / THOUSANDTHS)
+        await asyncio.sleep(QUIET_AFTER_RENEWALS * settings.renew_ms / MS_PER_S)
         return before, await backend.read_state()
 
-    before, after = query(path, read)
+    before, after = query_fleet(path, read_twice)
     for incarnation, member in sorted(after.members.items()):
-        old = before.members.get(incarnation)
-        renewed = member.seq - old.seq if old else member.seq
-        state = "new" if old is None else "renews" if renewed else "quiet"
+        earlier = before.members.get(incarnation)
+        state = "new" if earlier is None else "renews" if member.seq != earlier.seq else "quiet"
         click.echo(f"{member.name}\t{incarnation}\t{member.seq} requests\t{state}")
     for incarnation in sorted(before.members.keys() - after.members.keys()):
         click.echo(f"{before.members[incarnation].name}\t{incarnation}\t-\tgone")
@@ -96,16 +103,16 @@
         click.echo(f"?\t{incarnation}\t-\tcannot be read by this version")
 
 
-@fleet.command()
+@fleet.command("forget")
 @fleet_option
 @click.argument("incarnation", type=int)
-def forget(path: str, incarnation: int) -> None:
-    """Remove a row by hand: one that this version cannot read, of a proxy that is surely no more."""
+def remove_member(path: str, incarnation: int) -> None:
+    """Remove a member's row that this version cannot read, of a process that certainly does not run."""
 
-    async def read(_: Fleet, backend: Backend) -> bool:
+    async def remove(_: Fleet, backend: Backend) -> bool:
         return await backend.remove_member(incarnation)
 
-    if not query(path, read):
+    if not query_fleet(path, remove):
         raise click.ClickException(f"there is no {incarnation}")
     click.echo(f"{incarnation} removed")
 
@@ -113,27 +120,27 @@
 @fleet.command()
 @fleet_option
 def owners(path: str) -> None:
-    """Each task of the fleet: who owns it, in which term, how often it failed in a row."""
-
-    async def read(_: Fleet, backend: Backend) -> FleetState:
-        return await backend.read_state()
-
-    state = query(path, read)
+    """List the fleet's tasks: leader, term, and consecutive failures."""
+    state = query_fleet(path, _read_state)
     for name, task in sorted(state.tasks.items()):
-        member = state.members.get(task.owner)
-        owner = "nobody" if member is None else f"{member.name} ({member.incarnation})"
+        member = None if task.owner is None else state.members.get(task.owner)
+        leader = "nobody" if member is None else f"{member.name} ({member.incarnation})"
         failed = f"\tfailed {task.failures} times, last at {task.failed_by}" if task.failures else ""
-        click.echo(f"{name}\t{owner}\tterm {task.term}{failed}")
+        click.echo(f"{name}\t{leader}\tterm {task.term}{failed}")
 
 
 @cli.command()
 @fleet_option
 @click.option(
-    "--work", "work_path", required=True, envvar="CANVASPLANK_WORK", help="What it does, as deploy/work.toml."
+    "--work",
+    "work_path",
+    required=True,
+    envvar="CANVASPLANK_WORK",
+    help="Settings file of the worker, such as deploy/work.toml.",
 )
-@click.option("--name", default=socket.gethostname, help="What operators know it by.")
+@click.option("--name", default=socket.gethostname, help="Name of this member of the fleet.")
 def worker(path: str, work_path: str, name: str) -> None:
-    """Do the fleet's work: close periods of the usage ledger, export them, remove old records."""
+    """Run the fleet's tasks: close periods of the usage ledger, export them, delete old records."""
     from canvasplank.runtime import structured_logging
     from canvasplank.worker.config import load_work
     from canvasplank.worker.task_runner import TaskRunner
@@ -150,37 +157,29 @@
 
 @cli.group()
 def budgets() -> None:
-    """What the fleet may use together, and who holds what of it."""
+    """The fleet's shared budgets and their allocations."""
 
 
 @budgets.command()
 @fleet_option
 def show(path: str) -> None:
-    """Each budget, and each proxy's share and demand in it, in units a second."""
-
-    async def read(_: Fleet, backend: Backend) -> FleetState:
-        return await backend.read_state()
-
-    state = query(path, read)
+    """List each budget with every member's allocation and demand, in units a second."""
+    state = query_fleet(path, _read_state)
     for budget in sorted({name for member in state.members.values() for name in member.allocations}):
-        shares = [
-            (m, m.allocations[budget]) for _, m in sorted(state.members.items()) if budget in m.allocations
-        ]
-        total = leased([allocation for _, allocation in shares])
-        held = sum(allocation.held for _, allocation in shares)
-        click.echo(
-            f"{budget}\tleased {held / THOUSANDTHS:g} of {total / THOUSANDTHS:g}/s"
-            f"\tfree {(total - held) / THOUSANDTHS:g}/s"
-        )
-        for member, allocation in shares:
+        members = [member for _, member in sorted(state.members.items()) if budget in member.allocations]
+        total = leased([member.allocations[budget] for member in members])
+        held = sum(member.allocations[budget].held for member in members)
+        click.echo(f"{budget}\tleased {_units(held)} of {_units(total)}/s\tfree {_units(total - held)}/s")
+        for member in members:
+            allocation = member.allocations[budget]
+            demand = "-" if allocation.demand is None else f"{_units(allocation.demand)}/s"
             click.echo(
-                f"  {member.name}\t{member.incarnation}\tholds {allocation.held / THOUSANDTHS:g}/s"
-                f"\twants {_demand_of(allocation)}"
+                f"  {member.name}\t{member.incarnation}\tholds {_units(allocation.held)}/s\twants {demand}"
             )
 
 
-def _demand_of(allocation: Allocation) -> str:
-    return "-" if allocation.demand is None else f"{allocation.demand / THOUSANDTHS:g}/s"
+def _units(thousandths: float) -> str:
+    return f"{thousandths / THOUSANDTHS_PER_UNIT:g}"
 
 
 cli.add_command(store_cli, "store")
