--- a/benchmarks/store_latency.py
+++ b/benchmarks/store_latency.py
@@ -23,7 +23,7 @@
 
 from emulators.callers import Callers, Try
 from emulators.fleet import ROOT, fleet
-from emulators.postgresql import DATA
+from emulators.postgresql.server import DATA
 from emulators.server import CallServer
 
 FOR_S, TROUBLE_AT_S, TROUBLE_S = 12.0, 3.0, 5.0
--- a/emulators/postgresql.py
+++ b/emulators/postgresql/session.py
@@ -1,135 +1,29 @@
-"""A stand-in PostgreSQL: the frontend/backend protocol 3.0 as far as asyncpg uses it, over an SQLite file.
-
-Written from the protocol's public specification (PostgreSQL manual, chapter "Frontend/Backend Protocol").  It
-runs the statements it is sent, commits at Sync as the original does outside a transaction block, and fails on
-request: slow, stalled, dropped before or after a commit, refusing connections, restarted, not serializable.
-
-Every row lock is one lock on everything, taken by a transaction's first statement that writes or selects FOR
-UPDATE, and waited for as a row's is; until then each statement sees what is committed (READ COMMITTED).
-``statement_timeout`` and ``idle_in_transaction_session_timeout`` are kept.
-
-``python -m emulators.postgresql FOLDER`` runs one by itself, for measurements that its own work must not
-disturb.  It prints its DSN and takes commands on standard input: ``stalled 1``,
-``drop_after_commit 1``, ``restart 5``.
-"""
+"""One client's session."""
 
 from __future__ import annotations
 
 import asyncio
-import contextlib
-import re
 import sqlite3
 import struct
-import sys
-from dataclasses import dataclass, field
-from pathlib import Path
-
-SSL_REQUEST, CANCEL_REQUEST, PROTOCOL_3 = 80877103, 80877102, 196608
-TEXT, BIGINT, INTEGER = 25, 20, 23
-TYPES = {"text": TEXT, "bigint": BIGINT, "integer": INTEGER}
-NUMBERS = {BIGINT: struct.Struct(">q"), INTEGER: struct.Struct(">i")}  # as a binary result holds them
-FOR_UPDATE = " FOR UPDATE"
-DATA = "standin.db"  # the file of its data, in its folder
-CAST = re.compile(r"CAST\(\$(\d+) AS (\w+)\)")
-PARAMETERS = {
-    "server_version": "16.0",
-    "client_encoding": "UTF8",
-    "server_encoding": "UTF8",
-    "standard_conforming_strings": "on",
-    "integer_datetimes": "on",
-    "TimeZone": "UTC",
-}
-
-
-class StatedError(Exception):
-    """An error with its SQLSTATE; a fatal one ends the session."""
-
-    def __init__(self, state: str, text: str, *, fatal: bool = False) -> None:
-        super().__init__(text)
-        self.state, self.fatal = state, fatal
-
-
-SQLSTATES = {sqlite3.IntegrityError: "23505"}
-LOCKS = ("INSERT", "UPDATE", "DELETE", "CREATE", "ALTER")
-
-
-def own(sql: str) -> str:
-    """A statement as SQLite reads it."""
-    return sql.replace("$", "?").removesuffix(FOR_UPDATE)
-
-
-def message(kind: bytes, body: bytes = b"") -> bytes:
-    """A backend message: its type, the length that counts itself, the body."""
-    return kind + struct.pack(">I", len(body) + 4) + body
-
-
-def text(value: str) -> bytes:
-    """A string as the protocol writes it."""
-    return value.encode() + b"\0"
-
-
-class Reader:
-    """Takes one message's body apart."""
-
-    def __init__(self, data: bytes) -> None:
-        self.data, self.at = data, 0
-
-    def string(self) -> str:
-        """Up to the next zero byte."""
-        end = self.data.index(b"\0", self.at)
-        value, self.at = self.data[self.at : end].decode(), end + 1
-        return value
-
-    def number(self, form: str) -> int:
-        """One number of a struct format."""
-        [value] = struct.unpack_from(f">{form}", self.data, self.at)
-        self.at += struct.calcsize(f">{form}")
-        return value
-
-    def numbers(self, form: str) -> list[int]:
-        """A count of two bytes, and so many numbers."""
-        return [self.number(form) for _ in range(self.number("h"))]
-
-    def value(self) -> bytes | None:
-        """A length and so many bytes; -1 is NULL."""
-        length = self.number("i")
-        if length < 0:
-            return None
-        self.at += length
-        return self.data[self.at - length : self.at]
-
-
-@dataclass
-class Statement:
-    """A prepared statement."""
-
-    sql: str
-    types: list[int]
-
-    @staticmethod
-    def of(sql: str) -> Statement:
-        """With its parameters' types, which its casts tell."""
-        found = {int(number): TYPES[name] for number, name in CAST.findall(sql)}
-        return Statement(sql, [found[number] for number in sorted(found)])
-
-    def values(self, raw: list[bytes | None]) -> list[str | int | None]:
-        """Parameters from their binary form."""
-        return [
-            None if data is None else data.decode() if kind == TEXT else int.from_bytes(data, signed=True)
-            for kind, data in zip(self.types, raw, strict=True)
-        ]
-
-
-@dataclass
-class Faults:
-    """What is to go wrong; everything may be changed while it runs."""
-
-    delay_s: float = 0.0  # before each Sync is carried out
-    drop_before_commit: int = 0  # so many commits are lost with their connections
-    drop_after_commit: int = 0  # so many are made, and the connection ends before the client hears of it
-    serialization_failures: int = 0  # so many commits fail as they would where two write the same
-    refuse_rows: set[str] = field(default_factory=set)  # rows holding one of these values: SQLSTATE 22
-    stalled: bool = False
+from typing import TYPE_CHECKING
+
+from emulators.postgresql.protocol import (
+    LOCKS,
+    NUMBERS,
+    PARAMETERS,
+    PROTOCOL_3,
+    SQLSTATES,
+    SSL_REQUEST,
+    TEXT,
+    Reader,
+    StatedError,
+    message,
+    text,
+)
+from emulators.postgresql.statements import FOR_UPDATE, Statement, own
+
+if TYPE_CHECKING:
+    from emulators.postgresql.server import PostgresqlStandIn
 
 
 class Session:
@@ -374,110 +268,3 @@
                 self._error(fault)
                 self.failed = False
         self._ready()
-
-
-class PostgresqlStandIn:
-    """The server; its data outlives its restarts."""
-
-    def __init__(self, folder: Path) -> None:
-        self.faults = Faults()
-        self.commits = 0
-        self.sessions = 0
-        self.lock = asyncio.Lock()
-        self._types: dict[str, int] = {}
-        self._path = folder / DATA
-        self._port = 0
-        self._server: asyncio.Server | None = None
-        self._tasks: dict[asyncio.Task, asyncio.StreamWriter] = {}
-
-    async def start(self) -> None:
-        """Listen; after a stop at the same address."""
-        self._server = await asyncio.start_server(self._serve, "127.0.0.1", self._port)
-        self._port = self._server.sockets[0].getsockname()[1]
-
-    @property
-    def dsn(self) -> str:
-        """How a client names it."""
-        return f"postgresql://canvasplank@127.0.0.1:{self._port}/outcomes"
-
-    def connect(self) -> sqlite3.Connection:
-        """A connection to the data, with the functions that the statements use."""
-        database = sqlite3.connect(self._path, timeout=1.0, isolation_level=None)
-        database.execute("PRAGMA journal_mode = WAL")
-        database.execute("PRAGMA synchronous = OFF")
-        database.create_function("pg_advisory_xact_lock", 1, lambda _: None)
-        return database
-
-    def type_of(self, database: sqlite3.Connection, column: str) -> int:
-        """A result column's type, by the tables' column of that name; of anything else it is text."""
-        if column not in self._types:
-            found = database.execute(
-                "SELECT c.type FROM sqlite_master t, pragma_table_info(t.name) c "
-                "WHERE t.type = 'table' AND c.name = ?",
-                [column],
-            ).fetchone()
-            if found is None:
-                return TEXT
-            self._types[column] = TYPES[found[0].lower()]
-        return self._types[column]
-
-    def rows(self, sql: str) -> list[tuple]:
-        """What the data holds now."""
-        with contextlib.closing(self.connect()) as database:
-            return database.execute(sql).fetchall()
-
-    async def breathe(self) -> None:
-        """Hold everything while stalled."""
-        while self.faults.stalled:
-            await asyncio.sleep(0.01)
-
-    async def stop(self) -> None:
-        """End at once: what is not committed is lost, connections are reset."""
-        self._server.close()
-        for task, writer in list(self._tasks.items()):
-            writer.transport.abort()
-            task.cancel()
-        await asyncio.gather(*self._tasks, return_exceptions=True)
-
-    async def restart(self, away_s: float = 0.0) -> None:
-        """Stop, and start again after a while."""
-        await self.stop()
-        await asyncio.sleep(away_s)
-        await self.start()
-
-    async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        self._tasks[task := asyncio.current_task()] = writer
-        task.add_done_callback(lambda done: self._tasks.pop(done, None))
-        self.sessions += 1
-        session = Session(self, reader, writer)
-        try:
-            await session.run()
-        except (OSError, asyncio.IncompleteReadError, asyncio.CancelledError):
-            writer.transport.abort()
-        finally:
-            with contextlib.suppress(sqlite3.Error):
-                session.end("ROLLBACK")
-            session.database.close()
-            writer.close()
-
-
-async def main(folder: str) -> None:
-    """Serve until standard input ends."""
-    server = PostgresqlStandIn(Path(folder))
-    await server.start()
-    print(server.dsn, flush=True)
-    commands = asyncio.StreamReader()
-    await asyncio.get_running_loop().connect_read_pipe(
-        lambda: asyncio.StreamReaderProtocol(commands), sys.stdin
-    )
-    while line := (await commands.readline()).decode().split():
-        name, figure = line
-        if name == "restart":
-            await server.restart(float(figure))
-        else:
-            setattr(server.faults, name, float(figure) if name == "delay_s" else int(figure))
-    await server.stop()
-
-
-if __name__ == "__main__":
-    asyncio.run(main(*sys.argv[1:]))
