--- a/benchmarks/store_latency.py
+++ b/benchmarks/store_latency.py
@@ -23,7 +23,7 @@
 
 from emulators.callers import Callers, Try
 from emulators.fleet import ROOT, fleet
-from emulators.postgresql.server import DATA
+from emulators.postgresql.shared_data import DATA_FILE
 from emulators.server import CallServer
 
 FOR_S, TROUBLE_AT_S, TROUBLE_S = 12.0, 3.0, 5.0
@@ -121,7 +121,7 @@
     with tempfile.TemporaryDirectory() as name:
         folder, database = Path(name), Database()
         dsn = await database.start(folder)
-        path = folder / ("outcomes.db" if store == "SQLite" else DATA)
+        path = folder / ("outcomes.db" if store == "SQLite" else DATA_FILE)
         text = (
             f'backend = "sqlite"\npath = "{path}"\n'
             if store == "SQLite"
--- a/emulators/postgresql/__main__.py
+++ b/emulators/postgresql/__main__.py
@@ -1,4 +1,8 @@
-"""Runs one by itself: see the package."""
+"""Runs the emulated PostgreSQL: ``python -m emulators.postgresql FOLDER``.
+
+It prints its DSN, and reads commands from standard input until that ends: the name of a field of ``Faults``
+and its value (``stalled 1``, ``drop_after_commit 1``), or ``restart SECONDS``.
+"""
 
 from __future__ import annotations
 
@@ -18,12 +22,12 @@
     await asyncio.get_running_loop().connect_read_pipe(
         lambda: asyncio.StreamReaderProtocol(commands), sys.stdin
     )
-    while line := (await commands.readline()).decode().split():
-        name, figure = line
-        if name == "restart":
-            await server.restart(float(figure))
+    while words := (await commands.readline()).decode().split():
+        command, value = words
+        if command == "restart":
+            await server.restart(float(value))
         else:
-            setattr(server.faults, name, float(figure) if name == "delay_s" else int(figure))
+            setattr(server.faults, command, float(value) if command == "delay_s" else int(value))
     await server.stop()
 
 
--- a/emulators/postgresql/faults.py
+++ b/emulators/postgresql/faults.py
@@ -1,4 +1,4 @@
-"""The faults that the stand-in can be made to have."""
+"""The faults that the emulated PostgreSQL can be made to have."""
 
 from __future__ import annotations
 
@@ -7,11 +7,14 @@
 
 @dataclass
 class Faults:
-    """What is to go wrong; everything may be changed while it runs."""
+    """Faults to inject; every field may be changed while the server runs.
 
-    delay_s: float = 0.0  # before each Sync is carried out
-    drop_before_commit: int = 0  # so many commits are lost with their connections
-    drop_after_commit: int = 0  # so many are made, and the connection ends before the client hears of it
-    serialization_failures: int = 0  # so many commits fail as they would where two write the same
-    refuse_rows: set[str] = field(default_factory=set)  # rows holding one of these values: SQLSTATE 22
-    stalled: bool = False
+    The counts are of commits still to be affected; each affected commit decrements its count.
+    """
+
+    delay_s: float = 0.0  # before each Sync, COMMIT and ROLLBACK
+    drop_before_commit: int = 0  # commits that are lost with their connections
+    drop_after_commit: int = 0  # commits that succeed, but the connection ends before the response
+    serialization_failures: int = 0  # commits that fail with SQLSTATE 40001
+    refuse_rows: set[str] = field(default_factory=set)  # rows with one of these values fail: SQLSTATE 22000
+    stalled: bool = False  # nothing that is received is answered
--- a/emulators/postgresql/protocol.py
+++ b/emulators/postgresql/protocol.py
@@ -1,14 +1,17 @@
-"""Messages of the frontend/backend protocol 3.0."""
+"""Messages of PostgreSQL's frontend/backend protocol 3.0: their types, and encoding and decoding them."""
 
 from __future__ import annotations
 
 import sqlite3
 import struct
+from collections.abc import Sequence
 
-SSL_REQUEST, CANCEL_REQUEST, PROTOCOL_3 = 80877103, 80877102, 196608
-TEXT, BIGINT, INTEGER = 25, 20, 23
-TYPES = {"text": TEXT, "bigint": BIGINT, "integer": INTEGER}
-NUMBERS = {BIGINT: struct.Struct(">q"), INTEGER: struct.Struct(">i")}  # as a binary result holds them
+Value = str | int | None
+
+SSL_REQUEST, PROTOCOL_3 = 80877103, 196608  # codes of the first message
+TEXT, BIGINT, INTEGER = 25, 20, 23  # object identifiers of types
+TYPE_OIDS = {"text": TEXT, "bigint": BIGINT, "integer": INTEGER}
+BINARY_NUMBERS = {BIGINT: struct.Struct(">q"), INTEGER: struct.Struct(">i")}
 PARAMETERS = {
     "server_version": "16.0",
     "client_encoding": "UTF8",
@@ -19,54 +22,140 @@
 }
 
 
-class StatedError(Exception):
-    """An error with its SQLSTATE; a fatal one ends the session."""
+class Frontend:
+    """Types of the client's messages."""
 
-    def __init__(self, state: str, text: str, *, fatal: bool = False) -> None:
-        super().__init__(text)
-        self.state, self.fatal = state, fatal
+    QUERY = b"Q"
+    PARSE = b"P"
+    DESCRIBE = b"D"
+    BIND = b"B"
+    EXECUTE = b"E"
+    CLOSE = b"C"
+    FLUSH = b"H"
+    SYNC = b"S"
+    TERMINATE = b"X"
 
 
-SQLSTATES = {sqlite3.IntegrityError: "23505"}
-LOCKS = ("INSERT", "UPDATE", "DELETE", "CREATE", "ALTER")
+class Backend:
+    """Types of the server's messages."""
 
+    AUTHENTICATION = b"R"
+    PARAMETER_STATUS = b"S"
+    BACKEND_KEY_DATA = b"K"
+    READY_FOR_QUERY = b"Z"
+    PARSE_COMPLETE = b"1"
+    BIND_COMPLETE = b"2"
+    CLOSE_COMPLETE = b"3"
+    PARAMETER_DESCRIPTION = b"t"
+    ROW_DESCRIPTION = b"T"
+    NO_DATA = b"n"
+    DATA_ROW = b"D"
+    COMMAND_COMPLETE = b"C"
+    ERROR_RESPONSE = b"E"
 
-def message(kind: bytes, body: bytes = b"") -> bytes:
-    """A backend message: its type, the length that counts itself, the body."""
-    return kind + struct.pack(">I", len(body) + 4) + body
 
+class SqlStateError(Exception):
+    """An error with its SQLSTATE; a fatal one ends the session."""
 
-def text(value: str) -> bytes:
-    """A string as the protocol writes it."""
-    return value.encode() + b"\0"
+    def __init__(self, state: str, text: str, *, fatal: bool = False) -> None:
+        super().__init__(text)
+        self.state, self.fatal = state, fatal
 
 
-class Reader:
-    """Takes one message's body apart."""
+class MessageReader:
+    """Decodes the body of one message."""
 
-    def __init__(self, data: bytes) -> None:
-        self.data, self.at = data, 0
+    def __init__(self, body: bytes) -> None:
+        self._body, self._offset = body, 0
 
     def string(self) -> str:
-        """Up to the next zero byte."""
-        end = self.data.index(b"\0", self.at)
-        value, self.at = self.data[self.at : end].decode(), end + 1
+        """A string, which a zero byte ends."""
+        end = self._body.index(b"\0", self._offset)
+        value, self._offset = self._body[self._offset : end].decode(), end + 1
         return value
 
-    def number(self, form: str) -> int:
+    def number(self, struct_format: str) -> int:
         """One number of a struct format."""
-        [value] = struct.unpack_from(f">{form}", self.data, self.at)
-        self.at += struct.calcsize(f">{form}")
+        [value] = struct.unpack_from(f">{struct_format}", self._body, self._offset)
+        self._offset += struct.calcsize(f">{struct_format}")
         return value
 
-    def numbers(self, form: str) -> list[int]:
-        """A count of two bytes, and so many numbers."""
-        return [self.number(form) for _ in range(self.number("h"))]
+    def numbers(self, struct_format: str) -> list[int]:
+        """A count of two bytes, and that many numbers."""
+        return [self.number(struct_format) for _ in range(self.number("h"))]
 
     def value(self) -> bytes | None:
-        """A length and so many bytes; -1 is NULL."""
+        """A length of four bytes and that many bytes; length -1 is NULL."""
         length = self.number("i")
         if length < 0:
             return None
-        self.at += length
-        return self.data[self.at - length : self.at]
+        self._offset += length
+        return self._body[self._offset - length : self._offset]
+
+
+def message(kind: bytes, body: bytes = b"") -> bytes:
+    """A message: its type, its length (which counts itself but not the type), its body."""
+    return kind + struct.pack(">I", len(body) + 4) + body
+
+
+def encode_string(value: str) -> bytes:
+    """A string, ended by a zero byte."""
+    return value.encode() + b"\0"
+
+
+def startup_messages() -> bytes:
+    """What precedes the first ReadyForQuery: AuthenticationOk, the parameters, a key for cancelling."""
+    statuses = (
+        message(Backend.PARAMETER_STATUS, encode_string(name) + encode_string(value))
+        for name, value in PARAMETERS.items()
+    )
+    return (
+        message(Backend.AUTHENTICATION, struct.pack(">I", 0))
+        + b"".join(statuses)
+        + message(Backend.BACKEND_KEY_DATA, struct.pack(">II", 1, 1))
+    )
+
+
+def parameter_description(types: Sequence[int]) -> bytes:
+    """The types of a statement's parameters."""
+    return message(Backend.PARAMETER_DESCRIPTION, struct.pack(f">h{len(types)}I", len(types), *types))
+
+
+def row_description(columns: Sequence[tuple[str, int]]) -> bytes:
+    """Names and types of the result's columns."""
+    fields = [
+        encode_string(name) + struct.pack(">IhIhih", 0, 0, type_oid, -1, -1, 0) for name, type_oid in columns
+    ]
+    return message(Backend.ROW_DESCRIPTION, struct.pack(">h", len(columns)) + b"".join(fields))
+
+
+def data_row(row: Sequence[Value], types: Sequence[int]) -> bytes:
+    """A row of a result: numbers in binary form, everything else as text."""
+    fields = []
+    for value, type_oid in zip(row, types, strict=True):
+        if value is None:
+            fields.append(struct.pack(">i", -1))
+            continue
+        number = BINARY_NUMBERS.get(type_oid)
+        data = number.pack(value) if number is not None else str(value).encode()
+        fields.append(struct.pack(">i", len(data)) + data)
+    return message(Backend.DATA_ROW, struct.pack(">h", len(row)) + b"".join(fields))
+
+
+def command_complete(tag: str) -> bytes:
+    """The end of a command, with its tag, such as ``INSERT 0 1``."""
+    return message(Backend.COMMAND_COMPLETE, encode_string(tag))
+
+
+def error_response(error: Exception) -> bytes:
+    """An error with its severity, SQLSTATE and message."""
+    severity = "ERROR"
+    if isinstance(error, SqlStateError):
+        state, severity = error.state, "FATAL" if error.fatal else "ERROR"
+    elif type(error) is sqlite3.IntegrityError:
+        state = "23505"
+    else:
+        state = "22000" if isinstance(error, ValueError) else "42000"
+    fields = {b"S": severity, b"V": severity, b"C": state, b"M": str(error)}
+    body = b"".join(code + encode_string(value) for code, value in fields.items())
+    return message(Backend.ERROR_RESPONSE, body + b"\0")
--- a/emulators/postgresql/server.py
+++ b/emulators/postgresql/server.py
@@ -1,99 +1,75 @@
-"""The server, whose data outlives its restarts."""
+"""The server: its address, its sessions, and their end."""
 
 from __future__ import annotations
 
 import asyncio
-import contextlib
-import sqlite3
 from pathlib import Path
 
 from emulators.postgresql.faults import Faults
-from emulators.postgresql.protocol import TEXT, TYPES
 from emulators.postgresql.session import Session
-
-DATA = "standin.db"  # the file of its data, in its folder
+from emulators.postgresql.shared_data import SharedData
 
 
 class PostgresqlStandIn:
     """The server; its data outlives its restarts."""
 
     def __init__(self, folder: Path) -> None:
-        self.faults = Faults()
-        self.commits = 0
-        self.sessions = 0
-        self.lock = asyncio.Lock()
-        self._types: dict[str, int] = {}
-        self._path = folder / DATA
+        self._data = SharedData(folder)
         self._port = 0
         self._server: asyncio.Server | None = None
-        self._tasks: dict[asyncio.Task, asyncio.StreamWriter] = {}
+        self._connections: dict[asyncio.Task, asyncio.StreamWriter] = {}  # by the task that serves each
 
-    async def start(self) -> None:
-        """Listen; after a stop at the same address."""
-        self._server = await asyncio.start_server(self._serve, "127.0.0.1", self._port)
-        self._port = self._server.sockets[0].getsockname()[1]
+    @property
+    def faults(self) -> Faults:
+        """The faults to inject."""
+        return self._data.faults
 
     @property
-    def dsn(self) -> str:
-        """How a client names it."""
-        return f"postgresql://canvasplank@127.0.0.1:{self._port}/outcomes"
+    def commits(self) -> int:
+        """Transactions committed so far, of those that locked the data."""
+        return self._data.commits
 
-    def connect(self) -> sqlite3.Connection:
-        """A connection to the data, with the functions that the statements use."""
-        database = sqlite3.connect(self._path, timeout=1.0, isolation_level=None)
-        database.execute("PRAGMA journal_mode = WAL")
-        database.execute("PRAGMA synchronous = OFF")
-        database.create_function("pg_advisory_xact_lock", 1, lambda _: None)
-        return database
+    @property
+    def data_path(self) -> Path:
+        """The SQLite file."""
+        return self._data.path
 
-    def type_of(self, database: sqlite3.Connection, column: str) -> int:
-        """A result column's type, by the tables' column of that name; of anything else it is text."""
-        if column not in self._types:
-            found = database.execute(
-                "SELECT c.type FROM sqlite_master t, pragma_table_info(t.name) c "
-                "WHERE t.type = 'table' AND c.name = ?",
-                [column],
-            ).fetchone()
-            if found is None:
-                return TEXT
-            self._types[column] = TYPES[found[0].lower()]
-        return self._types[column]
+    @property
+    def dsn(self) -> str:
+        """The data source name for clients."""
+        return f"postgresql://canvasplank@127.0.0.1:{self._port}/outcomes"
 
     def rows(self, sql: str) -> list[tuple]:
-        """What the data holds now."""
-        with contextlib.closing(self.connect()) as database:
-            return database.execute(sql).fetchall()
+        """The result of a query of the committed data, in SQLite's dialect."""
+        return self._data.rows(sql)
 
-    async def breathe(self) -> None:
-        """Hold everything while stalled."""
-        while self.faults.stalled:
-            await asyncio.sleep(0.01)
+    async def start(self) -> None:
+        """Listen; after a stop, at the same address."""
+        self._server = await asyncio.start_server(self._serve, "127.0.0.1", self._port)
+        self._port = self._server.sockets[0].getsockname()[1]
 
     async def stop(self) -> None:
-        """End at once: what is not committed is lost, connections are reset."""
+        """Stop at once: uncommitted transactions are lost, connections are reset."""
         self._server.close()
-        for task, writer in list(self._tasks.items()):
+        for task, writer in list(self._connections.items()):
             writer.transport.abort()
             task.cancel()
-        await asyncio.gather(*self._tasks, return_exceptions=True)
+        await asyncio.gather(*self._connections, return_exceptions=True)
 
     async def restart(self, away_s: float = 0.0) -> None:
-        """Stop, and start again after a while."""
+        """Stop, and start again after ``away_s``."""
         await self.stop()
         await asyncio.sleep(away_s)
         await self.start()
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        self._tasks[task := asyncio.current_task()] = writer
-        task.add_done_callback(lambda done: self._tasks.pop(done, None))
-        self.sessions += 1
-        session = Session(self, reader, writer)
+        self._connections[task := asyncio.current_task()] = writer
+        task.add_done_callback(lambda done: self._connections.pop(done, None))
+        session = Session(self._data, reader, writer)
         try:
             await session.run()
         except (OSError, asyncio.IncompleteReadError, asyncio.CancelledError):
             writer.transport.abort()
         finally:
-            with contextlib.suppress(sqlite3.Error):
-                session.end("ROLLBACK")
-            session.database.close()
+            session.close()
             writer.close()
--- a/emulators/postgresql/session.py
+++ b/emulators/postgresql/session.py
@@ -1,270 +1,233 @@
-"""One client's session."""
+"""One client's session: start-up, the simple and the extended query protocol."""
 
 from __future__ import annotations
 
 import asyncio
+import contextlib
 import sqlite3
 import struct
-from typing import TYPE_CHECKING
 
 from emulators.postgresql.protocol import (
-    LOCKS,
-    NUMBERS,
-    PARAMETERS,
     PROTOCOL_3,
-    SQLSTATES,
     SSL_REQUEST,
     TEXT,
-    Reader,
-    StatedError,
+    Backend,
+    Frontend,
+    MessageReader,
+    SqlStateError,
+    Value,
+    command_complete,
+    data_row,
+    error_response,
     message,
-    text,
+    parameter_description,
+    row_description,
+    startup_messages,
 )
-from emulators.postgresql.statements import FOR_UPDATE, Statement, own
-
-if TYPE_CHECKING:
-    from emulators.postgresql.server import PostgresqlStandIn
+from emulators.postgresql.shared_data import SharedData
+from emulators.postgresql.statements import LOCKING_COMMANDS, PreparedStatement, command_of, to_sqlite
+from emulators.postgresql.transaction import Transaction
 
 
 class Session:
     """One client."""
 
-    def __init__(
-        self, server: PostgresqlStandIn, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
-    ) -> None:
-        self.server, self.reader, self.writer = server, reader, writer
-        self.database = server.connect()
-        self.statements: dict[str, Statement] = {}
-        self.bound: tuple[Statement, list] | None = None
-        self.failed = False  # the rest up to Sync is passed over
-        self.block = False  # within BEGIN and COMMIT
-        self.aborted = False  # a statement of the block has failed: nothing but its end is carried out
-        self.holds_lock = False
-        self.settings: dict[str, str] = {}
-        self.out = bytearray()
+    def __init__(self, data: SharedData, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        self._data, self._reader, self._writer = data, reader, writer
+        self._database = data.connect()
+        self._transaction = Transaction(data, self._database)
+        self._statements: dict[str, PreparedStatement] = {}
+        self._bound: tuple[PreparedStatement, list[Value]] | None = None  # the unnamed portal
+        self._failed = False  # messages up to Sync are skipped
+        self._settings: dict[str, str] = {}
+        self._output = bytearray()
 
     async def run(self) -> None:
-        """Until the client goes."""
+        """Serve until the client leaves."""
         if not await self._start():
             return
         while True:
             try:
-                async with asyncio.timeout(self._limit_s("idle_in_transaction_session_timeout", self.block)):
-                    kind = await self.reader.readexactly(1)
+                async with asyncio.timeout(self._idle_timeout_s()):
+                    kind = await self._reader.readexactly(1)
             except TimeoutError:
-                self._error(
-                    StatedError(
-                        "25P03", "terminating connection due to idle-in-transaction timeout", fatal=True
-                    )
-                )
-                self.writer.write(bytes(self.out))
+                text = "terminating connection due to idle-in-transaction timeout"
+                self._fail(SqlStateError("25P03", text, fatal=True))
+                self._writer.write(bytes(self._output))
                 return
-            [length] = struct.unpack(">I", await self.reader.readexactly(4))
-            body = Reader(await self.reader.readexactly(length - 4))
-            await self.server.breathe()
-            if kind == b"X":
+            body = await self._read_body()
+            await self._data.wait_while_stalled()
+            if kind == Frontend.TERMINATE:
                 return
-            if self.failed and kind not in (b"S", b"Q"):
+            if self._failed and kind not in (Frontend.SYNC, Frontend.QUERY):
                 continue
-            try:
-                await self._take(kind, body)
-            except (sqlite3.Error, ValueError, StatedError) as fault:
-                self._error(fault)
-                if kind == b"Q":
-                    self.failed = False
-                    if not self.block:
-                        self.end("ROLLBACK")
-                    self._ready()
-            if kind in (b"S", b"Q", b"H"):
-                self.writer.write(bytes(self.out))
-                self.out.clear()
-                await self.writer.drain()
+            await self._process(kind, body)
+            if kind in (Frontend.SYNC, Frontend.QUERY, Frontend.FLUSH):
+                self._flush()
+                await self._writer.drain()
+
+    def close(self) -> None:
+        """Roll back what is not committed, and close the connection to the data."""
+        with contextlib.suppress(sqlite3.Error):
+            self._transaction.roll_back()
+        self._database.close()
+
+    # ------------------------------------------------------------------------------------ messages
 
     async def _start(self) -> bool:
         while True:
-            [length] = struct.unpack(">I", await self.reader.readexactly(4))
-            body = Reader(await self.reader.readexactly(length - 4))
+            body = await self._read_body()
             code = body.number("I")
             if code == SSL_REQUEST:
-                self.writer.write(b"N")
+                self._writer.write(b"N")
             elif code == PROTOCOL_3:
                 while name := body.string():
-                    self.settings[name] = body.string()
+                    self._settings[name] = body.string()
                 break
             else:
-                return False  # a cancel request, or nothing of ours
-        await self.server.breathe()
-        self.out += message(b"R", struct.pack(">I", 0))
-        for name, value in PARAMETERS.items():
-            self.out += message(b"S", text(name) + text(value))
-        self.out += message(b"K", struct.pack(">II", 1, 1))
+                return False  # a cancel request, or an unknown protocol
+        await self._data.wait_while_stalled()
+        self._output += startup_messages()
         self._ready()
-        self.writer.write(bytes(self.out))
-        self.out.clear()
+        self._flush()
         return True
 
-    def _limit_s(self, name: str, applies: bool) -> float | None:
-        limit_ms = float(self.settings.get(name, 0))
-        return limit_ms / 1000 if applies and limit_ms else None
+    async def _read_body(self) -> MessageReader:
+        [length] = struct.unpack(">I", await self._reader.readexactly(4))
+        return MessageReader(await self._reader.readexactly(length - 4))
 
-    async def _lock(self) -> None:
-        """Take the lock and begin in the data, where that has not been done."""
-        if self.holds_lock:
-            return
-        try:
-            async with asyncio.timeout(self._limit_s("statement_timeout", True)):
-                await self.server.lock.acquire()
-        except TimeoutError:
-            raise StatedError("57014", "canceling statement due to statement timeout") from None
-        self.holds_lock = True
-        self.database.execute("BEGIN IMMEDIATE")
+    def _flush(self) -> None:
+        self._writer.write(bytes(self._output))
+        self._output.clear()
 
-    def end(self, word: str) -> None:
-        """End the transaction, if one was begun in the data, and let go of the lock."""
-        if self.holds_lock:
-            self.database.execute(word)
-            self.holds_lock = False
-            self.server.lock.release()
+    def _ready(self) -> None:
+        self._output += message(Backend.READY_FOR_QUERY, self._transaction.status)
 
-    def _commit(self) -> None:
-        """Commit, with the faults that a commit may have."""
-        faults = self.server.faults
-        if not self.holds_lock:
-            return
-        if faults.drop_before_commit > 0:
-            faults.drop_before_commit -= 1
-            raise ConnectionAbortedError
-        if faults.serialization_failures > 0:
-            faults.serialization_failures -= 1
-            self.end("ROLLBACK")
-            raise StatedError("40001", "could not serialize access due to concurrent update")
-        self.end("COMMIT")
-        self.server.commits += 1
-        if faults.drop_after_commit > 0:
-            faults.drop_after_commit -= 1
-            raise ConnectionAbortedError
+    def _fail(self, error: Exception) -> None:
+        self._failed = True
+        self._transaction.on_error()
+        self._output += error_response(error)
 
-    def _ready(self) -> None:
-        self.out += message(b"Z", b"I" if not self.block else b"E" if self.aborted else b"T")
+    def _idle_timeout_s(self) -> float | None:
+        if not self._transaction.in_block:
+            return None
+        return self._timeout_s("idle_in_transaction_session_timeout")
 
-    def _error(self, fault: Exception) -> None:
-        self.failed = True
-        self.aborted = self.block
-        state = SQLSTATES.get(type(fault), "22000" if isinstance(fault, ValueError) else "42000")
-        severity = "ERROR"
-        if isinstance(fault, StatedError):
-            state, severity = fault.state, "FATAL" if fault.fatal else "ERROR"
-        fields = {b"S": severity, b"V": severity, b"C": state, b"M": str(fault)}
-        self.out += message(b"E", b"".join(code + text(value) for code, value in fields.items()) + b"\0")
+    def _timeout_s(self, setting: str) -> float | None:
+        timeout_ms = float(self._settings.get(setting, 0))
+        return timeout_ms / 1000 if timeout_ms else None
 
-    async def _take(self, kind: bytes, body: Reader) -> None:
+    async def _process(self, kind: bytes, body: MessageReader) -> None:
+        """Process a message; an error of the data or of the statement is sent to the client."""
+        try:
+            await self._dispatch(kind, body)
+        except (sqlite3.Error, ValueError, SqlStateError) as error:
+            self._fail(error)
+            if kind == Frontend.QUERY:
+                self._recover()
+                self._ready()
+
+    def _recover(self) -> None:
+        """After an error: accept messages again; outside a block the transaction is rolled back."""
+        self._failed = False
+        if not self._transaction.in_block:
+            self._transaction.roll_back()
+
+    async def _dispatch(self, kind: bytes, body: MessageReader) -> None:
         match kind:
-            case b"Q":
-                self.failed = False
-                await self._simple(body.string())
-            case b"P":
+            case Frontend.QUERY:
+                self._failed = False
+                await self._simple_query(body.string())
+            case Frontend.PARSE:
                 name, sql = body.string(), body.string()
-                self.statements[name] = Statement.of(sql)
-                self.out += message(b"1")
-            case b"D":
+                self._statements[name] = PreparedStatement.parse(sql)
+                self._output += message(Backend.PARSE_COMPLETE)
+            case Frontend.DESCRIBE:
                 self._describe(chr(body.number("b")), body.string())
-            case b"B":
-                body.string()
-                statement = self.statements[body.string()]
-                body.numbers("h")
-                raw = [body.value() for _ in range(body.number("h"))]
-                self.bound = statement, statement.values(raw)
-                self.out += message(b"2")
-            case b"E":
-                await self._execute(*self.bound)
-            case b"C":
-                self.out += message(b"3")
-            case b"S":
+            case Frontend.BIND:
+                self._bind(body)
+            case Frontend.EXECUTE:
+                await self._execute(*self._bound)
+            case Frontend.CLOSE:
+                self._output += message(Backend.CLOSE_COMPLETE)
+            case Frontend.SYNC:
                 await self._sync()
 
-    async def _simple(self, sql: str) -> None:
-        word = sql.split()[0].upper().rstrip(";")
-        if word == "BEGIN":
-            self.block = True
-        elif word in ("COMMIT", "ROLLBACK"):
-            if self.server.faults.delay_s:
-                await asyncio.sleep(self.server.faults.delay_s)
-            aborted, self.block, self.aborted = self.aborted, False, False
-            if word == "ROLLBACK" or aborted:
-                self.end("ROLLBACK")
-            else:
-                self._commit()
+    # ------------------------------------------------------------------------------------ the queries
+
+    async def _simple_query(self, sql: str) -> None:
+        command = command_of(sql).rstrip(";")
+        if command == "BEGIN":
+            self._transaction.begin_block()
+        elif command in ("COMMIT", "ROLLBACK"):
+            await self._delay()
+            self._transaction.end_block(commit=command == "COMMIT")
         else:
-            self._check_block()
-            if word in LOCKS or "pg_advisory_xact_lock" in sql:
-                await self._lock()
-            for row in self.database.execute(sql).fetchall():
-                self._row(row)
-            if not self.block:
-                self._commit()
-        self.out += message(b"C", text(word))
+            self._transaction.check_not_aborted()
+            if command in LOCKING_COMMANDS or "pg_advisory_xact_lock" in sql:
+                await self._transaction.lock(self._timeout_s("statement_timeout"))
+            for row in self._database.execute(sql).fetchall():
+                self._output += data_row(row, [TEXT] * len(row))
+            if not self._transaction.in_block:
+                self._transaction.commit()
+        self._output += command_complete(command)
         self._ready()
 
-    def _check_block(self) -> None:
-        if self.aborted:
-            raise StatedError("25P02", "current transaction is aborted, commands ignored until end of block")
-
-    def _describe(self, what: str, name: str) -> None:
-        if what == "S":
-            types = self.statements[name].types
-            self.out += message(b"t", struct.pack(f">h{len(types)}I", len(types), *types))
-            sql = self.statements[name].sql
+    def _bind(self, body: MessageReader) -> None:
+        body.string()  # the portal: only the unnamed one is used
+        statement = self._statements[body.string()]
+        body.numbers("h")  # formats of the parameters: all are binary
+        raw = [body.value() for _ in range(body.number("h"))]
+        self._bound = statement, statement.decode_parameters(raw)
+        self._output += message(Backend.BIND_COMPLETE)
+
+    def _describe(self, kind: str, name: str) -> None:
+        """Describe a prepared statement (kind S) or the portal."""
+        if kind == "S":
+            statement = self._statements[name]
+            self._output += parameter_description(statement.types)
         else:
-            sql = self.bound[0].sql
-        if not sql.upper().startswith("SELECT"):
-            self.out += message(b"n")
+            statement = self._bound[0]
+        if not statement.sql.upper().startswith("SELECT"):
+            self._output += message(Backend.NO_DATA)
             return
-        probe = self.database.execute(
-            f"SELECT * FROM ({own(sql)}) LIMIT 0", [None] * len(Statement.of(sql).types)
+        empty = self._database.execute(
+            f"SELECT * FROM ({to_sqlite(statement.sql)}) LIMIT 0", [None] * len(statement.types)
         )
-        columns = [(column[0], self.server.type_of(self.database, column[0])) for column in probe.description]
-        parts = [text(name) + struct.pack(">IhIhih", 0, 0, kind, -1, -1, 0) for name, kind in columns]
-        self.out += message(b"T", struct.pack(">h", len(columns)) + b"".join(parts))
-
-    def _row(self, row: tuple, types: list[int] | None = None) -> None:
-        """One row: numbers as such where their columns were described so, all else as text."""
-        kinds = types or [TEXT] * len(row)
-        values = [
-            None if value is None else NUMBERS[kind].pack(value) if kind in NUMBERS else str(value).encode()
-            for value, kind in zip(row, kinds, strict=True)
-        ]
-        parts = [
-            struct.pack(">i", -1) if value is None else struct.pack(">i", len(value)) + value
-            for value in values
-        ]
-        self.out += message(b"D", struct.pack(">h", len(row)) + b"".join(parts))
-
-    async def _execute(self, statement: Statement, values: list) -> None:
-        self._check_block()
-        word = statement.sql.split()[0].upper()
-        if word in LOCKS or statement.sql.endswith(FOR_UPDATE):
-            await self._lock()
-        if self.server.faults.refuse_rows & set(values):
+        names = [column[0] for column in empty.description]
+        types = self._column_types(empty)
+        self._output += row_description(list(zip(names, types, strict=True)))
+
+    async def _execute(self, statement: PreparedStatement, values: list[Value]) -> None:
+        self._transaction.check_not_aborted()
+        if statement.locks:
+            await self._transaction.lock(self._timeout_s("statement_timeout"))
+        if self._data.faults.refuse_rows & set(values):
             raise ValueError("a value that this database does not take")
-        cursor = self.database.execute(own(statement.sql), values)
+        cursor = self._database.execute(to_sqlite(statement.sql), values)
         rows = cursor.fetchall()
-        types = [self.server.type_of(self.database, column[0]) for column in cursor.description or ()]
+        types = self._column_types(cursor)
         for row in rows:
-            self._row(row, types)
+            self._output += data_row(row, types)
+        command = command_of(statement.sql)
         counts = {"INSERT": f"0 {cursor.rowcount}", "SELECT": len(rows)}
-        self.out += message(b"C", text(f"{word} {counts.get(word, cursor.rowcount)}"))
+        self._output += command_complete(f"{command} {counts.get(command, cursor.rowcount)}")
 
     async def _sync(self) -> None:
-        if self.server.faults.delay_s:
-            await asyncio.sleep(self.server.faults.delay_s)
-        if self.failed:
-            self.failed = False
-            if not self.block:
-                self.end("ROLLBACK")
-        elif not self.block:
+        await self._delay()
+        if self._failed:
+            self._recover()
+        elif not self._transaction.in_block:
             try:
-                self._commit()
-            except StatedError as fault:
-                self._error(fault)
-                self.failed = False
+                self._transaction.commit()
+            except SqlStateError as error:
+                self._fail(error)
+                self._failed = False
         self._ready()
+
+    async def _delay(self) -> None:
+        if self._data.faults.delay_s:
+            await asyncio.sleep(self._data.faults.delay_s)
+
+    def _column_types(self, cursor: sqlite3.Cursor) -> list[int]:
+        return [self._data.column_type(self._database, column[0]) for column in cursor.description or ()]
--- /dev/null
+++ b/emulators/postgresql/shared_data.py
@@ -0,0 +1,56 @@
+"""What all sessions of the server share: its data in an SQLite file, its lock, its faults."""
+
+from __future__ import annotations
+
+import asyncio
+import contextlib
+import sqlite3
+from pathlib import Path
+
+from emulators.postgresql.faults import Faults
+from emulators.postgresql.protocol import TEXT, TYPE_OIDS
+
+DATA_FILE = "standin.db"  # within the server's folder
+STALL_POLL_INTERVAL_S = 0.01
+
+
+class SharedData:
+    """The data, which outlives restarts of the server."""
+
+    def __init__(self, folder: Path) -> None:
+        self.path = folder / DATA_FILE
+        self.faults = Faults()
+        self.lock = asyncio.Lock()  # stands for every row lock
+        self.commits = 0
+        self._column_types: dict[str, int] = {}
+
+    def connect(self) -> sqlite3.Connection:
+        """A connection with the functions that the clients' statements use."""
+        database = sqlite3.connect(self.path, timeout=1.0, isolation_level=None)
+        database.execute("PRAGMA journal_mode = WAL")
+        database.execute("PRAGMA synchronous = OFF")
+        database.create_function("pg_advisory_xact_lock", 1, lambda _: None)
+        return database
+
+    def column_type(self, database: sqlite3.Connection, column: str) -> int:
+        """The type of a result's column: that of a table's column of this name, else text."""
+        if column not in self._column_types:
+            found = database.execute(
+                "SELECT c.type FROM sqlite_master t, pragma_table_info(t.name) c "
+                "WHERE t.type = 'table' AND c.name = ?",
+                [column],
+            ).fetchone()
+            if found is None:
+                return TEXT
+            self._column_types[column] = TYPE_OIDS[found[0].lower()]
+        return self._column_types[column]
+
+    def rows(self, sql: str) -> list[tuple]:
+        """The result of a query of the committed data, in SQLite's dialect."""
+        with contextlib.closing(self.connect()) as database:
+            return database.execute(sql).fetchall()
+
+    async def wait_while_stalled(self) -> None:
+        """Return once the fault ``stalled`` is not set."""
+        while self.faults.stalled:
+            await asyncio.sleep(STALL_POLL_INTERVAL_S)
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -147,7 +147,7 @@
         async with store(tmp_path) as used:
             await used.backend.open()
             await used.backend.close()
-            path = getattr(used, "path", None) or used.server._path
+            path = getattr(used, "path", None) or used.server.data_path
             with contextlib.closing(sqlite3.connect(path)) as database:
                 database.execute("INSERT INTO schema_version VALUES (99)")
                 database.commit()
