--- /dev/null
+++ b/tests/test_usage_ledger.py
@@ -0,0 +1,132 @@
+"""The usage ledger in SQL, on both databases."""
+
+from __future__ import annotations
+
+import asyncio
+
+import msgspec
+import pytest
+from worker_fixtures import database, own, sums
+
+from canvasplank.database.errors import StoreRefusedError
+from canvasplank.fleet.backend import StaleTermError
+from canvasplank.store.records import CallOutcome
+from canvasplank.worker import usage_ledger
+from canvasplank.worker.usage_ledger import Closing, UsageSum, next_closing
+
+
+class TestLedger:
+    """Closings in SQL, on both engines."""
+
+    def record(self, number, taken_ms, final="served", instance="n0", tenant="acme"):
+        return CallOutcome(
+            f"{number:016x}", instance, taken_ms, "low", final, "s", 1, taken_ms + 40, tenant=tenant
+        )
+
+    @pytest.mark.parametrize("kind", ["sqlite", "postgresql"])
+    def test_each_call_is_counted_once_and_late_ones_are_corrections(self, tmp_path, kind):
+        async def run():
+            async with database(kind, tmp_path) as (_, fleet, store, _server):
+                token = await own(fleet)
+                await store.write(
+                    [self.record(n, 500 + n) for n in range(10)]
+                    + [
+                        self.record(3, 900, "failed", "n1"),
+                        self.record(77, 990, "failed", "n1"),
+                        self.record(77, 995, "served", "n2"),
+                    ]
+                )
+                await fleet.execute_fenced(
+                    token, usage_ledger.closing_statements(Closing(0, 1000), 1000, 300, None, token.term)
+                )
+                assert await sums(fleet, 0) == [UsageSum(0, "acme", "low", "served", 0, 11)]
+                await store.write(
+                    [
+                        self.record(50, 700, tenant=None),
+                        self.record(77, 999, "served", "n3"),
+                        self.record(60, 1500, "refused"),
+                    ]
+                )
+                await fleet.execute_fenced(
+                    token, usage_ledger.closing_statements(Closing(1, 2000), 1000, 300, 0, token.term)
+                )
+                assert await sums(fleet, 1) == [
+                    UsageSum(0, "", "low", "served", 1, 1),
+                    UsageSum(1, "acme", "low", "refused", 0, 1),
+                ]
+                with pytest.raises(StoreRefusedError):
+                    await fleet.execute_fenced(
+                        token, usage_ledger.closing_statements(Closing(1, 2000), 1000, 300, 0, token.term)
+                    )
+                await fleet.execute_fenced(token, usage_ledger.retention_statements(10_000))
+                assert len(await fleet.read("SELECT call_id FROM call_outcome")) == 16, "nothing is exported"
+                await fleet.execute_fenced(token, usage_ledger.mark_exported_statements(0, token.term))
+                await fleet.execute_fenced(token, usage_ledger.retention_statements(10_000))
+                assert len(await fleet.read("SELECT call_id FROM call_outcome")) == 3
+
+        asyncio.run(run())
+
+    @pytest.mark.parametrize("kind", ["sqlite", "postgresql"])
+    def test_a_callers_repeats_are_one_call_with_the_outcome_of_its_last_try(self, tmp_path, kind):
+        def tried(number, taken_ms, final, called):
+            return msgspec.structs.replace(self.record(number, taken_ms, final), number=called)
+
+        async def run():
+            async with database(kind, tmp_path) as (_, fleet, store, _server):
+                token = await own(fleet)
+                await store.write(
+                    [
+                        tried(1, 100, "refused", "a"),
+                        tried(2, 300, "failed", "a"),
+                        tried(3, 500, "served", "a"),  # three tries, one call that stood
+                        tried(4, 550, "served", "a"),  # and another, after one that stood
+                        tried(5, 100, "failed", "b"),
+                        tried(6, 650, "failed", "b"),  # too far apart: two calls
+                        tried(7, 900, "refused", "c"),
+                        self.record(8, 910, "failed"),
+                    ]
+                )
+                await fleet.execute_fenced(
+                    token, usage_ledger.closing_statements(Closing(0, 1000), 1000, 300, None, token.term)
+                )
+                assert await sums(fleet, 0) == [
+                    UsageSum(0, "acme", "low", "failed", 0, 3),
+                    UsageSum(0, "acme", "low", "served", 0, 2),
+                ]
+                await store.write([tried(9, 1100, "served", "c")])  # the repeat of one near the period's end
+                await fleet.execute_fenced(
+                    token, usage_ledger.closing_statements(Closing(1, 2000), 1000, 300, 0, token.term)
+                )
+                assert await sums(fleet, 1) == [UsageSum(1, "acme", "low", "served", 0, 1)]
+
+        asyncio.run(run())
+
+    @pytest.mark.parametrize("kind", ["sqlite", "postgresql"])
+    def test_an_effect_under_an_old_term_is_refused_whole(self, tmp_path, kind):
+        async def run():
+            async with database(kind, tmp_path) as (_, fleet, store, _server):
+                token = await own(fleet)
+                await store.write([self.record(1, 500)])
+                late = token._replace(term=token.term - 1)
+                with pytest.raises(StaleTermError, match="term 0 of close is over"):
+                    await fleet.execute_fenced(
+                        late, usage_ledger.closing_statements(Closing(0, 1000), 1000, 300, None, late.term)
+                    )
+                assert await fleet.read(usage_ledger.SELECT_LAST_CLOSING) == [(None,)]
+
+        asyncio.run(run())
+
+
+@pytest.mark.parametrize(
+    ("last", "late", "made"),
+    [
+        (None, False, Closing(8, 9000)),
+        (7, False, Closing(8, 9000)),
+        (3, False, Closing(8, 9000)),
+        (8, True, None),  # closed, and what comes late waits for the next
+        (300, False, None),
+        (300, True, Closing(301, 9000)),  # by a clock that was ahead of ours
+    ],
+)
+def test_what_may_be_closed_goes_by_the_owners_clock_and_never_backwards(last, late, made):
+    assert next_closing(10_050.0, 1000, 100.0, last, late) == made
