--- a/tests/test_export_files.py
+++ b/tests/test_export_files.py
@@ -1,4 +1,4 @@
-"""Export files: whole or not there, once."""
+"""Export files: published atomically and once, with the same content in both formats."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 from canvasplank.worker.usage_ledger import UsageSum
 
 
-class TestFiles:
-    """Whole or not there, once."""
+class TestExportFiles:
+    """Published atomically and once."""
 
     SUMS = (UsageSum(0, "acme", "low", "served", 0, 11), UsageSum(0, "", "low", "failed", 1, 2))
 
-    def publish(self, folder, content, pause=lambda point: None):
-        return export_files.publish(folder, "usage-0.csv", content, pause)
+    def publish(self, folder, content, pause_point=lambda point: None):
+        return export_files.publish(folder, "usage-0.csv", content, pause_point)
 
     def test_both_formats_hold_the_same(self, tmp_path):
         (tmp_path / "u.parquet").write_bytes(export_files.to_parquet(self.SUMS, 3_600_000))
@@ -26,13 +26,13 @@
         assert [str(row["calls"]) for row in table] == [line["calls"] for line in lines] == ["11", "2"]
         assert lines[0]["period_start"] == "1970-01-01T00:00:00+00:00" == table[0]["period_start"].isoformat()
 
-    def test_what_is_there_is_never_replaced(self, tmp_path):
+    def test_an_existing_file_is_never_replaced(self, tmp_path):
         assert self.publish(tmp_path, b"one") and not self.publish(tmp_path, b"one")
         with pytest.raises(export_files.ExportConflictError):
             self.publish(tmp_path, b"other")
         assert [path.name for path in tmp_path.iterdir()] == ["usage-0.csv"]
 
-    def test_a_writer_that_dies_leaves_no_file_and_the_next_one_sweeps(self, tmp_path):
+    def test_a_writer_that_dies_leaves_no_file_and_its_partial_file_is_removed(self, tmp_path):
         def die(_):
             raise KeyboardInterrupt
 
@@ -42,7 +42,7 @@
         export_files.remove_partial_files(tmp_path)
         assert not list(tmp_path.iterdir())
 
-    def test_a_folder_that_is_not_ours_is_left_alone(self, tmp_path):
+    def test_a_folder_with_other_files_is_never_written_to(self, tmp_path):
         (tmp_path / "somebody's").touch()
         with pytest.raises(export_files.ExportFolderError, match="holds what is not ours"):
             export_files.claim_folder(tmp_path)
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -1,4 +1,4 @@
-"""Both stores behind the one writer: SQLite on a file, PostgreSQL's driver against the stand-in server."""
+"""The store of record on both databases: SQLite on a file, asyncpg against the emulated PostgreSQL."""
 
 from __future__ import annotations
 
@@ -67,7 +67,7 @@
 
 
 class OnPostgresql:
-    """The stand-in server, and a driver's connection to it."""
+    """The emulated server, and a backend connected to it."""
 
     def __init__(self, folder):
         self.server = PostgresqlStandIn(folder)
@@ -113,7 +113,7 @@
 
 
 @pytest.mark.parametrize("store", [OnSqlite, OnPostgresql])
-def test_rows_are_written_once_and_never_give_way_to_earlier_ones(store, tmp_path):
+def test_a_row_is_written_once_and_never_replaced_by_an_earlier_version(store, tmp_path):
     async def run():
         async with store(tmp_path) as used:
             await used.backend.open()
@@ -142,7 +142,7 @@
 
 
 @pytest.mark.parametrize("store", [OnSqlite, OnPostgresql])
-def test_tables_newer_than_the_program_are_left_alone(store, tmp_path):
+def test_tables_of_a_newer_schema_are_not_written_to(store, tmp_path):
     async def run():
         async with store(tmp_path) as used:
             await used.backend.open()
@@ -158,23 +158,23 @@
 
 
 @pytest.mark.parametrize("fault", ["before", "after", "restart", "stall", "away"])
-def test_nothing_is_lost_or_written_twice_whatever_the_store_does(fault, tmp_path, caplog):
-    """A commit lost, or made and its answer lost; a restart; a stall past the bound; no server at all."""
+def test_no_record_is_lost_or_duplicated_through_a_fault_of_the_store(fault, tmp_path, caplog):
+    """A lost commit, or a lost response to one; a restart; a stall past the time limit; no server."""
 
     async def run():
         async with OnPostgresql(tmp_path) as used:
-            server, (made, outbox) = used.server, writer(used.backend, write_timeout_s=0.3)
+            server, (store_writer, outbox) = used.server, writer(used.backend, write_timeout_s=0.3)
             if fault == "away":
                 await server.stop()
-            made.start()
-            made.call_answered(call(0), "served", 1_800_000_000_040.0)
+            store_writer.start()
+            store_writer.call_answered(call(0), "served", 1_800_000_000_040.0)
             if fault != "away":
                 await written(outbox)
             server.faults.drop_before_commit = 2 * (fault == "before")
             server.faults.drop_after_commit = 2 * (fault == "after")
             server.faults.stalled = fault == "stall"
             for number in range(1, 200):
-                made.call_answered(call(number), "served", 1_800_000_000_040.0 + number)
+                store_writer.call_answered(call(number), "served", 1_800_000_000_040.0 + number)
                 if number == 100 and fault == "restart":
                     await server.restart()
                 if number % 50 == 0:
@@ -187,7 +187,7 @@
             if fault == "away":
                 await server.start()
             await written(outbox)
-            await made.drain(WAIT_S)
+            await store_writer.drain(WAIT_S)
             return used.rows(), outbox.counts
 
     rows, counts = asyncio.run(run())
@@ -197,16 +197,16 @@
         assert counts["retried"] > 0 and any("not written" in r.getMessage() for r in caplog.records)
 
 
-def test_a_value_that_the_store_refuses_costs_its_own_record_alone(tmp_path, caplog):
+def test_a_rejected_value_costs_only_its_own_record(tmp_path, caplog):
     async def run():
         async with OnPostgresql(tmp_path) as used:
             used.server.faults.refuse_rows = {f"{7:016x}"}
-            made, outbox = writer(used.backend)
+            store_writer, outbox = writer(used.backend)
             for number in range(40):
-                made.call_answered(call(number), "served", 1_800_000_000_040.0 + number)
-            made.start()
+                store_writer.call_answered(call(number), "served", 1_800_000_000_040.0 + number)
+            store_writer.start()
             await written(outbox)
-            await made.drain(WAIT_S)
+            await store_writer.drain(WAIT_S)
             return used.rows()
 
     assert [row[0] for row in asyncio.run(run())] == [f"{n:016x}" for n in range(40) if n != 7]
@@ -219,37 +219,39 @@
             await used.backend.open()
             other = sqlite3.connect(used.path, isolation_level=None)
             other.execute("BEGIN IMMEDIATE")
-            made, outbox = writer(used.backend, write_timeout_s=0.1)
-            made.start()
-            made.call_answered(call(1), "served", 1_800_000_000_041.0)
+            store_writer, outbox = writer(used.backend, write_timeout_s=0.1)
+            store_writer.start()
+            store_writer.call_answered(call(1), "served", 1_800_000_000_041.0)
             async with asyncio.timeout(WAIT_S):
                 while not outbox.counts["retried"]:
                     await asyncio.sleep(0.01)
             other.execute("ROLLBACK")
             other.close()
             await written(outbox)
-            await made.drain(WAIT_S)
+            await store_writer.drain(WAIT_S)
             return used.rows()
 
     assert asyncio.run(run()) == [schema.row(record(1, number="7f"))]
 
 
-def test_what_is_not_written_by_the_end_is_told(tmp_path, caplog):
+def test_records_not_written_at_shutdown_are_logged(tmp_path, caplog):
     async def run():
-        made, _ = writer(Sqlite(str(tmp_path / "no" / "such" / "folder.db")), max_queue=3)
-        made.start()
+        store_writer, _ = writer(Sqlite(str(tmp_path / "no" / "such" / "folder.db")), max_queue=3)
+        store_writer.start()
         for number in range(5):
-            made.call_ended(call(number), api.Outcome.RESET, 1_800_000_000_050.0)
-        await made.drain(0.3)
+            store_writer.call_ended(call(number), api.Outcome.RESET, 1_800_000_000_050.0)
+        await store_writer.drain(0.3)
 
     asyncio.run(run())
-    said = [r.getMessage() for r in caplog.records]
-    assert sum("the queue is full (3 records)" in line for line in said) == 1, "one line, not one a record"
-    assert any("3 records were not written before the end" in line for line in said)
+    messages = [r.getMessage() for r in caplog.records]
+    assert sum("the queue is full (3 records)" in line for line in messages) == 1, (
+        "one line, not one a record"
+    )
+    assert any("3 records were not written before the end" in line for line in messages)
 
 
 @pytest.mark.parametrize(
-    ("text", "says"),
+    ("text", "message"),
     [
         ("", "backend"),
         ('backend = "oracle"', "oracle"),
@@ -261,11 +263,11 @@
         ("backend = ", "nvalid value"),
     ],
 )
-def test_a_bad_setting_is_one_line(tmp_path, text, says):
+def test_invalid_settings_are_one_line(tmp_path, text, message):
     (tmp_path / "store.toml").write_text(text)
-    with pytest.raises(ConfigurationError, match=says) as fault:
+    with pytest.raises(ConfigurationError, match=message) as error:
         load_store(str(tmp_path / "store.toml"))
-    assert "\n" not in str(fault.value)
+    assert "\n" not in str(error.value)
 
 
 def test_the_command_line_sums_up_and_checks(tmp_path):
@@ -291,8 +293,8 @@
     assert failed.exit_code == 1 and "unable to open" in failed.output
 
 
-async def _served(folder, servers: int, rate: float, for_s: float, store: str, trouble=None):
-    """The program with a store, stand-in servers and callers: what the callers got, and its log."""
+async def _served(folder, servers: int, rate: float, for_s: float, store: str, inject_faults=None):
+    """The program with a store, emulated servers and callers: the attempts of the callers, and its log."""
     (folder / "store.toml").write_text(store)
     called = [CallServer(f"s-{n}", 200.0, hold_ms=300.0) for n in range(servers)]
     async with fleet(folder, called, 1) as world:
@@ -300,8 +302,8 @@
         callers = Callers(1, pools=servers)
         await callers.add_proxy(proxy.address)
         load = asyncio.ensure_future(callers.offer(rate, for_s))
-        if trouble is not None:
-            await trouble()
+        if inject_faults is not None:
+            await inject_faults()
         await load
         await callers.settled(WAIT_S)
         async with asyncio.timeout(WAIT_S):
@@ -312,22 +314,26 @@
         return callers.tries, proxy.text()
 
 
-def matched(tries, rows) -> None:
-    """Exactly one record a call, each with the class and answer that its caller saw."""
+def check_records(attempts, rows) -> None:
+    """Check that each call has one record, with the class and final answer that its caller saw."""
     by_id = {row[0]: dict(zip(schema.COLUMNS, row, strict=True)) for row in rows}
-    assert len(rows) == len(by_id) == len(tries) > 50
-    for made in tries.values():
-        kept = by_id[made.id]
-        assert (kept["class_name"], kept["final"], kept["instance"]) == (made.kind.name, made.outcome, "n0")
-        assert kept["ending"] == ("ended" if made.outcome == "served" else None)
-        assert kept["taken_ms"] <= kept["answered_ms"]
+    assert len(rows) == len(by_id) == len(attempts) > 50
+    for attempt in attempts.values():
+        stored = by_id[attempt.id]
+        assert (stored["class_name"], stored["final"], stored["instance"]) == (
+            attempt.kind.name,
+            attempt.outcome,
+            "n0",
+        )
+        assert stored["ending"] == ("ended" if attempt.outcome == "served" else None)
+        assert stored["taken_ms"] <= stored["answered_ms"]
 
 
 def test_every_call_has_one_record_in_a_file(tmp_path):
     path = tmp_path / "outcomes.db"
-    tries, _ = asyncio.run(_served(tmp_path, 2, 80.0, 2.0, f'backend = "sqlite"\npath = "{path}"\n'))
+    attempts, _ = asyncio.run(_served(tmp_path, 2, 80.0, 2.0, f'backend = "sqlite"\npath = "{path}"\n'))
     with contextlib.closing(sqlite3.connect(path)) as database:
-        matched(tries, database.execute(ALL).fetchall())
+        check_records(attempts, database.execute(ALL).fetchall())
 
 
 def test_every_call_has_one_record_through_a_stall_and_a_restart_of_the_store(tmp_path):
@@ -335,7 +341,7 @@
         server = PostgresqlStandIn(tmp_path)
         await server.start()
 
-        async def trouble():
+        async def inject_faults():
             await asyncio.sleep(0.4)
             server.faults.stalled = True
             await asyncio.sleep(0.8)
@@ -345,26 +351,28 @@
             await server.restart(0.2)
 
         text = f'backend = "postgresql"\ndsn = "{server.dsn}"\nwrite_timeout_ms = 300\n'
-        tries, log = await _served(tmp_path, 2, 80.0, 2.5, text, trouble)
+        attempts, log = await _served(tmp_path, 2, 80.0, 2.5, text, inject_faults)
         await server.stop()
-        return tries, log, server.rows(ALL)
+        return attempts, log, server.rows(ALL)
 
-    tries, log, rows = asyncio.run(run())
-    matched(tries, rows)
+    attempts, log, rows = asyncio.run(run())
+    check_records(attempts, rows)
     assert "store: not written" in log and "store: written again" in log and "dropped" not in log
 
 
-def test_a_store_that_cannot_be_had_is_one_line_and_the_calls_are_served(tmp_path):
+def test_an_unreachable_store_is_one_log_line_and_the_calls_are_served(tmp_path):
     text = f'backend = "postgresql"\ndsn = "postgresql://u@127.0.0.1:{free_port()}/d"\nqueue_most = 20\n'
-    began = time.monotonic()
-    tries, log = asyncio.run(_served(tmp_path, 1, 60.0, 1.0, text))
-    most = 1 + (time.monotonic() - began) // LOG_INTERVAL_S  # one line, and one more every 5 s
-    assert {made.outcome for made in tries.values()} == {"served"}
-    assert 1 <= log.count("store: not written") <= most and 1 <= log.count("the queue is full") <= most
+    start_s = time.monotonic()
+    attempts, log = asyncio.run(_served(tmp_path, 1, 60.0, 1.0, text))
+    max_lines = 1 + (time.monotonic() - start_s) // LOG_INTERVAL_S  # one line, and one more every 5 s
+    assert {attempt.outcome for attempt in attempts.values()} == {"served"}
+    assert (
+        1 <= log.count("store: not written") <= max_lines and 1 <= log.count("the queue is full") <= max_lines
+    )
     assert "records were not written before the end" in log
     assert "counters store:" in log
 
 
-def test_a_bad_store_setting_stops_the_start(tmp_path):
+def test_invalid_store_settings_stop_the_start(tmp_path):
     with pytest.raises(AssertionError, match=r"ended with 2: canvasplank: store .*needs a path"):
         asyncio.run(_served(tmp_path, 1, 1.0, 0.1, 'backend = "sqlite"'))
--- a/tests/test_store_outbox.py
+++ b/tests/test_store_outbox.py
@@ -1,4 +1,4 @@
-"""The queue before the store, without any input or output: nothing lost, nothing twice, all accounted for."""
+"""The outbox, without input or output: no record lost or duplicated, and every one accounted for."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
     assert len(box.take(100)) == 10
 
 
-def test_the_later_row_of_a_call_takes_the_place_of_the_queued_one_also_when_full():
+def test_a_later_row_of_a_call_replaces_the_queued_one_even_when_full():
     box = outbox(max_queue=2)
     assert box.put(record(1), 0) and box.put(record(2), 0)
     assert not box.put(record(3), 0) and box.counts["dropped"] == 1
@@ -43,7 +43,7 @@
     assert box.take(50) == [record(1, ENDED), record(2)]
 
 
-def test_a_failed_batch_goes_again_first_and_gives_way_to_later_rows():
+def test_a_failed_batch_is_retried_first_and_superseded_by_later_rows():
     box = outbox()
     box.put(record(1), 0)
     box.put(record(2), 0)
@@ -55,53 +55,53 @@
     assert box.take(1000) == [record(1, ENDED), record(2), record(3)]
 
 
-def test_pauses_double_up_to_a_bound_and_end_with_a_write():
+def test_the_backoff_doubles_up_to_a_bound_and_ends_with_a_write():
     box = outbox(linger_ms=0)
     box.put(record(1), 0)
-    now, pauses = 0.0, []
+    now, backoffs = 0.0, []
     for _ in range(12):
         assert box.take(now)
         box.on_failed(now)
-        pauses.append(box.wait_ms(now))
-        now += pauses[-1]
-    assert pauses[0] <= 100 and pauses[5] > pauses[0] and max(pauses) <= MAX_BACKOFF_MS
+        backoffs.append(box.wait_ms(now))
+        now += backoffs[-1]
+    assert backoffs[0] <= 100 and backoffs[5] > backoffs[0] and max(backoffs) <= MAX_BACKOFF_MS
     box.take(now)
     box.on_written()
     box.put(record(2), now)
     assert box.wait_ms(now) == 0
 
 
-def test_one_bad_record_is_found_by_halving_and_left_out_alone():
+def test_a_rejected_record_is_isolated_by_halving_and_left_out():
     box = outbox(max_batch=16, linger_ms=0)
     for number in range(16):
         box.put(record(number), 0)
-    written, tries, bad = [], 0, None
-    while len(box) and tries < 40:
-        tries += 1
+    written, attempts, rejected_record = [], 0, None
+    while len(box) and attempts < 40:
+        attempts += 1
         batch = box.take(0)
         if record(11) in batch:
-            bad = box.on_rejected(0) or bad
+            rejected_record = box.on_rejected(0) or rejected_record
         else:
             written += batch
             box.on_written()
-    assert bad == record(11) and tries < 20
+    assert rejected_record == record(11) and attempts < 20
     assert sorted(written, key=lambda r: r.call_id) == [record(n) for n in range(16) if n != 11]
 
 
 @given(
-    st.lists(st.sampled_from(["put", "over", "take", "written", "failed", "refused"]), max_size=80),
+    st.lists(st.sampled_from(["put", "ended", "take", "written", "failed", "refused"]), max_size=80),
     st.integers(0, 9),
 )
 def test_whatever_happens_every_record_is_accounted_for(steps, seed):
-    """The store is a dictionary by key; at the end it holds the last row of every call that was taken in."""
+    """The store is a dictionary by key; at the end it holds the last row of every accepted call."""
     box, chance = outbox(max_queue=12, max_batch=4, linger_ms=0), random.Random(seed)
     taken, store, rejected, now, batch = {}, {}, set(), 0.0, []
     for number, step in enumerate([*steps, *["take", "written"] * 100]):
         now += 6000
-        if step in ("put", "over"):
+        if step in ("put", "ended"):
             known = [key for key in taken if key not in rejected]
-            again = step == "over" and known
-            new = record(int(chance.choice(known)[0], 16), ENDED) if again else record(number)
+            repeats = step == "ended" and known
+            new = record(int(chance.choice(known)[0], 16), ENDED) if repeats else record(number)
             if box.put(new, now):
                 taken[new.key] = max(new, taken.get(new.key, new), key=lambda r: r.version)
         elif step == "take" and not batch:
@@ -112,8 +112,8 @@
                     if store.get(each.key, each).version <= each.version:
                         store[each.key] = each
             if step == "refused":
-                bad = box.on_rejected(now)
-                rejected |= {bad.key} if bad else set()
+                rejected_record = box.on_rejected(now)
+                rejected |= {rejected_record.key} if rejected_record else set()
             else:
                 box.on_written() if step == "written" else box.on_failed(now)
             batch = []
@@ -127,7 +127,7 @@
 
 
 @pytest.mark.parametrize("closing", [False, True])
-def test_at_the_end_nothing_lingers(closing):
+def test_a_closed_outbox_does_not_linger(closing):
     box = outbox()
     box.put(record(1), 0)
     if closing:
--- a/tests/test_usage_ledger.py
+++ b/tests/test_usage_ledger.py
@@ -6,7 +6,7 @@
 
 import msgspec
 import pytest
-from worker_fixtures import database, own, sums
+from worker_fixtures import database, lead_closing, sums
 
 from canvasplank.database.errors import StoreRefusedError
 from canvasplank.fleet.backend import StaleTermError
@@ -15,8 +15,8 @@
 from canvasplank.worker.usage_ledger import Closing, UsageSum, next_closing
 
 
-class TestLedger:
-    """Closings in SQL, on both engines."""
+class TestClosings:
+    """Closings in SQL, on both databases."""
 
     def record(self, number, taken_ms, final="served", instance="n0", tenant="acme"):
         return CallOutcome(
@@ -27,7 +27,7 @@
     def test_each_call_is_counted_once_and_late_ones_are_corrections(self, tmp_path, kind):
         async def run():
             async with database(kind, tmp_path) as (_, fleet, store, _server):
-                token = await own(fleet)
+                token = await lead_closing(fleet)
                 await store.write(
                     [self.record(n, 500 + n) for n in range(10)]
                     + [
@@ -67,22 +67,22 @@
         asyncio.run(run())
 
     @pytest.mark.parametrize("kind", ["sqlite", "postgresql"])
-    def test_a_callers_repeats_are_one_call_with_the_outcome_of_its_last_try(self, tmp_path, kind):
-        def tried(number, taken_ms, final, called):
+    def test_a_callers_repeats_are_one_call_with_the_outcome_of_its_last_attempt(self, tmp_path, kind):
+        def attempt(number, taken_ms, final, called):
             return msgspec.structs.replace(self.record(number, taken_ms, final), number=called)
 
         async def run():
             async with database(kind, tmp_path) as (_, fleet, store, _server):
-                token = await own(fleet)
+                token = await lead_closing(fleet)
                 await store.write(
                     [
-                        tried(1, 100, "refused", "a"),
-                        tried(2, 300, "failed", "a"),
-                        tried(3, 500, "served", "a"),  # three tries, one call that stood
-                        tried(4, 550, "served", "a"),  # and another, after one that stood
-                        tried(5, 100, "failed", "b"),
-                        tried(6, 650, "failed", "b"),  # too far apart: two calls
-                        tried(7, 900, "refused", "c"),
+                        attempt(1, 100, "refused", "a"),
+                        attempt(2, 300, "failed", "a"),
+                        attempt(3, 500, "served", "a"),  # three attempts, one call that stood
+                        attempt(4, 550, "served", "a"),  # and another, after one that stood
+                        attempt(5, 100, "failed", "b"),
+                        attempt(6, 650, "failed", "b"),  # too far apart: two calls
+                        attempt(7, 900, "refused", "c"),
                         self.record(8, 910, "failed"),
                     ]
                 )
@@ -93,7 +93,8 @@
                     UsageSum(0, "acme", "low", "failed", 0, 3),
                     UsageSum(0, "acme", "low", "served", 0, 2),
                 ]
-                await store.write([tried(9, 1100, "served", "c")])  # the repeat of one near the period's end
+                # The repeat of one near the period's end.
+                await store.write([attempt(9, 1100, "served", "c")])
                 await fleet.execute_fenced(
                     token, usage_ledger.closing_statements(Closing(1, 2000), 1000, 300, 0, token.term)
                 )
@@ -102,15 +103,16 @@
         asyncio.run(run())
 
     @pytest.mark.parametrize("kind", ["sqlite", "postgresql"])
-    def test_an_effect_under_an_old_term_is_refused_whole(self, tmp_path, kind):
+    def test_a_transaction_under_a_stale_term_is_rejected(self, tmp_path, kind):
         async def run():
             async with database(kind, tmp_path) as (_, fleet, store, _server):
-                token = await own(fleet)
+                token = await lead_closing(fleet)
                 await store.write([self.record(1, 500)])
-                late = token._replace(term=token.term - 1)
+                stale = token._replace(term=token.term - 1)
                 with pytest.raises(StaleTermError, match="term 0 of close is over"):
                     await fleet.execute_fenced(
-                        late, usage_ledger.closing_statements(Closing(0, 1000), 1000, 300, None, late.term)
+                        stale,
+                        usage_ledger.closing_statements(Closing(0, 1000), 1000, 300, None, stale.term),
                     )
                 assert await fleet.read(usage_ledger.SELECT_LAST_CLOSING) == [(None,)]
 
@@ -118,7 +120,7 @@
 
 
 @pytest.mark.parametrize(
-    ("last", "late", "made"),
+    ("last", "overdue", "closing"),
     [
         (None, False, Closing(8, 9000)),
         (7, False, Closing(8, 9000)),
@@ -128,5 +130,5 @@
         (300, True, Closing(301, 9000)),  # by a clock that was ahead of ours
     ],
 )
-def test_what_may_be_closed_goes_by_the_owners_clock_and_never_backwards(last, late, made):
-    assert next_closing(10_050.0, 1000, 100.0, last, late) == made
+def test_the_next_closing_follows_the_leaders_clock_and_never_goes_back(last, overdue, closing):
+    assert next_closing(10_050.0, 1000, 100.0, last, overdue) == closing
--- a/tests/test_worker_processes.py
+++ b/tests/test_worker_processes.py
@@ -1,4 +1,4 @@
-"""Worker processes: late owners that do no harm, frozen at each step, crashes, clocks, hand-over."""
+"""Worker processes: leaders frozen at each step, crashes, clocks that disagree, hand-over."""
 
 from __future__ import annotations
 
@@ -42,10 +42,10 @@
 class Workers:
     """Processes of the worker on one database and one export folder."""
 
-    def __init__(self, folder, fleet_file, keep_ms):
+    def __init__(self, folder, fleet_file, retention_ms):
         self.folder, self.fleet_file, self.out = folder, fleet_file, folder / "out"
         self.out.mkdir()
-        (folder / "work.toml").write_text(WORK.format(folder=self.out, keep_ms=keep_ms))
+        (folder / "work.toml").write_text(WORK.format(folder=self.out, retention_ms=retention_ms))
         self.processes = {}
 
     async def start(self, name, pause="", fleet_file=None, ahead_s=0):
@@ -74,14 +74,14 @@
     def log(self, name):
         return (self.folder / f"{name}.log").read_text()
 
-    async def says(self, name, words):
+    async def wait_for_log(self, name, words):
         async with asyncio.timeout(WAIT_S):
             while words not in self.log(name):
                 assert self.processes[name].returncode is None, self.log(name)
                 await asyncio.sleep(0.05)
 
     def files(self):
-        """What is published; a hidden file may be there for a moment while a late owner looks."""
+        """The published files; a partial file may exist for a moment while a former leader resumes."""
         return {path.name: path.read_bytes() for path in self.out.glob("usage-*")}
 
     def exported(self):
@@ -101,9 +101,9 @@
 
 
 @contextlib.asynccontextmanager
-async def working(folder, kind="postgresql", keep_ms=9e6):
+async def working(folder, kind="postgresql", retention_ms=9e6):
     async with database(kind, folder) as (fleet_file, fleet, store, server):
-        workers = Workers(folder, fleet_file, keep_ms)
+        workers = Workers(folder, fleet_file, retention_ms)
         try:
             yield workers, fleet, store, server
         finally:
@@ -111,7 +111,7 @@
 
 
 async def all_exported(workers, fleet, count):
-    """Wait until files hold so many calls; then see that nothing more comes."""
+    """Wait until the files hold this many calls; then check that no more follow."""
     try:
         async with asyncio.timeout(WAIT_S):
             while sum(workers.exported().values()) < count or await fleet.read(
@@ -144,7 +144,7 @@
 
 
 @pytest.mark.parametrize(
-    ("line", "says"),
+    ("line", "message"),
     [
         ("period_ms = 0", "Expected `int` >= 100"),
         ("period_ms = 1.5", "Expected `int`"),
@@ -154,32 +154,32 @@
         ("folder = ''", "length >= 1"),
     ],
 )
-def test_a_bad_work_file_is_one_line(tmp_path, line, says):
-    text = WORK.format(folder=tmp_path, keep_ms=9e6)
+def test_invalid_worker_settings_are_one_line(tmp_path, line, message):
+    text = WORK.format(folder=tmp_path, retention_ms=9e6)
     key = line.partition(" ")[0]
     text = "\n".join([each for each in text.splitlines() if not each.startswith(key)] + [line])
     (tmp_path / "work.toml").write_text(text)
-    with pytest.raises(ConfigurationError, match=says) as fault:
+    with pytest.raises(ConfigurationError, match=message) as error:
         load_work(str(tmp_path / "work.toml"))
-    assert "\n" not in str(fault.value)
+    assert "\n" not in str(error.value)
 
 
 @pytest.mark.parametrize("step", STEPS)
-def test_an_owner_frozen_at_any_step_and_woken_late_does_no_harm(tmp_path, step):
+def test_a_leader_frozen_at_any_step_and_resumed_late_does_no_harm(tmp_path, step):
     async def run():
-        async with working(tmp_path, keep_ms=1400.0) as (workers, fleet, store, _):
+        async with working(tmp_path, retention_ms=1400.0) as (workers, fleet, store, _):
             await store.write(outcomes(0, 200))
             await workers.start("old", pause=step)
-            await workers.says("old", '"point": "' + step)
+            await workers.wait_for_log("old", '"point": "' + step)
             await workers.start("new")
-            await workers.says("new", "fleet.removed")
+            await workers.wait_for_log("new", "fleet.removed")
             await store.write(outcomes(200, 50))
             await all_exported(workers, fleet, 250)
             before = workers.files()
             closed = await fleet.read("SELECT closed_in, term, exported_term FROM usage_closing")
             workers.processes["old"].send_signal(signal.SIGCONT)
             await asyncio.sleep(1.5)
-            await workers.says("old", "fleet.in")
+            await workers.wait_for_log("old", "fleet.in")
             assert await fleet.read("SELECT closed_in, term, exported_term FROM usage_closing") == closed
             assert workers.files() == before
             refused = workers.log("old").count("worker.refused")
@@ -190,7 +190,7 @@
     asyncio.run(run())
 
 
-def test_an_owner_whose_answers_are_cut_off_commits_and_nothing_is_done_twice(tmp_path):
+def test_a_leader_whose_responses_are_lost_does_nothing_twice(tmp_path):
     async def run():
         async with working(tmp_path) as (workers, fleet, store, server):
             address = server.dsn.partition("@")[2].partition("/")[0]
@@ -199,7 +199,7 @@
             behind = tmp_path / "behind.toml"
             behind.write_text(workers.fleet_file.read_text().replace(address, link.address))
             await workers.start("old", fleet_file=behind)
-            await workers.says("old", "fleet.in")
+            await workers.wait_for_log("old", "fleet.in")
             link.cut("back")
             await store.write(outcomes(0, 100))
             await asyncio.sleep(1.0)
@@ -213,34 +213,34 @@
     asyncio.run(run())
 
 
-def test_crashes_of_owners_and_writers_lose_and_double_nothing(tmp_path):
+def test_crashes_of_leaders_and_writers_lose_and_duplicate_nothing(tmp_path):
     async def run():
         async with working(tmp_path, "sqlite") as (workers, fleet, store, _):
             rng, written = random.Random(7), 0
-            for turn in range(8):
-                await workers.start(f"w{turn}")
+            for round_number in range(8):
+                await workers.start(f"w{round_number}")
                 batch = outcomes(written, 500)
                 await store.write(batch)
                 await store.write(batch[:200])  # one whose answer was lost comes again
                 written += 500
                 await asyncio.sleep(rng.uniform(0.1, 1.2))
-                if turn % 3:
-                    workers.processes[f"w{turn - 1}"].send_signal(signal.SIGKILL)
+                if round_number % 3:
+                    workers.processes[f"w{round_number - 1}"].send_signal(signal.SIGKILL)
             await all_exported(workers, fleet, written)
             assert set(workers.exported()) <= {("served", "0"), ("served", "1")}
 
     asyncio.run(run())
 
 
-def test_owners_whose_clocks_are_minutes_apart_count_each_call_once(tmp_path):
+def test_leaders_whose_clocks_are_minutes_apart_count_each_call_once(tmp_path):
     async def run():
         async with working(tmp_path) as (workers, fleet, store, _):
             await workers.start("ahead", ahead_s=300)
-            await workers.says("ahead", "fleet.in")
+            await workers.wait_for_log("ahead", "fleet.in")
             await store.write(outcomes(0, 100))
             await all_exported(workers, fleet, 100)
             await workers.start("right")
-            await workers.says("right", "fleet.in")
+            await workers.wait_for_log("right", "fleet.in")
             workers.processes["ahead"].send_signal(signal.SIGTERM)
             await workers.processes["ahead"].wait()
             await store.write(outcomes(100, 100))
@@ -253,16 +253,16 @@
     asyncio.run(run())
 
 
-def test_one_told_to_stop_hands_over_at_once_and_operators_see_who_owns_what(tmp_path):
+def test_a_stopped_worker_hands_over_at_once_and_the_command_line_shows_the_leaders(tmp_path):
     async def run():
         async with working(tmp_path) as (workers, fleet, store, _):
             await workers.start("a")
-            await workers.says("a", "fleet.in")
+            await workers.wait_for_log("a", "fleet.in")
             await workers.start("b")
-            await workers.says("b", "fleet.in")
+            await workers.wait_for_log("b", "fleet.in")
             workers.processes["a"].send_signal(signal.SIGTERM)
             assert await workers.processes["a"].wait() == 0
-            # Its row is gone with it; on a slow machine the lease of 0.9 s may have been first.
+            # It removes its row; on a slow machine its lease of 0.9 s may have expired first.
             assert {member.name for member in (await fleet.read_state()).members.values()} == {"b"}
             await store.write(outcomes(0, 10))
             await all_exported(workers, fleet, 10)
@@ -276,13 +276,13 @@
     asyncio.run(run())
 
 
-def test_an_export_folder_that_is_not_ours_is_told_and_the_task_given_up(tmp_path):
+def test_an_unusable_export_folder_is_logged_and_the_task_released(tmp_path):
     async def run():
         async with working(tmp_path) as (workers, fleet, store, _):
             (workers.out / "somebody's").touch()
             await store.write(outcomes(0, 10))
             await workers.start("a")
-            await workers.says("a", "holds what is not ours")
+            await workers.wait_for_log("a", "holds what is not ours")
             (workers.out / "somebody's").unlink()
             await all_exported(workers, fleet, 10)
 
--- a/tests/worker_fixtures.py
+++ b/tests/worker_fixtures.py
@@ -37,33 +37,33 @@
 grace_ms = 100.0
 look_ms = 50.0
 repeat_ms = 300.0
-keep_ms = {keep_ms}
+keep_ms = {retention_ms}
 """
 
 
 class Candidate:
-    """One process's belief and its requests, without a store."""
+    """A member that leads tasks, as it believes, and its requests to a fleet state in memory."""
 
-    def __init__(self, name, *able):
-        self.holder = LeaseHolder(name, {}, LEASE, max_members=8)
-        self.leadership = TaskLeadership(able, random.Random(1))
+    def __init__(self, name, *capabilities):
+        self.lease_holder = LeaseHolder(name, {}, LEASE, max_members=8)
+        self.leadership = TaskLeadership(capabilities, random.Random(1))
 
-    def ask(self, rows, now_ms=0.0, dead=()):
-        request = self.holder.next_request(now_ms, {}, dead)
+    def renew(self, state, now_ms=0.0, dead=()):
+        request = self.lease_holder.next_request(now_ms, {}, dead)
         request = msgspec.structs.replace(request, **self.leadership.request_fields(now_ms))
-        rows, answer = lease_transaction.apply(rows, request)
-        if self.holder.on_response(answer):
-            self.leadership.on_response(answer, now_ms)
-        return rows
+        state, response = lease_transaction.apply(state, request)
+        if self.lease_holder.on_response(response):
+            self.leadership.on_response(response, now_ms)
+        return state
 
     @property
-    def owns(self):
+    def terms(self):
         return {token.task: token.term for token in self.leadership.tokens()}
 
 
 @contextlib.asynccontextmanager
 async def database(kind, folder):
-    """The fleet's file, a fleet backend, and a store of record, on one database."""
+    """On one database: the fleet's settings file, a fleet backend, a store of record, the server if any."""
     server = None
     if kind == "sqlite":
         path, dsn = folder / "shared.db", ""
@@ -86,14 +86,14 @@
             await server.stop()
 
 
-async def own(fleet):
-    """Have somebody own the closing."""
+async def lead_closing(fleet):
+    """A member that leads the closing of the ledger: its token."""
     candidate = Candidate("test", "close")
-    request = candidate.holder.next_request(0.0, {})
-    answer = await fleet.transact(
+    request = candidate.lease_holder.next_request(0.0, {})
+    response = await fleet.transact(
         msgspec.structs.replace(request, **candidate.leadership.request_fields(0.0))
     )
-    return FencingToken("close", answer.tasks["close"].term, answer.incarnation)
+    return FencingToken("close", response.tasks["close"].term, response.incarnation)
 
 
 async def sums(fleet, period):
