--- a/emulators/postgresql/protocol.py
+++ b/emulators/postgresql/protocol.py
@@ -76,6 +76,7 @@
 
     def number(self, struct_format: str) -> int:
         """One number of a struct format."""
+        value: int
         [value] = struct.unpack_from(f">{struct_format}", self._body, self._offset)
         self._offset += struct.calcsize(f">{struct_format}")
         return value
--- a/emulators/postgresql/server.py
+++ b/emulators/postgresql/server.py
@@ -5,7 +5,9 @@
 import asyncio
 from pathlib import Path
 
+from emulators.postgresql.connection import ClientConnection
 from emulators.postgresql.faults import Faults
+from emulators.postgresql.protocol import Value
 from emulators.postgresql.session import Session
 from emulators.postgresql.shared_data import SharedData
 
@@ -17,7 +19,7 @@
         self._data = SharedData(folder)
         self._port = 0
         self._server: asyncio.Server | None = None
-        self._connections: dict[asyncio.Task, asyncio.StreamWriter] = {}  # by the task that serves each
+        self._connections: dict[asyncio.Task[None], asyncio.StreamWriter] = {}  # by the task that serves each
 
     @property
     def faults(self) -> Faults:
@@ -39,7 +41,7 @@
         """The data source name for clients."""
         return f"postgresql://canvasplank@127.0.0.1:{self._port}/outcomes"
 
-    def rows(self, sql: str) -> list[tuple]:
+    def rows(self, sql: str) -> list[tuple[Value, ...]]:
         """The result of a query of the committed data, in SQLite's dialect."""
         return self._data.rows(sql)
 
@@ -65,7 +67,7 @@
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self._connections[task := asyncio.current_task()] = writer
         task.add_done_callback(lambda done: self._connections.pop(done, None))
-        session = Session(self._data, reader, writer)
+        session = Session(self._data, ClientConnection(reader, writer))
         try:
             await session.run()
         except (OSError, asyncio.IncompleteReadError, asyncio.CancelledError):
--- a/emulators/postgresql/session.py
+++ b/emulators/postgresql/session.py
@@ -5,11 +5,10 @@
 import asyncio
 import contextlib
 import sqlite3
-import struct
+from typing import NamedTuple
 
+from emulators.postgresql.connection import ClientConnection
 from emulators.postgresql.protocol import (
-    PROTOCOL_3,
-    SSL_REQUEST,
     TEXT,
     Backend,
     Frontend,
@@ -29,18 +28,24 @@
 from emulators.postgresql.transaction import Transaction
 
 
+class Portal(NamedTuple):
+    """A statement with the values of its parameters."""
+
+    statement: PreparedStatement
+    values: list[Value]
+
+
 class Session:
     """One client."""
 
-    def __init__(self, data: SharedData, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        self._data, self._reader, self._writer = data, reader, writer
+    def __init__(self, data: SharedData, connection: ClientConnection) -> None:
+        self._data, self._connection = data, connection
         self._database = data.connect()
         self._transaction = Transaction(data, self._database)
         self._statements: dict[str, PreparedStatement] = {}
-        self._bound: tuple[PreparedStatement, list[Value]] | None = None  # the unnamed portal
+        self._portal: Portal | None = None  # the unnamed one
         self._failed = False  # messages up to Sync are skipped
         self._settings: dict[str, str] = {}
-        self._output = bytearray()
 
     async def run(self) -> None:
         """Serve until the client leaves."""
@@ -49,13 +54,13 @@
         while True:
             try:
                 async with asyncio.timeout(self._idle_timeout_s()):
-                    kind = await self._reader.readexactly(1)
+                    kind = await self._connection.read_kind()
             except TimeoutError:
                 text = "terminating connection due to idle-in-transaction timeout"
                 self._fail(SqlStateError("25P03", text, fatal=True))
-                self._writer.write(bytes(self._output))
+                self._connection.flush()
                 return
-            body = await self._read_body()
+            body = await self._connection.read_body()
             await self._data.wait_while_stalled()
             if kind == Frontend.TERMINATE:
                 return
@@ -63,8 +68,8 @@
                 continue
             await self._process(kind, body)
             if kind in (Frontend.SYNC, Frontend.QUERY, Frontend.FLUSH):
-                self._flush()
-                await self._writer.drain()
+                self._connection.flush()
+                await self._connection.drain()
 
     def close(self) -> None:
         """Roll back what is not committed, and close the connection to the data."""
@@ -75,38 +80,23 @@
     # ------------------------------------------------------------------------------------ messages
 
     async def _start(self) -> bool:
-        while True:
-            body = await self._read_body()
-            code = body.number("I")
-            if code == SSL_REQUEST:
-                self._writer.write(b"N")
-            elif code == PROTOCOL_3:
-                while name := body.string():
-                    self._settings[name] = body.string()
-                break
-            else:
-                return False  # a cancel request, or an unknown protocol
+        settings = await self._connection.read_startup()
+        if settings is None:
+            return False
+        self._settings = settings
         await self._data.wait_while_stalled()
-        self._output += startup_messages()
+        self._connection.send(startup_messages())
         self._ready()
-        self._flush()
+        self._connection.flush()
         return True
 
-    async def _read_body(self) -> MessageReader:
-        [length] = struct.unpack(">I", await self._reader.readexactly(4))
-        return MessageReader(await self._reader.readexactly(length - 4))
-
-    def _flush(self) -> None:
-        self._writer.write(bytes(self._output))
-        self._output.clear()
-
     def _ready(self) -> None:
-        self._output += message(Backend.READY_FOR_QUERY, self._transaction.status)
+        self._connection.send(message(Backend.READY_FOR_QUERY, self._transaction.status))
 
     def _fail(self, error: Exception) -> None:
         self._failed = True
         self._transaction.on_error()
-        self._output += error_response(error)
+        self._connection.send(error_response(error))
 
     def _idle_timeout_s(self) -> float | None:
         if not self._transaction.in_block:
@@ -141,15 +131,15 @@
             case Frontend.PARSE:
                 name, sql = body.string(), body.string()
                 self._statements[name] = PreparedStatement.parse(sql)
-                self._output += message(Backend.PARSE_COMPLETE)
+                self._connection.send(message(Backend.PARSE_COMPLETE))
             case Frontend.DESCRIBE:
                 self._describe(chr(body.number("b")), body.string())
             case Frontend.BIND:
                 self._bind(body)
             case Frontend.EXECUTE:
-                await self._execute(*self._bound)
+                await self._execute(self._bound_portal())
             case Frontend.CLOSE:
-                self._output += message(Backend.CLOSE_COMPLETE)
+                self._connection.send(message(Backend.CLOSE_COMPLETE))
             case Frontend.SYNC:
                 await self._sync()
 
@@ -167,10 +157,10 @@
             if command in LOCKING_COMMANDS or "pg_advisory_xact_lock" in sql:
                 await self._transaction.lock(self._timeout_s("statement_timeout"))
             for row in self._database.execute(sql).fetchall():
-                self._output += data_row(row, [TEXT] * len(row))
+                self._connection.send(data_row(row, [TEXT] * len(row)))
             if not self._transaction.in_block:
                 self._transaction.commit()
-        self._output += command_complete(command)
+        self._connection.send(command_complete(command))
         self._ready()
 
     def _bind(self, body: MessageReader) -> None:
@@ -178,27 +168,33 @@
         statement = self._statements[body.string()]
         body.numbers("h")  # formats of the parameters: all are binary
         raw = [body.value() for _ in range(body.number("h"))]
-        self._bound = statement, statement.decode_parameters(raw)
-        self._output += message(Backend.BIND_COMPLETE)
+        self._portal = Portal(statement, statement.decode_parameters(raw))
+        self._connection.send(message(Backend.BIND_COMPLETE))
+
+    def _bound_portal(self) -> Portal:
+        if self._portal is None:
+            raise SqlStateError("34000", "there is no portal: Bind has not been sent")
+        return self._portal
 
     def _describe(self, kind: str, name: str) -> None:
         """Describe a prepared statement (kind S) or the portal."""
         if kind == "S":
             statement = self._statements[name]
-            self._output += parameter_description(statement.types)
+            self._connection.send(parameter_description(statement.types))
         else:
-            statement = self._bound[0]
+            statement = self._bound_portal().statement
         if not statement.sql.upper().startswith("SELECT"):
-            self._output += message(Backend.NO_DATA)
+            self._connection.send(message(Backend.NO_DATA))
             return
         empty = self._database.execute(
             f"SELECT * FROM ({to_sqlite(statement.sql)}) LIMIT 0", [None] * len(statement.types)
         )
         names = [column[0] for column in empty.description]
         types = self._column_types(empty)
-        self._output += row_description(list(zip(names, types, strict=True)))
+        self._connection.send(row_description(list(zip(names, types, strict=True))))
 
-    async def _execute(self, statement: PreparedStatement, values: list[Value]) -> None:
+    async def _execute(self, portal: Portal) -> None:
+        statement, values = portal
         self._transaction.check_not_aborted()
         if statement.locks:
             await self._transaction.lock(self._timeout_s("statement_timeout"))
@@ -208,10 +204,10 @@
         rows = cursor.fetchall()
         types = self._column_types(cursor)
         for row in rows:
-            self._output += data_row(row, types)
+            self._connection.send(data_row(row, types))
         command = command_of(statement.sql)
         counts = {"INSERT": f"0 {cursor.rowcount}", "SELECT": len(rows)}
-        self._output += command_complete(f"{command} {counts.get(command, cursor.rowcount)}")
+        self._connection.send(command_complete(f"{command} {counts.get(command, cursor.rowcount)}"))
 
     async def _sync(self) -> None:
         await self._delay()
--- a/emulators/postgresql/shared_data.py
+++ b/emulators/postgresql/shared_data.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 
 from emulators.postgresql.faults import Faults
-from emulators.postgresql.protocol import TEXT, TYPE_OIDS
+from emulators.postgresql.protocol import TEXT, TYPE_OIDS, Value
 
 DATA_FILE = "standin.db"  # within the server's folder
 STALL_POLL_INTERVAL_S = 0.01
@@ -45,7 +45,7 @@
             self._column_types[column] = TYPE_OIDS[found[0].lower()]
         return self._column_types[column]
 
-    def rows(self, sql: str) -> list[tuple]:
+    def rows(self, sql: str) -> list[tuple[Value, ...]]:
         """The result of a query of the committed data, in SQLite's dialect."""
         with contextlib.closing(self.connect()) as database:
             return database.execute(sql).fetchall()
