--- a/benchmarks/ownership.py
+++ b/benchmarks/ownership.py
@@ -1,7 +1,8 @@
-"""Measures one owner at a time on processes: ``python -m benchmarks.ownership FOLDER [RECORDS]``.
+"""Measures task leadership on worker processes: ``python -m benchmarks.ownership FOLDER [RECORDS]``.
 
-How soon a task has a new owner after its old one was killed, froze, or was told to stop; what an idle worker
-asks of the store; and RECORDS records written while owners crash, counted in the exported files.
+The time until a task has a new leader after the old one was killed, frozen, or stopped; the load of an idle
+worker on the store; RECORDS records written while leaders crash, counted in the exported files; and set-up
+times of a proxy beside an export.
 """
 
 from __future__ import annotations
@@ -45,9 +46,11 @@
 """
 BATCH = 500
 
+Result = tuple[str, str, str, object]  # what, variant, unit, value
 
-class Play:
-    """A stand-in PostgreSQL, and workers on it with the leases of ``deploy/fleet.toml``."""
+
+class Cluster:
+    """An emulated PostgreSQL, and workers on it with the leases of ``deploy/fleet.toml``."""
 
     def __init__(self, folder: Path) -> None:
         self.folder, self.out = folder, folder / "out"
@@ -56,7 +59,7 @@
         self.workers: dict[str, asyncio.subprocess.Process] = {}
 
     async def start(self, dsn: str = "") -> None:
-        """Begin, on a stand-in of its own or the one at this DSN."""
+        """Start, on an emulated server of its own or the one at this DSN."""
         await self.store.start()
         dsn = dsn or self.store.dsn
         (self.folder / "fleet.toml").write_text(FLEET.format(dsn=dsn))
@@ -67,8 +70,8 @@
         await self.records.open()
         await self.fleet.migrate(usage_ledger.SCHEMA)
 
-    async def worker(self, name: str) -> None:
-        """Start one."""
+    async def start_worker(self, name: str) -> None:
+        """Start a worker process."""
         with (self.folder / f"{name}.log").open("wb") as log:
             self.workers[name] = await asyncio.create_subprocess_exec(
                 sys.executable,
@@ -86,17 +89,19 @@
                 env=os.environ | {"CANVASPLANK_LOG": "json"},
             )
 
-    async def owners(self) -> dict[str, str]:
-        """Who owns what, by name."""
-        rows = await self.fleet.read_state()
-        return {task: rows.members[t.owner].name for task, t in rows.tasks.items() if t.owner in rows.members}
+    async def leaders(self) -> dict[str, str]:
+        """The leaders' names by task."""
+        state = await self.fleet.read_state()
+        return {
+            task: state.members[t.owner].name for task, t in state.tasks.items() if t.owner in state.members
+        }
 
-    async def until_owned_by(self, name: str) -> float:
-        """How long until one owns everything."""
-        began = time.monotonic()
-        while set((await self.owners()).values()) != {name}:
+    async def wait_until_leader(self, name: str) -> float:
+        """Wait until one leads all tasks; the time that took in seconds."""
+        start_s = time.monotonic()
+        while set((await self.leaders()).values()) != {name}:
             await asyncio.sleep(0.02)
-        return time.monotonic() - began
+        return time.monotonic() - start_s
 
     async def stop(self) -> None:
         """End everything."""
@@ -109,38 +114,40 @@
         await self.store.stop()
 
 
-async def taking_over() -> list[tuple]:
+async def measure_takeover() -> list[Result]:
     """After a kill, a freeze, and SIGTERM."""
-    rows = []
-    for what, how in {
+    results: list[Result] = []
+    for event, number in {
         "killed": signal.SIGKILL,
         "frozen": signal.SIGSTOP,
         "told to stop": signal.SIGTERM,
     }.items():
         with tempfile.TemporaryDirectory() as folder:
-            play = Play(Path(folder))
-            await play.start()
-            await play.worker("old")
-            await play.until_owned_by("old")
-            await play.worker("new")
+            cluster = Cluster(Path(folder))
+            await cluster.start()
+            await cluster.start_worker("old")
+            await cluster.wait_until_leader("old")
+            await cluster.start_worker("new")
             await asyncio.sleep(3.0)
-            commits = play.store.commits
+            commits = cluster.store.commits
             await asyncio.sleep(4.0)
-            if how is signal.SIGKILL:
-                each_per_s = (play.store.commits - commits) / 8  # two workers, four seconds
-                rows.append(("transactions of an idle worker", "", "a second", each_per_s))
-            play.workers["old"].send_signal(how)
-            rows.append(("a new owner after the old one was", what, "s", await play.until_owned_by("new")))
-            await play.stop()
-    return rows
+            if number is signal.SIGKILL:
+                each_per_s = (cluster.store.commits - commits) / 8  # two workers, four seconds
+                results.append(("transactions of an idle worker", "", "a second", each_per_s))
+            cluster.workers["old"].send_signal(number)
+            results.append(
+                ("a new owner after the old one was", event, "s", await cluster.wait_until_leader("new"))
+            )
+            await cluster.stop()
+    return results
 
 
-async def exactly_once(count: int) -> list[tuple]:
-    """Records written while owners and the writer crash, counted in the files."""
+async def measure_exactly_once(count: int) -> list[Result]:
+    """Records written while leaders and the writer crash, counted in the files."""
     with tempfile.TemporaryDirectory() as folder:
-        play, rng, crashes = Play(Path(folder)), random.Random(11), 0
-        await play.start()
-        await play.worker("w0")
+        cluster, rng, crashes = Cluster(Path(folder)), random.Random(11), 0
+        await cluster.start()
+        await cluster.start_worker("w0")
         for first in range(0, count, BATCH):
             now_ms = int(time.time() * 1000)
             batch = [
@@ -148,106 +155,122 @@
                 for n in range(first, min(count, first + BATCH))
             ]
             if rng.random() < 0.3:
-                play.store.faults.drop_after_commit = 1
-            for _ in range(2 if rng.random() < 0.2 else 1):  # a batch that was written may come again
-                while True:
-                    try:
-                        await play.records.write(batch)
-                        break
-                    except StoreUnavailableError:
-                        await play.records.open()
+                cluster.store.faults.drop_after_commit = 1
+            for _ in range(2 if rng.random() < 0.2 else 1):  # a written batch may be repeated
+                await _write_until_committed(cluster, batch)
             if rng.random() < 0.15:
                 newest = f"w{crashes}"
-                play.workers[newest].send_signal(signal.SIGKILL)
+                cluster.workers[newest].send_signal(signal.SIGKILL)
                 crashes += 1
-                await play.worker(f"w{crashes}")
+                await cluster.start_worker(f"w{crashes}")
             await asyncio.sleep(0.05)
-        play.store.faults.drop_after_commit = 0
-        until = time.monotonic() + 60
-        while time.monotonic() < until and (exported(play.out) < count or await _waits(play)):
+        cluster.store.faults.drop_after_commit = 0
+        deadline_s = time.monotonic() + 60
+        while time.monotonic() < deadline_s and (
+            exported(cluster.out) < count or await _has_unexported(cluster)
+        ):
             await asyncio.sleep(0.5)
-        rows = [
-            ("records written, exported", f"{crashes} owners killed", "", f"{count}, {exported(play.out)}"),
-            ("files", "", "", len(list(play.out.glob("*.csv")))),
+        results = [
+            (
+                "records written, exported",
+                f"{crashes} owners killed",
+                "",
+                f"{count}, {exported(cluster.out)}",
+            ),
+            ("files", "", "", len(list(cluster.out.glob("*.csv")))),
         ]
-        await play.stop()
-        return rows
+        await cluster.stop()
+        return results
 
 
-async def set_up_times(exporting: bool) -> list[tuple]:
+async def measure_set_up_times(exporting: bool) -> list[Result]:
     """Set-up times of a proxy, while a worker beside it closes and exports 100,000 records or not."""
     with tempfile.TemporaryDirectory() as folder:
-        play = Play(Path(folder))
-        # Guards the measurement against the stand-in's own work, which in this process would hold callers up.
-        apart = await asyncio.create_subprocess_exec(
-            sys.executable,
-            "-m",
-            "emulators.postgresql",
-            folder,
-            cwd=ROOT,
-            stdin=asyncio.subprocess.PIPE,
-            stdout=asyncio.subprocess.PIPE,
-        )
-        await play.start((await apart.stdout.readline()).decode().strip())
+        cluster = Cluster(Path(folder))
+        database = await _start_database(folder)
+        await cluster.start((await database.stdout.readline()).decode().strip())
         now_ms = int(time.time() * 1000) - 5000
-        await play.records.write(
+        await cluster.records.write(
             [
                 CallOutcome(f"{n:016x}", "n0", now_ms - n, "low", "served", "s", 1, now_ms)
                 for n in range(100_000)
             ]
         )
         server = CallServer("s-0", capacity_per_s=5000.0, hold_ms=50.0, lines=100_000)
-        async with fleet(Path(folder), [server], instances=1) as started:
-            proxy = await started.proxy("n0", 1)
+        async with fleet(Path(folder), [server], instances=1) as proxies:
+            proxy = await proxies.proxy("n0", 1)
             callers = Callers(seed=5)
             await callers.add_proxy(proxy.address)
             if exporting:
-                await play.worker("w0")
+                await cluster.start_worker("w0")
             await callers.offer(100.0, 10.0)
             await callers.settled(4.0)
-            took = sorted(1000 * t.took_s for t in callers.tries.values() if t.outcome == "served")
-            done = exported(play.out)
+            times_ms = sorted(1000 * t.took_s for t in callers.tries.values() if t.outcome == "served")
+            exported_calls = exported(cluster.out)
             await callers.stop()
-        await play.stop()
-        apart.kill()
-        await apart.wait()
-        variant = f"{done} records exported meanwhile"
+        await cluster.stop()
+        database.kill()
+        await database.wait()
+        variant = f"{exported_calls} records exported meanwhile"
         return [
-            ("set-up time: median", variant, "ms", statistics.median(took)),
-            ("set-up time: 99 %", variant, "ms", took[int(0.99 * len(took))]),
-            ("set-ups served", variant, "of all", len(took) / len(callers.tries)),
+            ("set-up time: median", variant, "ms", statistics.median(times_ms)),
+            ("set-up time: 99 %", variant, "ms", times_ms[int(0.99 * len(times_ms))]),
+            ("set-ups served", variant, "of all", len(times_ms) / len(callers.tries)),
         ]
 
 
-async def _waits(play: Play) -> bool:
+async def _write_until_committed(cluster: Cluster, batch: list[CallOutcome]) -> None:
+    while True:
+        try:
+            await cluster.records.write(batch)
+        except StoreUnavailableError:
+            await cluster.records.open()
+        else:
+            return
+
+
+async def _start_database(folder: str) -> asyncio.subprocess.Process:
+    """The emulated server in a process of its own: in this one its work would delay the callers."""
+    return await asyncio.create_subprocess_exec(
+        sys.executable,
+        "-m",
+        "emulators.postgresql",
+        folder,
+        cwd=ROOT,
+        stdin=asyncio.subprocess.PIPE,
+        stdout=asyncio.subprocess.PIPE,
+    )
+
+
+async def _has_unexported(cluster: Cluster) -> bool:
     with contextlib.suppress(StoreUnavailableError):
-        return bool(await play.fleet.read(usage_ledger.SELECT_UNEXPORTED))
-    await play.fleet.open()
+        return bool(await cluster.fleet.read(usage_ledger.SELECT_UNEXPORTED))
+    await cluster.fleet.open()
     return True
 
 
 def exported(folder: Path) -> int:
-    """Calls in all files."""
+    """The number of calls in all files."""
     return sum(int(line["calls"]) for path in folder.glob("*.csv") for line in csv.DictReader(path.open()))
 
 
-async def measure(count: int) -> list[tuple]:
-    """Everything, one after another."""
+async def measure(count: int) -> list[Result]:
+    """All measurements, one after another."""
     return [
-        *await taking_over(),
-        *await set_up_times(False),
-        *await set_up_times(True),
-        *await exactly_once(count),
+        *await measure_takeover(),
+        *await measure_set_up_times(False),
+        *await measure_set_up_times(True),
+        *await measure_exactly_once(count),
     ]
 
 
 def main(folder: str, count: str = "100000") -> None:
-    """Measure, and write the table."""
-    rows = asyncio.run(measure(int(count)))
-    for row in rows:
+    """Measure, print the table and write it to ``ownership.csv``."""
+    results = asyncio.run(measure(int(count)))
+    for row in results:
         print(*row, sep="\t", flush=True)
     with (Path(folder) / "ownership.csv").open("w", newline="") as file:
-        csv.writer(file).writerows([("what", "variant", "unit", "value"), *rows])
+        csv.writer(file).writerows([("what", "variant", "unit", "value"), *results])
 
 
 if __name__ == "__main__":
--- a/benchmarks/store_latency.py
+++ b/benchmarks/store_latency.py
@@ -1,10 +1,10 @@
-"""What a store of record costs the calls: set-up times and records with it well, stalled, failing and away.
+"""What a store of record costs the calls: set-up times and records through faults of the store.
 
 ``python -m benchmarks.store_latency [--seeds N] [--at-once N]``
 
-Each play has stand-in call servers, callers that come whatever happens, a proxy and a store: none, an SQLite
-file, or the stand-in PostgreSQL that is well, says nothing for 5 s, resets its connection once a second
-before or after a commit by turns, or is away for 5 s.  Times are from when a call was due.
+Each run has emulated call servers, callers with an open-loop load, a proxy and a store: none, an SQLite file,
+or the emulated PostgreSQL that is available, stalls for 5 s, resets its connection once a second alternately
+before and after a commit, or is away for 5 s.  Times are from when a call was due.
 """
 
 from __future__ import annotations
@@ -26,14 +26,16 @@
 from emulators.postgresql.shared_data import DATA_FILE
 from emulators.server import CallServer
 
-FOR_S, TROUBLE_AT_S, TROUBLE_S = 12.0, 3.0, 5.0
-SETTLE_S = 10.0
-ROWS = "SELECT call_id, class_name, final FROM call_outcome"
+LOAD_S, FAULT_AT_S, FAULT_S = 12.0, 3.0, 5.0
+SETTLE_TIMEOUT_S = 10.0
+Record = tuple[str, str, str]  # call id, class and final answer
+
+SELECT_RECORDS = "SELECT call_id, class_name, final FROM call_outcome"
 
 
 @dataclass(frozen=True)
 class Load:
-    """How many calls come, and what the servers can do."""
+    """The rate of calls, and the capacity of each server."""
 
     name: str
     capacity_per_s: float
@@ -44,24 +46,24 @@
 
 
 @dataclass(frozen=True)
-class Played:
-    """One play."""
+class Measurement:
+    """The result of one run."""
 
     calls: int
     served: int
     median_ms: float
     p99_ms: float
-    most_ms: float
+    max_ms: float
     records: int
-    twice: int
+    duplicates: int
     wrong: int  # calls without a record, or with another class or answer than their caller got
 
 
 class Database:
-    """The stand-in in a process of its own: in this one, its work would show in the callers' times."""
+    """The emulated server in a process of its own: in this one, its work would delay the callers."""
 
     async def start(self, folder: Path) -> str:
-        """Start it; gives its DSN."""
+        """Start it; returns its DSN."""
         self._process = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
@@ -73,8 +75,8 @@
         )
         return (await self._process.stdout.readline()).decode().strip()
 
-    def tell(self, command: str) -> None:
-        """Have something go wrong there, or right again."""
+    def command(self, command: str) -> None:
+        """Send it a command (see ``emulators.postgresql.__main__``)."""
         self._process.stdin.write(f"{command}\n".encode())
 
     async def stop(self) -> None:
@@ -83,41 +85,41 @@
         await self._process.wait()
 
 
-async def _nothing(_: Database) -> None:
+async def _no_fault(_: Database) -> None:
     pass
 
 
 async def _stall(database: Database) -> None:
-    await asyncio.sleep(TROUBLE_AT_S)
-    database.tell("stalled 1")
-    await asyncio.sleep(TROUBLE_S)
-    database.tell("stalled 0")
+    await asyncio.sleep(FAULT_AT_S)
+    database.command("stalled 1")
+    await asyncio.sleep(FAULT_S)
+    database.command("stalled 0")
 
 
 async def _drop(database: Database) -> None:
-    for turn in range(int(FOR_S) - 1):
-        database.tell("drop_after_commit 1" if turn % 2 else "drop_before_commit 1")
+    for second in range(int(LOAD_S) - 1):
+        database.command("drop_after_commit 1" if second % 2 else "drop_before_commit 1")
         await asyncio.sleep(1.0)
 
 
 async def _away(database: Database) -> None:
-    await asyncio.sleep(TROUBLE_AT_S)
-    database.tell(f"restart {TROUBLE_S}")
+    await asyncio.sleep(FAULT_AT_S)
+    database.command(f"restart {FAULT_S}")
 
 
-Trouble = Callable[[Database], Awaitable[None]]
-STORES: dict[str, Trouble | None] = {
+FaultSchedule = Callable[[Database], Awaitable[None]]
+STORES: dict[str, FaultSchedule | None] = {
     "none": None,
     "SQLite": None,
-    "PostgreSQL": _nothing,
+    "PostgreSQL": _no_fault,
     "PostgreSQL stalled 5 s": _stall,
     "PostgreSQL resets by turns": _drop,
     "PostgreSQL away 5 s": _away,
 }
 
 
-async def play(seed: int, load: Load, store: str) -> Played:
-    """One play, and its records held against what the callers got."""
+async def measure(seed: int, load: Load, store: str) -> Measurement:
+    """One run, and its records compared with what the callers received."""
     with tempfile.TemporaryDirectory() as name:
         folder, database = Path(name), Database()
         dsn = await database.start(folder)
@@ -128,82 +130,87 @@
             else f'backend = "postgresql"\ndsn = "{dsn}"\n'
         )
         (folder / "store.toml").write_text(text)
-        more = {} if store == "none" else {"CANVASPLANK_STORE": str(folder / "store.toml")}
-        tries = await _calls(seed, load, folder, more, STORES[store], database)
+        environment = {} if store == "none" else {"CANVASPLANK_STORE": str(folder / "store.toml")}
+        attempts = await _calls(seed, load, folder, environment, STORES[store], database)
         await database.stop()
-        rows: list[tuple] = []
+        rows: list[Record] = []
         if store != "none":
-            with closing(sqlite3.connect(path)) as kept:
-                rows = kept.execute(ROWS).fetchall()
-        return _judged(tries, rows)
+            with closing(sqlite3.connect(path)) as records:
+                rows = records.execute(SELECT_RECORDS).fetchall()
+        return _compare(attempts, rows)
 
 
 async def _calls(
-    seed: int, load: Load, folder: Path, more: dict[str, str], trouble: Trouble | None, database: Database
+    seed: int,
+    load: Load,
+    folder: Path,
+    environment: dict[str, str],
+    schedule: FaultSchedule | None,
+    database: Database,
 ) -> list[Try]:
     servers = [CallServer(f"s-{n}", load.capacity_per_s, hold_ms=1000.0, lines=2000) for n in range(3)]
     async with fleet(folder, servers, 1) as world:
-        proxy = await world.proxy("n0", seed, **more)
+        proxy = await world.proxy("n0", seed, **environment)
         callers = Callers(seed, pools=len(servers))
         await callers.add_proxy(proxy.address)
-        beside = asyncio.ensure_future(trouble(database)) if trouble is not None else None
-        await callers.offer(load.rate_per_s, FOR_S)
-        if beside is not None:
-            await beside
-        await callers.settled(SETTLE_S)
+        fault_task = asyncio.ensure_future(schedule(database)) if schedule is not None else None
+        await callers.offer(load.rate_per_s, LOAD_S)
+        if fault_task is not None:
+            await fault_task
+        await callers.settled(SETTLE_TIMEOUT_S)
         await callers.stop()
         await proxy.stop()
         return list(callers.tries.values())
 
 
-def _judged(tries: list[Try], rows: list[tuple]) -> Played:
-    kept = {call_id: (class_name, final) for call_id, class_name, final in rows}
-    times = sorted(1000 * t.took_s for t in tries if t.outcome == "served")
-    wrong = sum(kept.get(t.id) != (t.kind.name, t.outcome) for t in tries) if rows else 0
-    return Played(
-        len(tries),
+def _compare(attempts: list[Try], rows: list[Record]) -> Measurement:
+    recorded = {call_id: (class_name, final) for call_id, class_name, final in rows}
+    times = sorted(1000 * t.took_s for t in attempts if t.outcome == "served")
+    wrong = sum(recorded.get(t.id) != (t.kind.name, t.outcome) for t in attempts) if rows else 0
+    return Measurement(
+        len(attempts),
         len(times),
         statistics.median(times),
         times[int(0.99 * len(times))],
         times[-1],
         len(rows),
-        len(rows) - len(kept),
+        len(rows) - len(recorded),
         wrong,
     )
 
 
-async def _all(seeds: int, at_once: int) -> dict[tuple[str, str], list[Played]]:
-    gate = asyncio.Semaphore(at_once)
+async def _all(seeds: int, at_once: int) -> dict[tuple[str, str], list[Measurement]]:
+    limit = asyncio.Semaphore(at_once)
 
-    async def one(seed: int, load: Load, store: str) -> tuple[tuple[str, str], Played]:
-        async with gate:
-            return (load.name, store), await play(seed, load, store)
+    async def one(seed: int, load: Load, store: str) -> tuple[tuple[str, str], Measurement]:
+        async with limit:
+            return (load.name, store), await measure(seed, load, store)
 
-    results: dict[tuple[str, str], list[Played]] = {}
-    plays = [one(seed, load, store) for load in LOADS for store in STORES for seed in range(1, seeds + 1)]
-    for key, played in await asyncio.gather(*plays):
-        results.setdefault(key, []).append(played)
+    results: dict[tuple[str, str], list[Measurement]] = {}
+    runs = [one(seed, load, store) for load in LOADS for store in STORES for seed in range(1, seeds + 1)]
+    for key, measurement in await asyncio.gather(*runs):
+        results.setdefault(key, []).append(measurement)
     return results
 
 
 @click.command()
-@click.option("--seeds", default=2, help="Worlds played with each store.")
-@click.option("--at-once", default=3, help="Plays side by side.")
+@click.option("--seeds", default=2, help="Runs with each store.")
+@click.option("--at-once", default=3, help="Runs at the same time.")
 def main(seeds: int, at_once: int) -> None:
-    """Play and print the table."""
+    """Measure and print the table."""
     print("| load | store | calls | served | median | 99 % | most | records | twice | missing or wrong |")
     print("| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |")
-    for (load, store), some in asyncio.run(_all(seeds, at_once)).items():
+    for (load, store), measurements in asyncio.run(_all(seeds, at_once)).items():
 
-        def total(name: str, some: list[Played] = some) -> int:
-            return sum(getattr(p, name) for p in some)
+        def total(name: str, measurements: list[Measurement] = measurements) -> int:
+            return sum(getattr(p, name) for p in measurements)
 
-        names = ("median_ms", "p99_ms", "most_ms")
-        times = [statistics.mean(getattr(p, name) for p in some) for name in names]
+        names = ("median_ms", "p99_ms", "max_ms")
+        times = [statistics.mean(getattr(p, name) for p in measurements) for name in names]
         print(
             f"| {load} | {store} | {total('calls')} | {total('served')} | "
             + " | ".join(f"{ms:.1f} ms" for ms in times)
-            + f" | {total('records')} | {total('twice')} | {total('wrong')} |"
+            + f" | {total('records')} | {total('duplicates')} | {total('wrong')} |"
         )
 
 
