--- a/canvasplank/store/records.py
+++ b/canvasplank/store/records.py
@@ -1,40 +1,65 @@
-"""What is kept of a call: one row, written at its final answer and once more when it is over."""
+"""The record of a call: one row, written at its final answer and again at the end of an established call."""
 
 from __future__ import annotations
 
+import enum
+
 import msgspec
 
 from canvasplank import interface as api
 
-ANSWERED, OVER = 1, 2  # the row's version: at the final answer, and when an established call has ended
-SERVED, GIVEN_UP = "served", "given_up"  # beside the names of ``exchange.Final``
-ENDINGS = {api.Outcome.ENDED: "ended", api.Outcome.CANCELLED: "released", api.Outcome.RESET: "cut"}
+ANSWERED, ENDED = 1, 2  # a row's version: at the final answer, and at the end of an established call
+
+
+class Final(enum.StrEnum):
+    """The stored values of ``final``: those of ``exchange.FinalAnswer``, and two more."""
+
+    SERVED = "served"  # established
+    REFUSED = "refused"
+    FAILED = "failed"
+    INVALID = "invalid"
+    GIVEN_UP = "given_up"  # by the caller
+
+
+class Ending(enum.StrEnum):
+    """The stored values of ``ending``."""
+
+    ENDED = "ended"
+    RELEASED = "released"  # by the caller
+    CUT = "cut"
+
+
+ENDING_BY_OUTCOME = {
+    api.Outcome.ENDED: Ending.ENDED,
+    api.Outcome.CANCELLED: Ending.RELEASED,
+    api.Outcome.RESET: Ending.CUT,
+}
 
-Key = tuple[str, str, int]
+RecordKey = tuple[str, str, int]
 
 
-class Outcome(msgspec.Struct, frozen=True):
-    """One call's row; times are Unix milliseconds of this program's one clock.
+class CallOutcome(msgspec.Struct, frozen=True):
+    """A row of ``call_outcome``; times are Unix milliseconds of this program's one clock.
 
-    A row of a later version holds all that an earlier one did, so that either may be lost or come twice and
-    the order in which they are written does not matter.
+    The columns are the fields' encoded names (``schema.COLUMNS``).  A row of a later version holds all that
+    an earlier one does, so either may be lost or repeated, and they may be written in any order.
     """
 
     call_id: str
     instance: str
     taken_ms: int
     class_name: str
-    final: str  # served, refused, failed, invalid or given_up
-    server: str | None  # where it is established, or was tried last
+    final: str  # a value of ``Final``
+    server: str | None  # where the call is established, or was attempted last
     attempts: int
     answered_ms: int
     ended_ms: int | None = None
-    ending: str | None = None  # ended, released (by its caller) or cut
+    ending: str | None = None  # a value of ``Ending``
     version: int = ANSWERED
-    member: str | None = None  # whose call it is, where the settings name members
-    number: str | None = None  # the number called: a caller's repeats are found by it
+    tenant: str | None = msgspec.field(default=None, name="member")  # if the configuration names members
+    number: str | None = None  # the called number, by which a caller's repeats are recognised
 
     @property
-    def key(self) -> Key:
-        """What makes a record one: an id may come again, at another instance or years later."""
+    def key(self) -> RecordKey:
+        """The primary key: the same call id may occur at another instance, or years later."""
         return self.call_id, self.instance, self.taken_ms
--- a/canvasplank/store/sqlite.py
+++ b/canvasplank/store/sqlite.py
@@ -5,10 +5,10 @@
 import sqlite3
 from collections.abc import Sequence
 
-from canvasplank.database.sqlite import SqliteEngine, own, transaction
+from canvasplank.database.sqlite import SqliteEngine, to_sqlite, transaction
 from canvasplank.store import schema
-from canvasplank.store.backend import Count
-from canvasplank.store.records import Outcome
+from canvasplank.store.backend import CallCount
+from canvasplank.store.records import CallOutcome
 
 
 class Sqlite(SqliteEngine):
@@ -17,17 +17,19 @@
     def __init__(self, path: str) -> None:
         super().__init__(path, schema.SCHEMA, "store")
 
-    async def write(self, batch: Sequence[Outcome]) -> None:
+    async def write(self, batch: Sequence[CallOutcome]) -> None:
         """See ``Backend``."""
         rows = [schema.row(record) for record in batch]
 
         def write(connection: sqlite3.Connection) -> None:
             with transaction(connection):
-                connection.executemany(own(schema.UPSERT), rows)
+                connection.executemany(to_sqlite(schema.UPSERT), rows)
 
-        await self.do(write)
+        await self.run(write)
 
-    async def count(self, since_ms: int, instance: str) -> list[Count]:
+    async def count_calls(self, since_ms: int, instance: str) -> list[CallCount]:
         """See ``Backend``."""
-        rows = await self.do(lambda c: c.execute(own(schema.COUNT), (since_ms, instance)).fetchall())
-        return [Count(*row) for row in rows]
+        rows = await self.run(
+            lambda c: c.execute(to_sqlite(schema.COUNT_CALLS), (since_ms, instance)).fetchall()
+        )
+        return [CallCount(*row) for row in rows]
--- /dev/null
+++ b/emulators/postgresql/__main__.py
@@ -0,0 +1,35 @@
+"""Runs the emulated PostgreSQL: ``python -m emulators.postgresql FOLDER``.
+
+It prints its DSN, and reads commands from standard input until that ends: the name of a field of ``Faults``
+and its value (``stalled 1``, ``drop_after_commit 1``), or ``restart SECONDS``.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import sys
+from pathlib import Path
+
+from emulators.postgresql.server import PostgresqlStandIn
+
+
+async def main(folder: str) -> None:
+    """Serve until standard input ends."""
+    server = PostgresqlStandIn(Path(folder))
+    await server.start()
+    print(server.dsn, flush=True)
+    commands = asyncio.StreamReader()
+    await asyncio.get_running_loop().connect_read_pipe(
+        lambda: asyncio.StreamReaderProtocol(commands), sys.stdin
+    )
+    while words := (await commands.readline()).decode().split():
+        command, value = words
+        if command == "restart":
+            await server.restart(float(value))
+        else:
+            setattr(server.faults, command, float(value) if command == "delay_s" else int(value))
+    await server.stop()
+
+
+if __name__ == "__main__":
+    asyncio.run(main(*sys.argv[1:]))
--- a/tests/test_project_rules.py
+++ b/tests/test_project_rules.py
@@ -111,6 +111,7 @@
     "runtime.worker_thread",
     "database.errors",
     "database.location",
+    "database.statements",
     "database.migrations",
     "database.sqlite",
     "database.postgresql",
--- /dev/null
+++ b/tests/worker_fixtures.py
@@ -0,0 +1,100 @@
+"""What the tests of the fleet's tasks and of the worker share."""
+
+from __future__ import annotations
+
+import contextlib
+import random
+
+import msgspec
+
+from canvasplank.fleet import lease_transaction
+from canvasplank.fleet.backend import FencingToken
+from canvasplank.fleet.lease_holder import Lease, LeaseHolder
+from canvasplank.fleet.postgresql import Postgresql as FleetPostgresql
+from canvasplank.fleet.sqlite import Sqlite as FleetSqlite
+from canvasplank.fleet.task_leadership import TaskLeadership
+from canvasplank.store.postgresql import Postgresql
+from canvasplank.store.sqlite import Sqlite
+from canvasplank.worker import usage_ledger
+from canvasplank.worker.usage_ledger import UsageSum
+from emulators.postgresql import PostgresqlStandIn
+
+LEASE = Lease(3000.0, 100.0, 0.001)
+FLEET = """backend = "{backend}"
+path = "{path}"
+dsn = "{dsn}"
+proxies_most = 8
+lease_ms = 900.0
+renew_ms = 250.0
+request_ms = 500.0
+[[budget]]
+name = "all"
+kind = "set-ups"
+whole_per_s = 80.0
+"""
+WORK = """folder = "{folder}"
+period_ms = 1000
+grace_ms = 100.0
+look_ms = 50.0
+repeat_ms = 300.0
+keep_ms = {retention_ms}
+"""
+
+
+class Candidate:
+    """A member that leads tasks, as it believes, and its requests to a fleet state in memory."""
+
+    def __init__(self, name, *capabilities):
+        self.lease_holder = LeaseHolder(name, {}, LEASE, max_members=8)
+        self.leadership = TaskLeadership(capabilities, random.Random(1))
+
+    def renew(self, state, now_ms=0.0, dead=()):
+        request = self.lease_holder.next_request(now_ms, {}, dead)
+        request = msgspec.structs.replace(request, **self.leadership.request_fields(now_ms))
+        state, response = lease_transaction.apply(state, request)
+        if self.lease_holder.on_response(response):
+            self.leadership.on_response(response, now_ms)
+        return state
+
+    @property
+    def terms(self):
+        return {token.task: token.term for token in self.leadership.tokens()}
+
+
+@contextlib.asynccontextmanager
+async def database(kind, folder):
+    """On one database: the fleet's settings file, a fleet backend, a store of record, the server if any."""
+    server = None
+    if kind == "sqlite":
+        path, dsn = folder / "shared.db", ""
+        fleet, store = FleetSqlite(str(path)), Sqlite(str(path))
+    else:
+        server = PostgresqlStandIn(folder)
+        await server.start()
+        path, dsn = "", server.dsn
+        fleet, store = FleetPostgresql(dsn, 2.0), Postgresql(dsn, 2.0)
+    (folder / "fleet.toml").write_text(FLEET.format(backend=kind, path=path, dsn=dsn))
+    await fleet.open()
+    await store.open()
+    await fleet.migrate(usage_ledger.SCHEMA)
+    try:
+        yield folder / "fleet.toml", fleet, store, server
+    finally:
+        await fleet.close()
+        await store.close()
+        if server is not None:
+            await server.stop()
+
+
+async def lead_closing(fleet):
+    """A member that leads the closing of the ledger: its token."""
+    candidate = Candidate("test", "close")
+    request = candidate.lease_holder.next_request(0.0, {})
+    response = await fleet.transact(
+        msgspec.structs.replace(request, **candidate.leadership.request_fields(0.0))
+    )
+    return FencingToken("close", response.tasks["close"].term, response.incarnation)
+
+
+async def sums(fleet, period):
+    return [UsageSum(*row) for row in await fleet.read(usage_ledger.SELECT_SUMS, (period,))]
