--- a/canvasplank/worker/task_runner.py
+++ b/canvasplank/worker/task_runner.py
@@ -35,7 +35,7 @@
 LOG = logging.getLogger(__name__)
 MS_PER_S = 1000.0
 HANDOVER_TIMEOUT_S = 1.0  # bound on leaving the fleet at the end
-CLOSE, EXPORT, RETAIN = TASKS = ("close", "export", "retain")
+CLOSE, EXPORT, RETAIN = TASKS = ("close", "export", "retain")  # stored names of the fleet's tasks
 
 
 def pause_at(point: str) -> None:
@@ -86,9 +86,9 @@
             if not self._connected:
                 await self._connect()
             progressed = await self._handlers[token.task](token)
-        except StaleTermError as refused:
+        except StaleTermError as error:
             leadership.on_stale(token)
-            log_event(LOG, "worker.refused", text=f"refused: {refused}", task=token.task, term=token.term)
+            log_event(LOG, "worker.refused", text=f"refused: {error}", task=token.task, term=token.term)
         except (StoreUnavailableError, TimeoutError) as error:
             # Not a failure of the task: another worker could not reach the store either.
             self._connected = False
@@ -98,12 +98,7 @@
                 text=f"{token.task}: the store does not answer: {error}",
                 task=token.task,
             )
-        except (
-            StoreRefusedError,
-            ExportError,
-            WorkerThreadBusyError,
-            OSError,
-        ) as error:
+        except (StoreRefusedError, ExportError, WorkerThreadBusyError, OSError) as error:
             leadership.failed(token)
             log_event(
                 LOG,
@@ -119,8 +114,8 @@
 
     async def _connect(self) -> None:
         await self._backend.open()
-        for each in self._schemas:
-            await self._backend.migrate(each)
+        for schema in self._schemas:
+            await self._backend.migrate(schema)
         self._connected = True
 
     # ------------------------------------------------------------------------------------ the tasks
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -293,7 +293,7 @@
     assert failed.exit_code == 1 and "unable to open" in failed.output
 
 
-async def _served(folder, servers: int, rate: float, for_s: float, store: str, inject_faults=None):
+async def _serve_calls(folder, servers: int, rate: float, for_s: float, store: str, inject_faults=None):
     """The program with a store, emulated servers and callers: the attempts of the callers, and its log."""
     (folder / "store.toml").write_text(store)
     called = [CallServer(f"s-{n}", 200.0, hold_ms=300.0) for n in range(servers)]
@@ -331,7 +331,7 @@
 
 def test_every_call_has_one_record_in_a_file(tmp_path):
     path = tmp_path / "outcomes.db"
-    attempts, _ = asyncio.run(_served(tmp_path, 2, 80.0, 2.0, f'backend = "sqlite"\npath = "{path}"\n'))
+    attempts, _ = asyncio.run(_serve_calls(tmp_path, 2, 80.0, 2.0, f'backend = "sqlite"\npath = "{path}"\n'))
     with contextlib.closing(sqlite3.connect(path)) as database:
         check_records(attempts, database.execute(ALL).fetchall())
 
@@ -351,7 +351,7 @@
             await server.restart(0.2)
 
         text = f'backend = "postgresql"\ndsn = "{server.dsn}"\nwrite_timeout_ms = 300\n'
-        attempts, log = await _served(tmp_path, 2, 80.0, 2.5, text, inject_faults)
+        attempts, log = await _serve_calls(tmp_path, 2, 80.0, 2.5, text, inject_faults)
         await server.stop()
         return attempts, log, server.rows(ALL)
 
@@ -360,10 +360,10 @@
     assert "store: not written" in log and "store: written again" in log and "dropped" not in log
 
 
-def test_an_unreachable_store_is_one_log_line_and_the_calls_are_served(tmp_path):
+def test_an_unreachable_store_is_one_log_line_and_the_calls_are_serve_calls(tmp_path):
     text = f'backend = "postgresql"\ndsn = "postgresql://u@127.0.0.1:{free_port()}/d"\nqueue_most = 20\n'
     start_s = time.monotonic()
-    attempts, log = asyncio.run(_served(tmp_path, 1, 60.0, 1.0, text))
+    attempts, log = asyncio.run(_serve_calls(tmp_path, 1, 60.0, 1.0, text))
     max_lines = 1 + (time.monotonic() - start_s) // LOG_INTERVAL_S  # one line, and one more every 5 s
     assert {attempt.outcome for attempt in attempts.values()} == {"served"}
     assert (
@@ -375,4 +375,4 @@
 
 def test_invalid_store_settings_stop_the_start(tmp_path):
     with pytest.raises(AssertionError, match=r"ended with 2: canvasplank: store .*needs a path"):
-        asyncio.run(_served(tmp_path, 1, 1.0, 0.1, 'backend = "sqlite"'))
+        asyncio.run(_serve_calls(tmp_path, 1, 1.0, 0.1, 'backend = "sqlite"'))
