--- a/experiments/__main__.py
+++ b/experiments/__main__.py
@@ -10,19 +10,18 @@
 
 from canvasplank.config.configuration import ConfigurationError
 from experiments import experiment_run, report, simulation
-from experiments.measures import Observed, figures
+from experiments.measures import Observations, compute_figures
 from experiments.plan import Experiment, Variant, load_experiment
 
 PROCESSES, SIMULATED = "processes", "simulated"
 
 
-def _played(
-    experiment: Experiment, way: str, variant: Variant, size: int, seed: int, seen: Observed
-) -> report.Played:
-    found = figures(seen, experiment.for_s, experiment.board_back_s())
-    return report.Played(
-        experiment.name, way, size, variant.name, seed, found, report.series(seen, experiment.for_s)
-    )
+def _result(
+    experiment: Experiment, mode: str, variant: Variant, size: int, seed: int, observations: Observations
+) -> report.RunResult:
+    figures = compute_figures(observations, experiment.duration_s, experiment.discovery_recovered_s())
+    series = report.compute_series(observations, experiment.duration_s)
+    return report.RunResult(experiment.name, mode, size, variant.name, seed, figures, series)
 
 
 @click.group()
@@ -48,29 +47,29 @@
     """Play an experiment; each play's figures are kept as soon as it is over."""
     try:
         experiment = load_experiment(file)
-    except ConfigurationError as fault:
-        raise click.ClickException(str(fault)) from None
-    ways = [(PROCESSES, size) for size in experiment.sizes if simulated is not True]
-    ways += [(SIMULATED, size) for size in experiment.simulated_sizes if simulated is not False]
+    except ConfigurationError as error:
+        raise click.ClickException(str(error)) from None
+    modes = [(PROCESSES, size) for size in experiment.sizes if simulated is not True]
+    modes += [(SIMULATED, size) for size in experiment.simulated_sizes if simulated is not False]
     folder.mkdir(parents=True, exist_ok=True)
-    played: list[report.Played] = []
-    for way, size in ways:
+    results: list[report.RunResult] = []
+    for mode, size in modes:
         if sizes and size not in sizes:
             continue
         for seed in seeds or experiment.seeds:
-            for variant in experiment.variant:
-                began = time.monotonic()
-                if way == PROCESSES:
-                    seen = asyncio.run(experiment_run.play(experiment, variant, size, seed))
+            for variant in experiment.variants:
+                start_s = time.monotonic()
+                if mode == PROCESSES:
+                    observations = asyncio.run(experiment_run.run(experiment, variant, size, seed))
                 else:
-                    seen = simulation.play(experiment, variant, size, seed)
-                played.append(_played(experiment, way, variant, size, seed, seen))
-                report.write(folder, played)
-                click.echo(f"{way}\t{size}\t{variant.name}\tseed {seed}\t{time.monotonic() - began:.0f} s")
-    if not played:
+                    observations = simulation.run(experiment, variant, size, seed)
+                results.append(_result(experiment, mode, variant, size, seed, observations))
+                report.write_tables(folder, results)
+                click.echo(f"{mode}\t{size}\t{variant.name}\tseed {seed}\t{time.monotonic() - start_s:.0f} s")
+    if not results:
         raise click.ClickException("nothing to play: no such size")
-    (folder / "summary.md").write_text(report.summary(played))
-    for path in report.chart(folder, played):
+    (folder / "summary.md").write_text(report.summary(results))
+    for path in report.write_charts(folder, results):
         click.echo(str(path))
 
 
--- a/experiments/experiment_run.py
+++ b/experiments/experiment_run.py
@@ -26,20 +26,20 @@
 from emulators.postgresql import Faults, PostgresqlStandIn
 from emulators.server import CallServer
 from emulators.tasks import Tasks
-from experiments.measures import MS, Budget, Call, Cold, Observed
+from experiments.measures import MS, BudgetTrace, CallResult, ColdServer, Observations
 from experiments.plan import Experiment, Fault, Variant
 from verification.spending import read_trace
 
-RULES = ("cold_share", "warm_within_ms", "tip_multiple", "overload_for_ms")  # a cold server's
-LATE_LOOK_S = 0.01
-LAST_ANSWERS_S = 4.0
-PROXIES_NICE = 10
-TESTS_PER_S = 200.0  # of all proxies together: the rig has other things to do
-KIB_A_MB = 1024.0
+COLD_START_RULES = ("cold_share", "warm_within_ms", "tip_multiple", "overload_for_ms")  # a cold server's
+LAG_INTERVAL_S = 0.01
+LAST_ANSWERS_TIMEOUT_S = 4.0
+PROXY_NICENESS = 10
+HEALTH_TESTS_PER_S = 200.0  # of all proxies together: the rig has other things to do
+KIB_PER_MIB = 1024.0
 TICKS_PER_S = os.sysconf("SC_CLK_TCK")
 
 
-class Stage:
+class ExperimentRun:
     """One play."""
 
     def __init__(
@@ -51,37 +51,40 @@
         self._names = [f"n{number}" for number in range(size)]
         self.callers = Callers(seed, pools=len(started.servers))
         self.proxies: dict[str, Proxy] = {}
-        self.far = Link(self.discovery.address)  # to the board, for those that are cut off from it
-        self.seen = Observed(size, experiment.servers.capacity_per_s)
+        self.discovery_link = Link(self.discovery.address)  # to the board, for those that are cut off from it
+        self.observations = Observations(size, experiment.servers.capacity_per_s)
         self._tasks = Tasks()
-        self._began_s = asyncio.get_running_loop().time()
-        self._starts = 0
+        self._start_s = asyncio.get_running_loop().time()
+        self._start_count = 0
         self._store: PostgresqlStandIn | None = None
-        self._links: dict[str, Link] = {}  # from each proxy to the store
-        self._beyond = self._drawn(
+        self._store_links: dict[str, Link] = {}  # from each proxy to the store
+        self._cut_off_names = self._sample(
             self._names,
-            next((fault.part for fault in experiment.fault if fault.what == "proxies-cut-off"), 0.0),
+            next((fault.fraction for fault in experiment.faults if fault.kind == "proxies-cut-off"), 0.0),
         )
         # Guards what is noted against hundreds of starts that keep the rig from its clock: it comes first.
-        started.nice = PROXIES_NICE
-        started.discovery_for = lambda name: (self.far if name in self._beyond else self.discovery).address
+        started.nice = PROXY_NICENESS
+        started.discovery_for = self._discovery_address
+
+    def _discovery_address(self, name: str) -> str:
+        return (self.discovery_link if name in self._cut_off_names else self.discovery).address
 
     def now_s(self) -> float:
         """Since the start."""
-        return asyncio.get_running_loop().time() - self._began_s
+        return asyncio.get_running_loop().time() - self._start_s
 
-    async def _parts(self, name: str) -> dict[str, str]:
+    async def _extension_files(self, name: str) -> dict[str, str]:
         """The files of the parts that this variant switches on, as the proxy of this name has them."""
         environment = {}
-        if self.variant.starting is not None:
-            environment["CANVASPLANK_STARTING"] = self._file("starting", self.variant.starting)
+        if self.variant.cold_start is not None:
+            environment["CANVASPLANK_STARTING"] = self._settings_file("starting", self.variant.cold_start)
         if self.variant.fleet is not None:
-            settings = {**self.variant.fleet, **await self._store_as_seen_by(name)}
-            environment["CANVASPLANK_FLEET"] = self._file(f"fleet-{name}", settings)
+            settings = {**self.variant.fleet, **await self._store_settings(name)}
+            environment["CANVASPLANK_FLEET"] = self._settings_file(f"fleet-{name}", settings)
             environment["CANVASPLANK_LOG"] = "json"
         return environment
 
-    def _file(self, name: str, settings: dict[str, Any]) -> str:
+    def _settings_file(self, name: str, settings: dict[str, Any]) -> str:
         """The same for every start of a play, so it is written once.
 
         Guards against a process that reads it while it is written for the next one: it found nothing in it,
@@ -92,100 +95,100 @@
             path.write_text(tomli_w.dumps(settings))
         return str(path)
 
-    async def _store_as_seen_by(self, name: str) -> dict[str, str]:
+    async def _store_settings(self, name: str) -> dict[str, str]:
         if self._store is None:
             return {"path": str(self.fleet.folder / "fleet.db")}
-        where = urlsplit(self._store.dsn)
-        if name not in self._links:
-            self._links[name] = Link(f"{where.hostname}:{where.port}")
-            await self._links[name].start()
-        return {"dsn": where._replace(netloc=f"{where.username}@{self._links[name].address}").geturl()}
-
-    def _drawn(self, names: list[str], part: float) -> set[str]:
-        return set(self.random.sample(names, round(part * len(names))))
-
-    async def play(self) -> Observed:
-        """Everything; gives what was seen."""
-        await self.far.start()
+        dsn = urlsplit(self._store.dsn)
+        if name not in self._store_links:
+            self._store_links[name] = Link(f"{dsn.hostname}:{dsn.port}")
+            await self._store_links[name].start()
+        return {"dsn": dsn._replace(netloc=f"{dsn.username}@{self._store_links[name].address}").geturl()}
+
+    def _sample(self, names: list[str], fraction: float) -> set[str]:
+        return set(self.random.sample(names, round(fraction * len(names))))
+
+    async def run(self) -> Observations:
+        """Everything; gives what was observed."""
+        await self.discovery_link.start()
         if (self.variant.fleet or {}).get("backend") == "postgresql":
             self._store = PostgresqlStandIn(self.fleet.folder)
             await self._store.start()
-        self._tasks.keep(self._watch_the_rig())
-        for fault in self.experiment.fault:
-            self._tasks.keep(self._inflict(fault))
+        self._tasks.keep(self._measure_loop_lag())
+        for fault in self.experiment.faults:
+            self._tasks.keep(self._inject(fault))
         await asyncio.sleep(0)  # what begins at nought is there before the first process
-        load = self._tasks.keep(self.callers.offer(self.experiment.calls_per_s, self.experiment.for_s))
+        load = self._tasks.keep(self.callers.offer(self.experiment.calls_per_s, self.experiment.duration_s))
         for number in range(self.size):
             self._tasks.keep(self._start(f"n{number}", number))
-        await asyncio.sleep(max(0.0, self.experiment.for_s - self.now_s()))
+        await asyncio.sleep(max(0.0, self.experiment.duration_s - self.now_s()))
         await load
-        await self.callers.settled(LAST_ANSWERS_S)
-        self._note()
+        await self.callers.settled(LAST_ANSWERS_TIMEOUT_S)
+        self._collect()
         await self._tasks.end()
         await self.callers.stop()
-        for link in (self.far, *self._links.values()):
+        for link in (self.discovery_link, *self._store_links.values()):
             await link.stop()
         if self._store is not None:
             await self._store.stop()
-        return self.seen
+        return self.observations
 
     async def _start(self, name: str, seed: int) -> None:
-        self._starts += 1  # each start has files and a log of its own, under the one name
-        tag, environment = f"{name}.{self._starts}", await self._parts(name)
+        self._start_count += 1  # each start has files and a log of its own, under the one name
+        tag, environment = f"{name}.{self._start_count}", await self._extension_files(name)
         proxy = await self.fleet.proxy(tag, seed, EDGE_NAME=name, **environment)
         self.proxies[name] = proxy
-        self.seen.up.append(self.now_s())
-        await until_passed(proxy.address, self.size / TESTS_PER_S)
+        self.observations.started_at_s.append(self.now_s())
+        await until_passed(proxy.address, self.size / HEALTH_TESTS_PER_S)
         await self.callers.add_proxy(proxy.address)
 
-    async def _watch_the_rig(self) -> None:
+    async def _measure_loop_lag(self) -> None:
         while True:
-            asked = time.monotonic()
-            await asyncio.sleep(LATE_LOOK_S)
-            self.seen.late_ms.append((time.monotonic() - asked - LATE_LOOK_S) * MS)
+            slept_at_s = time.monotonic()
+            await asyncio.sleep(LAG_INTERVAL_S)
+            self.observations.loop_lag_ms.append((time.monotonic() - slept_at_s - LAG_INTERVAL_S) * MS)
 
     # ------------------------------------------------------------------------------------ faults
 
-    async def _inflict(self, fault: Fault) -> None:
-        await asyncio.sleep(max(0.0, fault.at_s - self.now_s()))
-        begin, end = self._ways(fault)
+    async def _inject(self, fault: Fault) -> None:
+        await asyncio.sleep(max(0.0, fault.start_s - self.now_s()))
+        begin, end = self._actions(fault)
         await begin()
-        await asyncio.sleep(max(0.0, fault.ends_s - self.now_s()))
+        await asyncio.sleep(max(0.0, fault.end_s - self.now_s()))
         await end()
 
-    def _ways(self, fault: Fault) -> tuple[Callable[[], Awaitable], Callable[[], Awaitable]]:
+    def _actions(self, fault: Fault) -> tuple[Callable[[], Awaitable], Callable[[], Awaitable]]:
         """How a fault begins and how it ends."""
         discovery = self.discovery
-        match fault.what:
+        match fault.kind:
             case "board-closes":
                 return _set(discovery, in_trouble=True), _set(discovery, in_trouble=False)
             case "board-stalls":
                 return _set(discovery, stalled=True), _set(discovery, stalled=False)
             case "board-busy":
-                return _set(discovery, busy_s=fault.wait_s), _set(discovery, busy_s=None)
+                return _set(discovery, busy_s=fault.retry_after_s), _set(discovery, busy_s=None)
             case "board-away":
                 return discovery.stop, discovery.start
             case "proxies-cut-off":
-                return _call(self.far.cut), _call(self.far.heal)
+                return _call(self.discovery_link.cut), _call(self.discovery_link.heal)
             case "proxies-cut-off-store" | "proxies-deaf-store":
-                ways = ("back",) if fault.what == "proxies-deaf-store" else ()
-                drawn = self._drawn(self._names, fault.part)
-                return _call(self._cut_off, drawn, ways), _call(self._reach_again, drawn)
+                directions = ("back",) if fault.kind == "proxies-deaf-store" else ()
+                names = self._sample(self._names, fault.fraction)
+                return _call(self._cut_off, names, directions), _call(self._heal, names)
             case "store-stalls":
                 return _set(self._store_faults, stalled=True), _set(self._store_faults, stalled=False)
             case "store-restarts":
-                return (lambda: self._store.restart(fault.for_s)), _call(list)
+                return (lambda: self._store.restart(fault.duration_s)), _call(list)
             case "proxies-frozen":
-                drawn = self._drawn(self._names, fault.part)
-                return _call(self._each, drawn, Proxy.freeze), _call(self._each, drawn, Proxy.wake)
+                names = self._sample(self._names, fault.fraction)
+                return _call(self._each, names, Proxy.freeze), _call(self._each, names, Proxy.wake)
             case "proxies-killed":
-                drawn = self._drawn(self._names, fault.part)
-                return (lambda: self._kill(drawn)), (lambda: self._revive(drawn))
+                names = self._sample(self._names, fault.fraction)
+                return (lambda: self._kill(names)), (lambda: self._restart(names))
             case "servers-silent":
-                drawn = self._drawn([server.name for server in self.servers], fault.part)
-                return _call(self._silence, drawn, True), _call(self._silence, drawn, False)
-        drawn = self._drawn([server.name for server in self.servers], fault.part)
-        return (lambda: self._cool(drawn)), _call(list)
+                names = self._sample([server.name for server in self.servers], fault.fraction)
+                return _call(self._silence, names, True), _call(self._silence, names, False)
+        names = self._sample([server.name for server in self.servers], fault.fraction)
+        return (lambda: self._restart_cold(names)), _call(list)
 
     def _each(self, names: set[str], what: Callable[[Proxy], None]) -> None:
         for name in names & set(self.proxies):
@@ -198,7 +201,7 @@
                 self.callers.drop_proxy(proxy.address)
             await proxy.stop(signal.SIGKILL)
 
-    async def _revive(self, names: set[str]) -> None:
+    async def _restart(self, names: set[str]) -> None:
         for name in sorted(names - set(self.proxies)):
             self._tasks.keep(self._start(name, int(name[1:])))
 
@@ -206,56 +209,61 @@
     def _store_faults(self) -> Faults:
         return self._store.faults
 
-    def _cut_off(self, names: set[str], ways: tuple[str, ...]) -> None:
-        for name in names & set(self._links):
-            self._links[name].cut(*ways)
+    def _cut_off(self, names: set[str], directions: tuple[str, ...]) -> None:
+        for name in names & set(self._store_links):
+            self._store_links[name].cut(*directions)
 
-    def _reach_again(self, names: set[str]) -> None:
-        for name in names & set(self._links):
-            self._links[name].heal()
+    def _heal(self, names: set[str]) -> None:
+        for name in names & set(self._store_links):
+            self._store_links[name].heal()
 
     def _silence(self, names: set[str], silent: bool) -> None:
         for server in self.servers:
             if server.name in names:
                 server.silent = silent
 
-    async def _cool(self, names: set[str]) -> None:
+    async def _restart_cold(self, names: set[str]) -> None:
         rules = self.fleet.settings["rules"]
-        share, warm_ms, multiple, span_ms = (rules[name] for name in RULES)
+        share, warm_ms, multiple, span_ms = (rules[name] for name in COLD_START_RULES)
         for server in self.servers:
             if server.name in names:
-                self.seen.cold[server.name] = Cold(self.now_s(), share, warm_ms / MS, multiple, span_ms / MS)
+                self.observations.cold_servers[server.name] = ColdServer(
+                    self.now_s(), share, warm_ms / MS, multiple, span_ms / MS
+                )
                 self._tasks.keep(server.begin_cold(share, warm_ms / MS))
         await asyncio.sleep(0)  # each says since when
         await self.fleet.list(*self.servers)
 
     # ------------------------------------------------------------------------------------ what was seen
 
-    def _since(self, times: list[float]) -> list[float]:
-        return [at - self._began_s for at in times]
+    def _since_start(self, times: list[float]) -> list[float]:
+        return [at - self._start_s for at in times]
 
-    def _note(self) -> None:
-        seen, began_unix_s = self.seen, time.time() - self.now_s()
-        seen.polls, seen.told = self._since(self.discovery.polls), self._since(self.discovery.first_told)
+    def _collect(self) -> None:
+        observations, began_unix_s = self.observations, time.time() - self.now_s()
+        observations.polled_at_s = self._since_start(self.discovery.polls)
+        observations.listed_at_s = self._since_start(self.discovery.first_told)
         for server in self.servers:
-            seen.connections[server.name] = self._since(server.accepted)
-            seen.open_at_end[server.name] = server.connections
-            seen.set_ups[server.name] = self._since(server.came)
-        seen.calls = [Call(t.due_s - began_unix_s, t.outcome, t.took_s) for t in self.callers.tries.values()]
+            observations.connected_at_s[server.name] = self._since_start(server.accepted)
+            observations.open_connections[server.name] = server.connections
+            observations.set_ups_at_s[server.name] = self._since_start(server.came)
+        observations.calls = [
+            CallResult(t.due_s - began_unix_s, t.outcome, t.took_s) for t in self.callers.tries.values()
+        ]
         if (self.variant.fleet or {}).get("trace"):
-            self._note_budgets(load_fleet(str(next(self.fleet.folder.glob("fleet-*.toml")))))
+            self._collect_budgets(load_fleet(str(next(self.fleet.folder.glob("fleet-*.toml")))))
         for proxy in self.proxies.values():
             with contextlib.suppress(OSError):
-                seen.memory_mb.append(_resident_mb(proxy.process.pid))
-                seen.cpu_s.append(_processor_s(proxy.process.pid))
+                observations.memory_mb.append(resident_mb(proxy.process.pid))
+                observations.cpu_s.append(processor_time_s(proxy.process.pid))
 
-    def _note_budgets(self, settings: Budgets) -> None:
+    def _collect_budgets(self, settings: Budgets) -> None:
         """What every process that ever ran has said of them."""
         began_ms = steady_ms() - self.now_s() * MS
         for each in settings.budget:
             traces = [read_trace(proxy.log, each.name) for proxy in self.fleet.proxies]
             leased_per_s = each.total_per_s * (1 - each.reserve_fraction)
-            self.seen.budgets[each.name] = Budget(
+            self.observations.budgets[each.name] = BudgetTrace(
                 each.total_per_s, leased_per_s, settings.burst_ms, traces, began_ms
             )
 
@@ -275,19 +283,21 @@
     return run
 
 
-def _resident_mb(pid: int) -> float:
+def resident_mb(pid: int) -> float:
+    """Resident memory of a process, in MiB."""
     for line in Path(f"/proc/{pid}/status").read_text().splitlines():
         if line.startswith("VmRSS:"):
-            return int(line.split()[1]) / KIB_A_MB
+            return int(line.split()[1]) / KIB_PER_MIB
     return 0.0
 
 
-def _processor_s(pid: int) -> float:
+def processor_time_s(pid: int) -> float:
+    """User and system processor time of a process, in seconds."""
     user, system = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()[11:13]
     return (int(user) + int(system)) / TICKS_PER_S
 
 
-async def play(experiment: Experiment, variant: Variant, size: int, seed: int) -> Observed:
+async def run(experiment: Experiment, variant: Variant, size: int, seed: int) -> Observations:
     """One variant at one size."""
     plan = experiment.servers
     servers = [
@@ -296,4 +306,4 @@
     with tempfile.TemporaryDirectory() as folder:
         async with fleet(Path(folder), servers, instances=size) as started:
             started.in_configuration = False  # none knows anything
-            return await Stage(experiment, variant, size, seed, started).play()
+            return await ExperimentRun(experiment, variant, size, seed, started).run()
--- a/experiments/plan.py
+++ b/experiments/plan.py
@@ -11,7 +11,7 @@
 Seconds = Annotated[float, msgspec.Meta(ge=0, le=3600)]
 Fraction = Annotated[float, msgspec.Meta(gt=0, le=1)]
 Count = Annotated[int, msgspec.Meta(ge=1, le=10_000)]
-What = Literal[
+FaultKind = Literal[
     "board-closes",  # accepts and closes at once
     "board-stalls",  # accepts and says nothing
     "board-busy",  # refuses and names a wait of ``wait_s``
@@ -26,35 +26,35 @@
     "servers-silent",
     "servers-cold",  # their processes have just started at that time; ``for_s`` is not used
 ]
-DISCOVERY = ("board-closes", "board-stalls", "board-busy", "board-away")
-STORE = ("proxies-cut-off-store", "proxies-deaf-store", "store-stalls", "store-restarts")
-SIMULATED = (*DISCOVERY, "servers-cold")
+DISCOVERY_FAULTS = ("board-closes", "board-stalls", "board-busy", "board-away")
+STORE_FAULTS = ("proxies-cut-off-store", "proxies-deaf-store", "store-stalls", "store-restarts")
+SIMULATED_FAULTS = (*DISCOVERY_FAULTS, "servers-cold")
 
 
 class Fault(msgspec.Struct, forbid_unknown_fields=True):
     """One fault; times are seconds since the first process was started."""
 
-    what: What
-    at_s: Seconds = 0.0
-    for_s: Seconds = 0.0
-    part: Fraction = 1.0  # of the proxies or servers, drawn by the seed
-    wait_s: Annotated[int, msgspec.Meta(ge=0, le=600)] = 5
+    kind: FaultKind = msgspec.field(name="what")
+    start_s: Seconds = msgspec.field(name="at_s", default=0.0)
+    duration_s: Seconds = msgspec.field(name="for_s", default=0.0)
+    fraction: Fraction = msgspec.field(name="part", default=1.0)  # of the proxies or servers
+    retry_after_s: Annotated[int, msgspec.Meta(ge=0, le=600)] = msgspec.field(name="wait_s", default=5)
 
     @property
-    def ends_s(self) -> float:
+    def end_s(self) -> float:
         """When it is over."""
-        return self.at_s + self.for_s
+        return self.start_s + self.duration_s
 
 
 class Variant(msgspec.Struct, forbid_unknown_fields=True):
     """One version of the settings: the parts' files as tables; a part without one is off."""
 
     name: Annotated[str, msgspec.Meta(min_length=1, max_length=60)]
-    starting: dict[str, Any] | None = None
+    cold_start: dict[str, Any] | None = msgspec.field(name="starting", default=None)
     fleet: dict[str, Any] | None = None  # path and dsn are the rig's; with ``trace`` its budgets are proved
 
 
-class Servers(msgspec.Struct, forbid_unknown_fields=True):
+class ServerPlan(msgspec.Struct, forbid_unknown_fields=True):
     """The call servers, all alike."""
 
     count: Count = 6
@@ -68,18 +68,18 @@
 
     name: Annotated[str, msgspec.Meta(pattern="^[a-z0-9-]{1,40}$")]
     sizes: Annotated[list[Count], msgspec.Meta(min_length=1)]
-    variant: Annotated[list[Variant], msgspec.Meta(min_length=1)]
+    variants: Annotated[list[Variant], msgspec.Meta(min_length=1)] = msgspec.field(name="variant")
     seeds: Annotated[list[int], msgspec.Meta(min_length=1)]
-    for_s: Annotated[float, msgspec.Meta(gt=0, le=3600)]
+    duration_s: Annotated[float, msgspec.Meta(gt=0, le=3600)] = msgspec.field(name="for_s")
     calls_per_s: Annotated[float, msgspec.Meta(ge=0)] = 100.0
     simulated_sizes: list[Count] = []
-    servers: Servers = msgspec.field(default_factory=Servers)
-    fault: list[Fault] = []
+    servers: ServerPlan = msgspec.field(default_factory=ServerPlan)
+    faults: list[Fault] = msgspec.field(name="fault", default_factory=list)
 
-    def board_back_s(self) -> float | None:
+    def discovery_recovered_s(self) -> float | None:
         """When the board has the last of its faults behind it; None: it has none."""
-        ends = [fault.ends_s for fault in self.fault if fault.what in DISCOVERY]
-        return max(ends, default=None)
+        end_times_s = [fault.end_s for fault in self.faults if fault.kind in DISCOVERY_FAULTS]
+        return max(end_times_s, default=None)
 
 
 def load_experiment(path: str) -> Experiment:
@@ -88,16 +88,18 @@
 
 
 def _check(experiment: Experiment) -> None:
-    names = [variant.name for variant in experiment.variant]
+    names = [variant.name for variant in experiment.variants]
     if len(set(names)) < len(names):
         raise ValueError("two variants have one name")
-    engines = {variant.fleet.get("backend") for variant in experiment.variant if variant.fleet}
-    for fault in experiment.fault:
-        if fault.what in STORE and engines != {"postgresql"}:
-            raise ValueError(f"{fault.what} is for fleets on postgresql")
-        if fault.ends_s > experiment.for_s:
-            raise ValueError(f"{fault.what} at {fault.at_s:g} s does not end within {experiment.for_s:g} s")
+    backends = {variant.fleet.get("backend") for variant in experiment.variants if variant.fleet}
+    for fault in experiment.faults:
+        if fault.kind in STORE_FAULTS and backends != {"postgresql"}:
+            raise ValueError(f"{fault.kind} is for fleets on postgresql")
+        if fault.end_s > experiment.duration_s:
+            raise ValueError(
+                f"{fault.kind} at {fault.start_s:g} s does not end within {experiment.duration_s:g} s"
+            )
     if experiment.simulated_sizes:
-        left = sorted({fault.what for fault in experiment.fault} - set(SIMULATED))
-        if left:
-            raise ValueError(f"cannot be simulated: {', '.join(left)}")
+        unsupported = sorted({fault.kind for fault in experiment.faults} - set(SIMULATED_FAULTS))
+        if unsupported:
+            raise ValueError(f"cannot be simulated: {', '.join(unsupported)}")
--- a/experiments/report.py
+++ b/experiments/report.py
@@ -11,7 +11,7 @@
 import pyarrow.csv
 import pyarrow.parquet
 
-from experiments.measures import Figure, Observed, per_second, served_share
+from experiments.measures import Figure, Observations, per_second, served_fractions
 
 FIGURES, SERIES = "figures", "series"
 POLLS, CONNECTIONS, SET_UPS, SERVED = "polls", "first connections", "set-ups", "served share"
@@ -41,11 +41,11 @@
 )
 
 
-class Played(NamedTuple):
+class RunResult(NamedTuple):
     """One play and what came of it; ``way``: on processes, or simulated."""
 
     experiment: str
-    way: str
+    mode: str
     size: int
     variant: str
     seed: int
@@ -55,31 +55,35 @@
     @property
     def key(self) -> tuple:
         """What stands before each of its rows."""
-        return self.experiment, self.way, self.size, self.variant, self.seed
+        return self.experiment, self.mode, self.size, self.variant, self.seed
 
 
-def series(seen: Observed, for_s: float) -> dict[str, list[float | None]]:
+def compute_series(observations: Observations, duration_s: float) -> dict[str, list[float | None]]:
     """What is drawn: counts a second, and the share of calls due in it that were served."""
     found: dict[str, list[float | None]] = {
-        POLLS: list(per_second(seen.polls, for_s)),
-        CONNECTIONS: list(per_second([at for times in seen.connections.values() for at in times], for_s)),
-        SET_UPS: list(per_second([at for times in seen.set_ups.values() for at in times], for_s)),
+        POLLS: list(per_second(observations.polled_at_s, duration_s)),
+        CONNECTIONS: _counts(observations.connected_at_s, duration_s),
+        SET_UPS: _counts(observations.set_ups_at_s, duration_s),
     }
-    for name, budget in seen.budgets.items():
-        found[f"{name} spent"] = list(per_second(budget.spent(), for_s))
-    if seen.calls:
-        found[SERVED] = served_share(seen.calls, for_s)
+    for name, budget in observations.budgets.items():
+        found[f"{name} spent"] = list(per_second(budget.spent_at_s(), duration_s))
+    if observations.calls:
+        found[SERVED] = served_fractions(observations.calls, duration_s)
     return found
 
 
-def write(folder: Path, played: Iterable[Played]) -> None:
+def _counts(times_by_server: dict[str, list[float]], duration_s: float) -> list[float | None]:
+    return list(per_second([at for times in times_by_server.values() for at in times], duration_s))
+
+
+def write_tables(folder: Path, results: Iterable[RunResult]) -> None:
     """The tables of all plays; what stood there is replaced."""
-    played = list(played)
-    figures = [(*p.key, *figure) for p in played for figure in p.figures]
+    results = list(results)
+    figures = [(*r.key, *figure) for r in results for figure in r.figures]
     points = [
-        (*p.key, what, second, value)
-        for p in played
-        for what, values in p.series.items()
+        (*r.key, name, second, value)
+        for r in results
+        for name, values in r.series.items()
         for second, value in enumerate(values)
     ]
     for name, schema, rows in ((FIGURES, FIGURE_SCHEMA, figures), (SERIES, SERIES_SCHEMA, points)):
@@ -92,67 +96,67 @@
 
 def mean(values: Iterable[float | None]) -> float | None:
     """Of those that came to be."""
-    there = [value for value in values if value is not None]
-    return math.fsum(there) / len(there) if there else None
+    present = [value for value in values if value is not None]
+    return math.fsum(present) / len(present) if present else None
 
 
-def summary(played: Iterable[Played]) -> str:
+def summary(results: Iterable[RunResult]) -> str:
     """A Markdown table for each size: a row a figure, a column a variant; the mean over seeds, and the range.
 
     A figure that did not come to be in some play says in how many it did.
     """
-    played = list(played)
+    results = list(results)
     lines: list[str] = []
-    for way, size in dict.fromkeys((p.way, p.size) for p in played):
-        here = [p for p in played if (p.way, p.size) == (way, size)]
-        variants = list(dict.fromkeys(p.variant for p in here))
+    for mode, size in dict.fromkeys((r.mode, r.size) for r in results):
+        here = [r for r in results if (r.mode, r.size) == (mode, size)]
+        variants = list(dict.fromkeys(r.variant for r in here))
         lines += [
             "",
-            f"{size} proxies, {way}:",
+            f"{size} proxies, {mode}:",
             "",
             "| | " + " | ".join(variants) + " |",
             "| --- |" + " --- |" * len(variants),
         ]
-        for what, unit in dict.fromkeys((f.what, f.unit) for p in here for f in p.figures):
-            found = [(p.variant, f.value) for p in here for f in p.figures if f.what == what]
+        for name, unit in dict.fromkeys((f.name, f.unit) for r in here for f in r.figures):
+            found = [(r.variant, f.value) for r in here for f in r.figures if f.name == name]
             cells = [_cell([value for by, value in found if by == variant]) for variant in variants]
-            lines.append(f"| {what}{f' ({unit})' if unit else ''} | " + " | ".join(cells) + " |")
+            lines.append(f"| {name}{f' ({unit})' if unit else ''} | " + " | ".join(cells) + " |")
     return "\n".join(lines).strip() + "\n"
 
 
 def _cell(values: list[float | None]) -> str:
-    there = [value for value in values if value is not None]
-    if not there:
+    present = [value for value in values if value is not None]
+    if not present:
         return "never" if values else ""
-    text = f"{mean(there):.3g}"
-    if max(there) > min(there):
-        text += f" ({min(there):.3g} to {max(there):.3g})"
-    return text if len(there) == len(values) else f"{text}, in {len(there)} of {len(values)}"
+    text = f"{mean(present):.3g}"
+    if max(present) > min(present):
+        text += f" ({min(present):.3g} to {max(present):.3g})"
+    return text if len(present) == len(values) else f"{text}, in {len(present)} of {len(values)}"
 
 
-def chart(folder: Path, played: Iterable[Played]) -> list[Path]:
+def write_charts(folder: Path, results: Iterable[RunResult]) -> list[Path]:
     """One picture for each size: one thing above the other, a line a variant (the mean over seeds)."""
     import matplotlib
 
     matplotlib.use("svg")
     import matplotlib.pyplot as plt
 
-    played, made = list(played), []
-    for way, size in dict.fromkeys((p.way, p.size) for p in played):
-        here = [p for p in played if (p.way, p.size) == (way, size)]
-        drawn = list(dict.fromkeys(what for p in here for what in p.series))
+    results, made = list(results), []
+    for mode, size in dict.fromkeys((r.mode, r.size) for r in results):
+        here = [r for r in results if (r.mode, r.size) == (mode, size)]
+        drawn = list(dict.fromkeys(name for r in here for name in r.series))
         figure, axes = plt.subplots(len(drawn), 1, figsize=(9, 2.1 * len(drawn)), sharex=True, squeeze=False)
-        for axis, what in zip(axes[:, 0], drawn, strict=True):
-            for variant in dict.fromkeys(p.variant for p in here):
-                lines = [p.series[what] for p in here if p.variant == variant]
+        for axis, name in zip(axes[:, 0], drawn, strict=True):
+            for variant in dict.fromkeys(r.variant for r in here):
+                lines = [r.series[name] for r in here if r.variant == variant]
                 means = [mean(at) for at in zip(*lines, strict=True)]
                 axis.plot([math.nan if value is None else value for value in means], label=variant)
-            axis.set_ylabel(what if what == SERVED else f"{what} a second", fontsize=8)
+            axis.set_ylabel(name if name == SERVED else f"{name} a second", fontsize=8)
         axes[0, 0].legend(fontsize=7)
-        axes[0, 0].set_title(f"{size} proxies, {way}", fontsize=9)
+        axes[0, 0].set_title(f"{size} proxies, {mode}", fontsize=9)
         axes[-1, 0].set_xlabel("seconds since the first was started")
         figure.tight_layout()
-        path = folder / f"{here[0].experiment}-{size}-{way.replace(' ', '-')}.svg"
+        path = folder / f"{here[0].experiment}-{size}-{mode.replace(' ', '-')}.svg"
         figure.savefig(path, metadata={"Date": None})
         plt.close(figure)
         made.append(path)
--- a/tests/test_experiments.py
+++ b/tests/test_experiments.py
@@ -12,7 +12,7 @@
 from canvasplank.config.configuration import ConfigurationError
 from experiments import experiment_run, measures, report, simulation
 from experiments.__main__ import cli
-from experiments.measures import Budget, Call, Cold, Figure, Observed
+from experiments.measures import BudgetTrace, CallResult, ColdServer, Figure, Observations
 from experiments.plan import load_experiment
 from verification.spending import Trace
 
@@ -49,7 +49,7 @@
 
 
 def value(figures: list[Figure], what: str) -> float | None:
-    [found] = [figure.value for figure in figures if figure.what == what]
+    [found] = [figure.value for figure in figures if figure.name == what]
     return found
 
 
@@ -58,7 +58,7 @@
 
     @pytest.mark.parametrize("name", ["budget-storm", "cold-start", "cold-start-simulated"])
     def test_the_files_that_come_with_it_are_good(self, name):
-        assert load_experiment(f"experiments/{name}.toml").variant
+        assert load_experiment(f"experiments/{name}.toml").variants
 
     @pytest.mark.parametrize(
         ("more", "said"),
@@ -86,11 +86,11 @@
             first = Trace("a", 0.5, [(0.0, 1000.0, 8.0)], [100.0 * n for n in range(10)])
             second = Trace("b", 0.5, [(second_from_ms, 2000.0, 8.0)], [900.0 + 100.0 * n for n in range(10)])
             traces = [first, second]
-            seen = Observed(2, 10.0, budgets={"all": Budget(10.0, 9.0, 100.0, traces, 0.0)})
+            seen = Observations(2, 10.0, budgets={"all": BudgetTrace(10.0, 9.0, 100.0, traces, 0.0)})
             return [
                 figure.value
-                for figure in measures.figures(seen, 2.0, None)
-                if figure.what.startswith("budget all: s")
+                for figure in measures.compute_figures(seen, 2.0, None)
+                if figure.name.startswith("budget all: s")
             ]
 
         kept, broken = proved(1000.0), proved(900.0)
@@ -98,22 +98,24 @@
         assert kept[1] <= 1.0 and kept[2] == 1.0
 
     def test_polls_in_trouble_count_from_when_all_are_up_and_their_first_polls_over(self):
-        seen = Observed(
+        seen = Observations(
             2,
             10.0,
-            up=[0.0, 1.0],
-            polls=[1.0, 4.9, 5.0, 6.0, 7.0, 8.0, 9.9, 10.0, 10.05],
-            told=[0.5, 10.5, 14.0],
+            started_at_s=[0.0, 1.0],
+            polled_at_s=[1.0, 4.9, 5.0, 6.0, 7.0, 8.0, 9.9, 10.0, 10.05],
+            listed_at_s=[0.5, 10.5, 14.0],
         )
-        found = measures.figures(seen, 20.0, back_s=10.0)
+        found = measures.compute_figures(seen, 20.0, recovered_s=10.0)
         assert value(found, "polls a second while the board is in trouble") == 5 / 5.0
         assert value(found, "100% have the list after its return") == 4.0
         assert value(found, "50% have the list after its return") == 0.5
         assert value(found, "polls after its return, most in 0.1 s") == 2
 
     def test_a_list_that_never_reaches_all_is_never(self):
-        seen = Observed(3, 10.0, polls=[1.0], told=[11.0, 12.0])
-        assert value(measures.figures(seen, 20.0, 10.0), "100% have the list after its return") is None
+        seen = Observations(3, 10.0, polled_at_s=[1.0], listed_at_s=[11.0, 12.0])
+        assert (
+            value(measures.compute_figures(seen, 20.0, 10.0), "100% have the list after its return") is None
+        )
 
     @pytest.mark.parametrize(
         ("lost", "since_s"),
@@ -127,30 +129,38 @@
         ],
     )
     def test_service_is_steady_since_the_last_bad_window(self, lost, since_s):
-        calls = [Call(n / 10, "lost" if n in lost else "served", 0.1) for n in range(100)]
-        assert measures.steady_from(calls, 10.0) == since_s
+        calls = [CallResult(n / 10, "lost" if n in lost else "served", 0.1) for n in range(100)]
+        assert measures.steady_since_s(calls, 10.0) == since_s
 
     def test_a_wait_counts_from_when_the_call_was_due(self):
-        seen = Observed(
-            1, 10.0, calls=[Call(0.0, "served", 0.05), Call(1.0, "served", 2.0), Call(2.0, "lost", 9.0)]
+        seen = Observations(
+            1,
+            10.0,
+            calls=[
+                CallResult(0.0, "served", 0.05),
+                CallResult(1.0, "served", 2.0),
+                CallResult(2.0, "lost", 9.0),
+            ],
         )
-        found = measures.figures(seen, 5.0, None)
+        found = measures.compute_figures(seen, 5.0, None)
         assert value(found, "served of all calls") == pytest.approx(2 / 3)
         assert value(found, "set-up time, 99 %") == pytest.approx(2000.0, rel=0.01)
 
     def test_a_cold_server_falls_by_what_it_can_do_then(self):
-        cold = Cold(began_s=10.0, share=0.3, warm_s=10.0, multiple=2.0, span_s=1.0)
+        cold = ColdServer(
+            start_s=10.0, initial_fraction=0.3, warm_up_s=10.0, overload_factor=2.0, overload_s=1.0
+        )
         rush = [10.0 + n / 100 for n in range(60)]
-        assert measures.worst_load(rush, cold, 100.0) == pytest.approx(60 / (2 * 30))
+        assert measures.worst_cold_load(rush, cold, 100.0) == pytest.approx(60 / (2 * 30))
         later = [at + 5.0 for at in rush]
-        assert measures.worst_load(later, cold, 100.0) == pytest.approx(60 / (2 * 65), rel=0.01)
-        assert measures.worst_load([9.0, 9.1], cold, 100.0) == 0.0, "before it started"
+        assert measures.worst_cold_load(later, cold, 100.0) == pytest.approx(60 / (2 * 65), rel=0.01)
+        assert measures.worst_cold_load([9.0, 9.1], cold, 100.0) == 0.0, "before it started"
 
 
 @pytest.fixture(scope="module")
 def played():
     experiment = load_experiment("experiments/cold-start-simulated.toml")
-    return {variant.name: simulation.play(experiment, variant, 300, seed=1) for variant in experiment.variant}
+    return {variant.name: simulation.run(experiment, variant, 300, seed=1) for variant in experiment.variants}
 
 
 class TestSimulation:
@@ -158,12 +168,12 @@
 
     def test_what_the_processes_showed_as_they_were_shows_here(self, played):
         """Measured on 300 processes: 372 polls a second for as long as the board is in trouble."""
-        found = measures.figures(played["as it is"], 55.0, 25.0)
+        found = measures.compute_figures(played["as it is"], 55.0, 25.0)
         assert value(found, "polls a second while the board is in trouble") == pytest.approx(375, rel=0.05)
         assert value(found, "connections at a server, most in 1 s") == 300
 
     def test_with_the_pace_and_the_subset_board_and_servers_are_spared(self, played):
-        found = measures.figures(played["paced, subset, ramp"], 55.0, 25.0)
+        found = measures.compute_figures(played["paced, subset, ramp"], 55.0, 25.0)
         assert value(found, "polls a second while the board is in trouble") <= 38
         assert value(found, "polls, most in 0.1 s") <= 15
         assert value(found, "connections at a server, most in 1 s") <= 40
@@ -172,8 +182,8 @@
 
     def test_the_same_seed_plays_the_same(self, played):
         experiment = load_experiment("experiments/cold-start-simulated.toml")
-        again = simulation.play(experiment, experiment.variant[2], 300, seed=1)
-        assert again.polls == played["paced, subset, ramp"].polls
+        again = simulation.run(experiment, experiment.variants[2], 300, seed=1)
+        assert again.polled_at_s == played["paced, subset, ramp"].polled_at_s
         assert again.calls == played["paced, subset, ramp"].calls
 
 
@@ -196,11 +206,11 @@
 
 def test_the_file_of_a_part_is_not_written_again_while_a_process_may_read_it(tmp_path):
     """Written anew for each of 300 starts it was read half written: an empty file switches the part off."""
-    play = experiment_run.Stage.__new__(experiment_run.Stage)
+    play = experiment_run.ExperimentRun.__new__(experiment_run.ExperimentRun)
     play.fleet = SimpleNamespace(folder=tmp_path)
-    path = Path(play._file("starting", {"polls_per_s": 30.0}))
+    path = Path(play._settings_file("starting", {"polls_per_s": 30.0}))
     whole, written = path.read_text(), path.stat()
-    assert play._file("starting", {"polls_per_s": 30.0}) == str(path)
+    assert play._settings_file("starting", {"polls_per_s": 30.0}) == str(path)
     assert path.read_text() == whole
     assert path.stat().st_mtime_ns == written.st_mtime_ns
 
@@ -282,7 +292,7 @@
 
 def test_a_summary_says_where_a_figure_did_not_come_to_be():
     def played(seed, found):
-        return report.Played("e", "simulated", 5, "v", seed, [Figure("heard", "s", found)], {})
+        return report.RunResult("e", "simulated", 5, "v", seed, [Figure("heard", "s", found)], {})
 
     assert "| heard (s) | 2.5 (2 to 3), in 2 of 3 |" in report.summary(
         [played(1, 2.0), played(2, None), played(3, 3.0)]
