--- a/experiments/__init__.py
+++ b/experiments/__init__.py
@@ -1,1 +1,1 @@
-"""Experiments over a whole fleet: real processes and faults between them, or the same decisions simulated."""
+"""Experiments over a fleet: real processes with injected faults, or the same decisions simulated."""
--- a/experiments/__main__.py
+++ b/experiments/__main__.py
@@ -1,4 +1,4 @@
-"""``python -m experiments run FILE --to FOLDER``: plays every variant at every size with every seed."""
+"""``python -m experiments run FILE --to FOLDER``: runs every variant at every size with every seed."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 @click.group()
 def cli() -> None:
-    """Experiments over a whole fleet."""
+    """Experiments over a fleet."""
 
 
 @cli.command()
@@ -37,15 +37,17 @@
     "folder",
     required=True,
     type=click.Path(file_okay=False, path_type=Path),
-    help="Where the tables and charts go; made where it is not there.",
+    help="Where the tables and charts go; made if missing.",
 )
 @click.option("--size", "sizes", type=int, multiple=True, help="Only these sizes.")
 @click.option("--seed", "seeds", type=int, multiple=True, help="These seeds instead of the file's.")
-@click.option("--simulated/--processes", default=None, help="Only the one way; both as the file has them.")
+@click.option(
+    "--simulated/--processes", default=None, help="Only the one or the other; both as the file has them."
+)
 def run(
     file: str, folder: Path, sizes: tuple[int, ...], seeds: tuple[int, ...], simulated: bool | None
 ) -> None:
-    """Play an experiment; each play's figures are kept as soon as it is over."""
+    """Run an experiment; the figures of each run are written as soon as it ends."""
     try:
         experiment = load_experiment(file)
     except ConfigurationError as error:
@@ -68,7 +70,7 @@
                 report.write_tables(folder, results)
                 click.echo(f"{mode}\t{size}\t{variant.name}\tseed {seed}\t{time.monotonic() - start_s:.0f} s")
     if not results:
-        raise click.ClickException("nothing to play: no such size")
+        raise click.ClickException("nothing to run: no such size")
     (folder / "summary.md").write_text(report.summary(results))
     for path in report.write_charts(folder, results):
         click.echo(str(path))
--- a/experiments/measures.py
+++ b/experiments/measures.py
@@ -1,4 +1,4 @@
-"""What a play showed, as figures: pure functions of when things happened, in seconds since the start."""
+"""Figures of one experiment run: pure functions of its observations; times are seconds since its start."""
 
 from __future__ import annotations
 
@@ -11,12 +11,13 @@
 from verification.spending import most_in, most_shared, worst_window
 
 HISTOGRAM_MAX_MS, HISTOGRAM_DIGITS = 60_000, 3
-STEADY_FRACTION, STEADY_WINDOW_S = 0.95, 2.0  # served of what came in every window so long
-FIRST_POLLS_S = 4.0  # after the last is up: first polls are over
+US_PER_MS = 1000
+STEADY_FRACTION, STEADY_WINDOW_S = 0.95, 2.0  # service is steady with this fraction served in every window
+FIRST_POLLS_S = 4.0  # after the last proxy has started; by then first polls have ended
 
 
 class Figure(NamedTuple):
-    """One thing measured; ``value`` None: it did not come to be."""
+    """One measured value, in ``unit`` (empty: a count or a fraction); None: it was not reached."""
 
     name: str
     unit: str
@@ -24,20 +25,20 @@
 
 
 def histogram(values_ms: Sequence[float]) -> HdrHistogram:
-    """Of milliseconds, to three digits."""
-    found = HdrHistogram(1, HISTOGRAM_MAX_MS * 1000, HISTOGRAM_DIGITS)
+    """A histogram of these, recorded in microseconds, to three digits."""
+    found = HdrHistogram(1, HISTOGRAM_MAX_MS * US_PER_MS, HISTOGRAM_DIGITS)
     for value in values_ms:
-        found.record_value(max(1, int(value * 1000)))
+        found.record_value(max(1, int(value * US_PER_MS)))
     return found
 
 
 def percentile(values_ms: Sequence[float], percent: float) -> float | None:
-    """Of milliseconds; None: there are none."""
-    return histogram(values_ms).get_value_at_percentile(percent) / 1000 if values_ms else None
+    """A percentile of these; None: there are none."""
+    return histogram(values_ms).get_value_at_percentile(percent) / US_PER_MS if values_ms else None
 
 
 def per_second(times: Sequence[float], duration_s: float) -> list[int]:
-    """How many in each whole second."""
+    """How many of these times, in seconds, fall in each second."""
     counts = [0] * int(duration_s)
     for at in times:
         if 0 <= at < len(counts):
@@ -46,16 +47,16 @@
 
 
 def served_fractions(calls: Sequence[CallResult], duration_s: float) -> list[float | None]:
-    """Of the calls due in each second, those that were served; None: there were none."""
+    """The fraction served of the calls due in each second; None: none were due."""
     due = per_second([call.due_s for call in calls], duration_s)
     served = per_second([call.due_s for call in calls if call.outcome == "served"], duration_s)
-    return [good / asked if asked else None for good, asked in zip(served, due, strict=True)]
+    return [good / count if count else None for good, count in zip(served, due, strict=True)]
 
 
 def steady_since_s(calls: Sequence[CallResult], duration_s: float) -> float | None:
-    """Since when ``STEADY_FRACTION`` were served in every window of ``STEADY_WINDOW_S``; None: never.
+    """From when ``STEADY_FRACTION`` were served in every window of ``STEADY_WINDOW_S``; None: never.
 
-    Windows begin with each call, so that no window's edge hides a gap.
+    A window begins with each call, so that no window's edge hides a gap.
     """
     ordered = sorted(calls)
     complete = [call for call in ordered if call.due_s < duration_s - STEADY_WINDOW_S]
@@ -72,16 +73,16 @@
 
 
 def worst_cold_load(set_ups: Sequence[float], cold: ColdServer, capacity_per_s: float) -> float:
-    """The most set-ups in any ``overload_s``, over what the cold server could do in it; past 1 it falls over.
+    """The highest load of a cold server in any window of ``overload_s``, over the load at which it fails.
 
-    Over the multiple that it bears; what it can do at the window's beginning counts, as it only grows.
+    Its capacity at the window's beginning counts, as it only grows; past 1 the server fails.
     """
     times = sorted(at for at in set_ups if at >= cold.start_s)
     worst, last = 0.0, 0
-    for first, began_s in enumerate(times):
-        while last < len(times) and times[last] < began_s + cold.overload_s:
+    for first, start_s in enumerate(times):
+        while last < len(times) and times[last] < start_s + cold.overload_s:
             last += 1
-        age = min(1.0, (began_s - cold.start_s) / cold.warm_up_s)
+        age = min(1.0, (start_s - cold.start_s) / cold.warm_up_s)
         capacity_now_per_s = capacity_per_s * (cold.initial_fraction + (1 - cold.initial_fraction) * age)
         count = last - first
         if count > 1:  # one alone is no load
@@ -90,74 +91,76 @@
 
 
 def compute_figures(observations: Observations, duration_s: float, recovered_s: float | None) -> list[Figure]:
-    """Every figure of one play; ``recovered_s``: when the board was back, where it was in trouble."""
-    rows = [Figure("all are up after", "s", max(observations.started_at_s, default=None))]
-    rows += _discovery_figures(observations, recovered_s)
+    """Every figure of one run; ``recovered_s``: when service discovery was back, where it had a fault."""
+    figures = [Figure("all are up after", "s", max(observations.started_at_s, default=None))]
+    figures += _discovery_figures(observations, recovered_s)
+    figures += _server_figures(observations)
+    figures += _call_figures(observations, duration_s)
+    for name, budget in observations.budgets.items():
+        figures += _budget_figures(name, budget, duration_s)
+    return figures + _process_figures(observations)
+
+
+def _server_figures(observations: Observations) -> list[Figure]:
     open_connections = observations.open_connections.values()
     accepted = max((most_in(sorted(times), 1.0) for times in observations.connected_at_s.values()), default=0)
-    rows += [
+    set_ups = max((most_in(sorted(times), 0.1) for times in observations.set_ups_at_s.values()), default=0)
+    figures = [
         Figure("connections at a server, most in 1 s", "", accepted),
         Figure("connections at a server at the end, most", "", max(open_connections, default=0)),
         Figure("connections in all at the end", "", sum(open_connections)),
-        Figure(
-            "set-ups at a server, most in 0.1 s",
-            "",
-            max((most_in(sorted(t), 0.1) for t in observations.set_ups_at_s.values()), default=0),
-        ),
+        Figure("set-ups at a server, most in 0.1 s", "", set_ups),
     ]
     if observations.cold_servers:
-        rows.append(
-            Figure(
-                "load of a cold server, over what it bears, worst",
-                "",
-                max(
-                    worst_cold_load(
-                        observations.set_ups_at_s.get(name, ()), cold, observations.capacity_per_s
-                    )
-                    for name, cold in observations.cold_servers.items()
-                ),
-            )
+        worst = max(
+            worst_cold_load(observations.set_ups_at_s.get(name, ()), cold, observations.capacity_per_s)
+            for name, cold in observations.cold_servers.items()
         )
-    rows += _call_figures(observations, duration_s)
-    for name, budget in observations.budgets.items():
-        rows += _budget_figures(name, budget, duration_s)
-    for what, unit, values in (
+        figures.append(Figure("load of a cold server, over what it bears, worst", "", worst))
+    return figures
+
+
+def _process_figures(observations: Observations) -> list[Figure]:
+    """What the processes took, and how exact the measurement is."""
+    figures = []
+    for name, unit, values in (
         ("memory of a proxy, mean", "MB", observations.memory_mb),
         ("processor time of a proxy, mean", "s", observations.cpu_s),
     ):
         if values:
-            rows.append(Figure(what, unit, sum(values) / len(values)))
+            figures.append(Figure(name, unit, sum(values) / len(values)))
     if observations.loop_lag_ms:
-        rows += [
+        figures += [
             Figure("the rig's own loop was late, 99 %", "ms", percentile(observations.loop_lag_ms, 99.0)),
             Figure("the rig's own loop was late, most", "ms", max(observations.loop_lag_ms)),
         ]
-    return rows
+    return figures
 
 
 def _discovery_figures(observations: Observations, recovered_s: float | None) -> list[Figure]:
     polls = sorted(observations.polled_at_s)
-    rows = [
+    """``recovered_s``: the end of the last fault of service discovery; None: it had none."""
+    figures = [
         Figure("polls, most in 0.1 s", "", most_in(polls, 0.1)),
         Figure("polls, most in 1 s", "", most_in(polls, 1.0)),
     ]
     if recovered_s is None:
-        return rows
-    began_s = max(observations.started_at_s, default=0.0) + FIRST_POLLS_S
-    if began_s < recovered_s:
-        polls_per_s = sum(began_s <= at < recovered_s for at in polls) / (recovered_s - began_s)
-        rows.append(Figure("polls a second while the board is in trouble", "a second", polls_per_s))
+        return figures
+    start_s = max(observations.started_at_s, default=0.0) + FIRST_POLLS_S
+    if start_s < recovered_s:
+        polls_per_s = sum(start_s <= at < recovered_s for at in polls) / (recovered_s - start_s)
+        figures.append(Figure("polls a second while the board is in trouble", "a second", polls_per_s))
     after = [at for at in polls if at >= recovered_s]
     listed = sorted(at for at in observations.listed_at_s if at >= recovered_s)
-    for share in (0.5, 0.95, 1.0):
-        needed = max(1, round(share * observations.proxies))
+    for fraction in (0.5, 0.95, 1.0):
+        needed = max(1, round(fraction * observations.proxies))
         delay_s = listed[needed - 1] - recovered_s if len(listed) >= needed else None
-        rows.append(Figure(f"{share:.0%} have the list after its return", "s", delay_s))
-    return [*rows, Figure("polls after its return, most in 0.1 s", "", most_in(after, 0.1))]
+        figures.append(Figure(f"{fraction:.0%} have the list after its return", "s", delay_s))
+    return [*figures, Figure("polls after its return, most in 0.1 s", "", most_in(after, 0.1))]
 
 
 def _budget_figures(name: str, budget: BudgetTrace, duration_s: float) -> list[Figure]:
-    """The proofs, each as a part of what is allowed: past 1 it does not hold."""
+    """Each limit of a budget as a fraction of what is allowed: past 1 the budget was broken."""
     processes = max(1, sum(bool(trace.spent) for trace in budget.traces))
     return [
         Figure(
--- a/experiments/plan.py
+++ b/experiments/plan.py
@@ -2,7 +2,8 @@
 
 from __future__ import annotations
 
-from typing import Annotated, Any, Literal
+import enum
+from typing import Annotated, Any
 
 import msgspec
 
@@ -11,28 +12,48 @@
 Seconds = Annotated[float, msgspec.Meta(ge=0, le=3600)]
 Fraction = Annotated[float, msgspec.Meta(gt=0, le=1)]
 Count = Annotated[int, msgspec.Meta(ge=1, le=10_000)]
-FaultKind = Literal[
-    "board-closes",  # accepts and closes at once
-    "board-stalls",  # accepts and says nothing
-    "board-busy",  # refuses and names a wait of ``wait_s``
-    "board-away",  # refuses connections
-    "proxies-killed",  # and started again at the end, under their names
-    "proxies-frozen",
-    "proxies-cut-off",  # from the board
-    "proxies-cut-off-store",  # from the fleet's store, both ways
-    "proxies-deaf-store",  # what they ask arrives there, and its answers do not arrive here
-    "store-stalls",
-    "store-restarts",  # every connection ends, and none comes up meanwhile
-    "servers-silent",
-    "servers-cold",  # their processes have just started at that time; ``for_s`` is not used
-]
-DISCOVERY_FAULTS = ("board-closes", "board-stalls", "board-busy", "board-away")
-STORE_FAULTS = ("proxies-cut-off-store", "proxies-deaf-store", "store-stalls", "store-restarts")
-SIMULATED_FAULTS = (*DISCOVERY_FAULTS, "servers-cold")
+
+
+class FaultKind(enum.StrEnum):
+    """What a fault does; the values are those of experiment files, where ``board`` is service discovery."""
+
+    DISCOVERY_CLOSES = "board-closes"  # accepts and closes at once
+    DISCOVERY_STALLS = "board-stalls"  # accepts and sends nothing
+    DISCOVERY_BUSY = "board-busy"  # refuses with a Retry-After of ``wait_s``
+    DISCOVERY_AWAY = "board-away"  # refuses connections
+    PROXIES_KILLED = "proxies-killed"  # and started again at the end, under their names
+    PROXIES_FROZEN = "proxies-frozen"
+    PROXIES_CUT_OFF = "proxies-cut-off"  # from service discovery
+    PROXIES_CUT_OFF_STORE = "proxies-cut-off-store"  # from the fleet's store, both ways
+    PROXIES_DEAF_STORE = "proxies-deaf-store"  # requests reach the store, and its responses are held back
+    STORE_STALLS = "store-stalls"
+    STORE_RESTARTS = "store-restarts"  # every connection ends, and none is accepted meanwhile
+    SERVERS_SILENT = "servers-silent"
+    SERVERS_COLD = "servers-cold"  # their processes have just started at that time; ``for_s`` is not used
+
+
+DISCOVERY_FAULTS = frozenset(
+    {
+        FaultKind.DISCOVERY_CLOSES,
+        FaultKind.DISCOVERY_STALLS,
+        FaultKind.DISCOVERY_BUSY,
+        FaultKind.DISCOVERY_AWAY,
+    }
+)
+STORE_FAULTS = frozenset(
+    {
+        FaultKind.PROXIES_CUT_OFF_STORE,
+        FaultKind.PROXIES_DEAF_STORE,
+        FaultKind.STORE_STALLS,
+        FaultKind.STORE_RESTARTS,
+    }
+)
+SERVER_FAULTS = frozenset({FaultKind.SERVERS_SILENT, FaultKind.SERVERS_COLD})
+SIMULATED_FAULTS = DISCOVERY_FAULTS | {FaultKind.SERVERS_COLD}
 
 
 class Fault(msgspec.Struct, forbid_unknown_fields=True):
-    """One fault; times are seconds since the first process was started."""
+    """One fault; ``start_s`` counts from the start of the run."""
 
     kind: FaultKind = msgspec.field(name="what")
     start_s: Seconds = msgspec.field(name="at_s", default=0.0)
@@ -42,20 +63,22 @@
 
     @property
     def end_s(self) -> float:
-        """When it is over."""
+        """When it ends, in seconds since the start of the run."""
         return self.start_s + self.duration_s
 
 
 class Variant(msgspec.Struct, forbid_unknown_fields=True):
-    """One version of the settings: the parts' files as tables; a part without one is off."""
+    """One version of the settings: the extensions' files as tables; an extension without one is off."""
 
     name: Annotated[str, msgspec.Meta(min_length=1, max_length=60)]
     cold_start: dict[str, Any] | None = msgspec.field(name="starting", default=None)
-    fleet: dict[str, Any] | None = None  # path and dsn are the rig's; with ``trace`` its budgets are proved
+    fleet: dict[str, Any] | None = (
+        None  # path and dsn are set by the run; with ``trace`` its budgets are verified
+    )
 
 
 class ServerPlan(msgspec.Struct, forbid_unknown_fields=True):
-    """The call servers, all alike."""
+    """The emulated call servers, all alike."""
 
     count: Count = 6
     capacity_per_s: Annotated[float, msgspec.Meta(gt=0)] = 60.0
@@ -64,7 +87,7 @@
 
 
 class Experiment(msgspec.Struct, forbid_unknown_fields=True):
-    """The whole file."""
+    """The experiment file: every variant runs at every size with every seed."""
 
     name: Annotated[str, msgspec.Meta(pattern="^[a-z0-9-]{1,40}$")]
     sizes: Annotated[list[Count], msgspec.Meta(min_length=1)]
@@ -77,17 +100,18 @@
     faults: list[Fault] = msgspec.field(name="fault", default_factory=list)
 
     def discovery_recovered_s(self) -> float | None:
-        """When the board has the last of its faults behind it; None: it has none."""
+        """When the last fault of service discovery ends, in seconds since the start; None: it has none."""
         end_times_s = [fault.end_s for fault in self.faults if fault.kind in DISCOVERY_FAULTS]
         return max(end_times_s, default=None)
 
 
 def load_experiment(path: str) -> Experiment:
-    """Read the file; whatever is wrong with it is a ``ConfigurationError`` of one line."""
+    """Read an experiment file; raises ``ConfigurationError``, of one line, for whatever is wrong with it."""
     return load_extension_settings(path, "experiment", Experiment, _check)
 
 
 def _check(experiment: Experiment) -> None:
+    """Check what spans several keys; raises ``ValueError``."""
     names = [variant.name for variant in experiment.variants]
     if len(set(names)) < len(names):
         raise ValueError("two variants have one name")
@@ -100,6 +124,6 @@
                 f"{fault.kind} at {fault.start_s:g} s does not end within {experiment.duration_s:g} s"
             )
     if experiment.simulated_sizes:
-        unsupported = sorted({fault.kind for fault in experiment.faults} - set(SIMULATED_FAULTS))
+        unsupported = sorted({fault.kind for fault in experiment.faults} - SIMULATED_FAULTS)
         if unsupported:
             raise ValueError(f"cannot be simulated: {', '.join(unsupported)}")
--- a/experiments/process_usage.py
+++ b/experiments/process_usage.py
@@ -6,7 +6,7 @@
 from pathlib import Path
 
 KIB_PER_MIB = 1024.0
-TICKS_PER_S = os.sysconf("SC_CLK_TCK")
+TICKS_PER_S = os.sysconf("SC_CLK_TCK")  # the unit of processor time in /proc
 
 
 def resident_mb(pid: int) -> float:
--- a/experiments/report.py
+++ b/experiments/report.py
@@ -1,4 +1,4 @@
-"""What an experiment leaves: tables of figures and of series (Parquet and CSV), charts, and a summary."""
+"""The output of an experiment: tables of figures and of series (Parquet and CSV), charts, and a summary."""
 
 from __future__ import annotations
 
@@ -43,7 +43,7 @@
 
 
 class RunResult(NamedTuple):
-    """One play and what came of it; ``way``: on processes, or simulated."""
+    """One run and what it measured; ``mode``: on processes, or simulated (the column ``way``)."""
 
     experiment: str
     mode: str
@@ -54,13 +54,13 @@
     series: dict[str, list[float | None]]
 
     @property
-    def key(self) -> tuple:
-        """What stands before each of its rows."""
+    def key(self) -> tuple[str, str, int, str, int]:
+        """The first columns, that identify the run."""
         return self.experiment, self.mode, self.size, self.variant, self.seed
 
 
 def compute_series(observations: Observations, duration_s: float) -> dict[str, list[float | None]]:
-    """What is drawn: counts a second, and the share of calls due in it that were served."""
+    """What the charts show, a value a second: counts, and the fraction served of the calls due then."""
     found: dict[str, list[float | None]] = {
         POLLS: list(per_second(observations.polled_at_s, duration_s)),
         CONNECTIONS: _counts(observations.connected_at_s, duration_s),
@@ -78,7 +78,7 @@
 
 
 def write_tables(folder: Path, results: Iterable[RunResult]) -> None:
-    """The tables of all plays; what stood there is replaced."""
+    """Write the tables of all runs, as Parquet and CSV; those of an earlier call are replaced."""
     results = list(results)
     figures = [(*r.key, *figure) for r in results for figure in r.figures]
     points = [
@@ -96,15 +96,15 @@
 
 
 def mean(values: Iterable[float | None]) -> float | None:
-    """Of those that came to be."""
+    """The mean of the values that are not None; None: there are none."""
     present = [value for value in values if value is not None]
     return math.fsum(present) / len(present) if present else None
 
 
 def summary(results: Iterable[RunResult]) -> str:
-    """A Markdown table for each size: a row a figure, a column a variant; the mean over seeds, and the range.
+    """Write a Markdown table for each size: a row a figure, a column a variant; mean over seeds, and range.
 
-    A figure that did not come to be in some play says in how many it did.
+    Where a figure has no value in some run, the cell names how many have one.
     """
     results = list(results)
     lines: list[str] = []
@@ -136,29 +136,35 @@
 
 
 def write_charts(folder: Path, results: Iterable[RunResult]) -> list[Path]:
-    """One picture for each size: one thing above the other, a line a variant (the mean over seeds)."""
+    """Write a chart (SVG) for each mode and size; return their paths."""
     import matplotlib
 
     matplotlib.use("svg")
+
+    results = list(results)
+    return [
+        _write_chart(folder, mode, size, [r for r in results if (r.mode, r.size) == (mode, size)])
+        for mode, size in dict.fromkeys((r.mode, r.size) for r in results)
+    ]
+
+
+def _write_chart(folder: Path, mode: str, size: int, results: list[RunResult]) -> Path:
+    """The series above each other, a line a variant (the mean over seeds)."""
     import matplotlib.pyplot as plt
 
-    results, made = list(results), []
-    for mode, size in dict.fromkeys((r.mode, r.size) for r in results):
-        here = [r for r in results if (r.mode, r.size) == (mode, size)]
-        drawn = list(dict.fromkeys(name for r in here for name in r.series))
-        figure, axes = plt.subplots(len(drawn), 1, figsize=(9, 2.1 * len(drawn)), sharex=True, squeeze=False)
-        for axis, name in zip(axes[:, 0], drawn, strict=True):
-            for variant in dict.fromkeys(r.variant for r in here):
-                lines = [r.series[name] for r in here if r.variant == variant]
-                means = [mean(at) for at in zip(*lines, strict=True)]
-                axis.plot([math.nan if value is None else value for value in means], label=variant)
-            axis.set_ylabel(name if name == SERVED else f"{name} a second", fontsize=8)
-        axes[0, 0].legend(fontsize=7)
-        axes[0, 0].set_title(f"{size} proxies, {mode}", fontsize=9)
-        axes[-1, 0].set_xlabel("seconds since the first was started")
-        figure.tight_layout()
-        path = folder / f"{here[0].experiment}-{size}-{mode.replace(' ', '-')}.svg"
-        figure.savefig(path, metadata={"Date": None})
-        plt.close(figure)
-        made.append(path)
-    return made
+    names = list(dict.fromkeys(name for r in results for name in r.series))
+    figure, axes = plt.subplots(len(names), 1, figsize=(9, 2.1 * len(names)), sharex=True, squeeze=False)
+    for axis, name in zip(axes[:, 0], names, strict=True):
+        for variant in dict.fromkeys(r.variant for r in results):
+            lines = [r.series[name] for r in results if r.variant == variant]
+            means = [mean(at) for at in zip(*lines, strict=True)]
+            axis.plot([math.nan if value is None else value for value in means], label=variant)
+        axis.set_ylabel(name if name == SERVED else f"{name} a second", fontsize=8)
+    axes[0, 0].legend(fontsize=7)
+    axes[0, 0].set_title(f"{size} proxies, {mode}", fontsize=9)
+    axes[-1, 0].set_xlabel("seconds since the first was started")
+    figure.tight_layout()
+    path = folder / f"{results[0].experiment}-{size}-{mode.replace(' ', '-')}.svg"
+    figure.savefig(path, metadata={"Date": None})
+    plt.close(figure)
+    return path
--- a/experiments/simulated_environment.py
+++ b/experiments/simulated_environment.py
@@ -8,15 +8,15 @@
 from dataclasses import dataclass, field
 
 from experiments.observations import MS, ColdServer
-from experiments.plan import DISCOVERY_FAULTS, Fault
+from experiments.plan import DISCOVERY_FAULTS, Fault, FaultKind
 
-ONE_WAY_DELAY_MS = 1.0  # one way, between any two
-MAX_QUEUE_DELAY_MS = 2500.0  # a processor turns set-ups away past this wait ...
-REJECTION_COST_FRACTION = 0.2  # ... for so much of their work
+ONE_WAY_DELAY_MS = 1.0  # of a message, between any two parties
+MAX_QUEUE_DELAY_MS = 2500.0  # a server rejects set-ups past this wait ...
+REJECTION_COST_FRACTION = 0.2  # ... at this fraction of a set-up's cost
 
 
 class EventClock:
-    """Events in their order."""
+    """Runs callbacks in the order of their times, and at one time in the order of scheduling."""
 
     def __init__(self) -> None:
         self.now_ms = 0.0
@@ -24,11 +24,11 @@
         self._number = itertools.count()
 
     def call_later(self, delay_ms: float, callback: Callable[[], None]) -> None:
-        """Have it done."""
+        """Run ``callback`` after this delay; a negative one is none."""
         heapq.heappush(self._heap, (self.now_ms + max(0.0, delay_ms), next(self._number), callback))
 
     def run(self, until_ms: float) -> None:
-        """Do all that is due by then."""
+        """Run everything that is due by ``until_ms``, in simulated time."""
         while self._heap and self._heap[0][0] <= until_ms:
             self.now_ms, _, callback = heapq.heappop(self._heap)
             callback()
@@ -36,7 +36,7 @@
 
 @dataclass
 class SimulatedServer:
-    """One call server: a line of work, that turns set-ups away once the line is long."""
+    """One call server: a processor with a queue, that rejects set-ups once the queue is long."""
 
     name: str
     capacity_per_s: float
@@ -48,6 +48,7 @@
     connected_at_s: list[float] = field(default_factory=list)
 
     def _service_time_ms(self) -> float:
+        """What a set-up costs now: more while the server warms up."""
         speed = 1.0
         if self.cold is not None:
             age = (self.clock.now_ms / MS - self.cold.start_s) / self.cold.warm_up_s
@@ -55,7 +56,7 @@
         return MS / self.capacity_per_s / speed
 
     def set_up(self, on_answer: Callable[[bool], None]) -> None:
-        """A set-up has come; ``on_answer`` is told whether it is accepted."""
+        """Queue a set-up; ``on_answer`` is called with whether it is accepted, when the answer arrives."""
         now_ms = self.clock.now_ms
         self.set_ups_at_s.append(now_ms / MS)
         accepted = self.idle_at_ms - now_ms <= MAX_QUEUE_DELAY_MS
@@ -66,7 +67,7 @@
 
 
 class SimulatedDiscovery:
-    """What a poll comes to at any time."""
+    """Service discovery: answers polls with the list, or with the fault of that time."""
 
     def __init__(self, faults: list[Fault]) -> None:
         self._faults = [fault for fault in faults if fault.kind in DISCOVERY_FAULTS]
@@ -74,9 +75,9 @@
         self.listed_at_s: list[float] = []
 
     def poll(self, now_s: float) -> Fault | None:
-        """The fault that this poll meets; None: it is told the list."""
+        """The fault that a poll meets at this time; None: it gets the list."""
         fault = next((f for f in self._faults if f.start_s <= now_s < f.end_s), None)
-        if fault is None or fault.kind != "board-away":  # nobody listens to note it
+        if fault is None or fault.kind is not FaultKind.DISCOVERY_AWAY:  # a refused connection is not noted
             self.polled_at_s.append(now_s)
         if fault is None:
             self.listed_at_s.append(now_s)
--- a/experiments/simulated_proxy.py
+++ b/experiments/simulated_proxy.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 import random
-from typing import TYPE_CHECKING
+from typing import Protocol
 
 from canvasplank import interface as api
 from canvasplank.cold_start.extension import Starting
@@ -11,18 +11,39 @@
 from canvasplank.cold_start.rendezvous_subset import RendezvousSubset
 from canvasplank.config.discovery_events import Endpoint, to_server
 from canvasplank.policy import Controller
-from experiments.observations import MS
-from experiments.simulated_environment import ONE_WAY_DELAY_MS
+from experiments.observations import MS, Observations
+from experiments.plan import FaultKind
+from experiments.simulated_environment import (
+    ONE_WAY_DELAY_MS,
+    EventClock,
+    SimulatedDiscovery,
+    SimulatedServer,
+)
+
+STALLED_POLL_TIMEOUT_MS = 1500.0  # a poll that is not answered is given up after this
+REFUSED, FAILED, SERVED, OPEN = "refused", "failed", "served", "open"
 
-if TYPE_CHECKING:
-    from experiments.simulation import Simulation
 
-STALLED_POLL_TIMEOUT_MS = 1500.0  # a board that says nothing is left after so long
-REFUSED, FAILED, SERVED, OPEN = "refused", "failed", "served", "open"
+class SimulatedFleet(Protocol):
+    """What a proxy uses of the simulation it belongs to."""
+
+    clock: EventClock
+    discovery: SimulatedDiscovery
+    servers: dict[str, SimulatedServer]
+    observations: Observations
+
+    def endpoints(self) -> list[Endpoint]:
+        """The endpoint list as service discovery has it now."""
+
+    def on_ready(self, proxy: SimulatedProxy) -> None:
+        """Callers may be sent to this proxy from now on."""
+
+    def end_call(self, call_id: str, outcome: str) -> None:
+        """A call has its final answer."""
 
 
 class DoublingBackoff:
-    """As it is without a pace: the program's doubling waits, without chance."""
+    """The poll backoff of a program without cold-start settings: delays that double, without jitter."""
 
     def __init__(self) -> None:
         self._next_ms = FIRST_MS
@@ -38,22 +59,22 @@
 
 
 class SimulatedProxy:
-    """One proxy: its decisions, and what carries them out here."""
+    """One proxy: the program's controller, backoff and subset, and what carries out their actions."""
 
     def __init__(
         self,
-        simulation: Simulation,
+        fleet: SimulatedFleet,
         number: int,
         settings: api.Settings,
         starting: Starting | None,
         seed: int,
     ) -> None:
-        self._simulation, self._clock = simulation, simulation.clock
+        self._fleet, self._clock = fleet, fleet.clock
         self._rng = random.Random(seed * 100_003 + number)
         self._starting, self._count = starting, settings.instances
         self._controller = Controller(settings, self._rng.getrandbits(32))
         self._attempts: dict[str, int] = {}
-        self._open_attempts: dict[str, int] = {}  # attempts that nobody has ended, by call
+        self._open_attempts: dict[str, int] = {}  # by call, the attempt that has not ended
         if starting is None or not starting.polls_per_s:
             self._backoff: PollBackoff | DoublingBackoff = DoublingBackoff()
         else:
@@ -66,32 +87,32 @@
         self._server_by_call: dict[str, str] = {}  # of each call's latest attempt
 
     def start(self) -> None:
-        """It is up; callers may come at once, or where a pace is set, once it has a list."""
-        self._simulation.observations.started_at_s.append(self._clock.now_ms / MS)
+        """Start: ready for callers at once or, with ``ready_with_list``, with its first list."""
+        self._fleet.observations.started_at_s.append(self._clock.now_ms / MS)
         if self._starting is None or not self._starting.ready_with_list:
-            self._simulation.ready_proxies.append(self)
+            self._fleet.on_ready(self)
         self._clock.call_later(self._backoff.initial_delay(), self._poll)
 
     def _poll(self) -> None:
-        fault = self._simulation.discovery.poll(self._clock.now_ms / MS)
+        fault = self._fleet.discovery.poll(self._clock.now_ms / MS)
         if fault is None:
             self._clock.call_later(2 * ONE_WAY_DELAY_MS, self._on_list)
             return
-        retry_after_ms = fault.retry_after_s * MS if fault.kind == "board-busy" else 0.0
-        timeout_ms = STALLED_POLL_TIMEOUT_MS if fault.kind == "board-stalls" else 0.0
+        retry_after_ms = fault.retry_after_s * MS if fault.kind is FaultKind.DISCOVERY_BUSY else 0.0
+        timeout_ms = STALLED_POLL_TIMEOUT_MS if fault.kind is FaultKind.DISCOVERY_STALLS else 0.0
         self._clock.call_later(
             timeout_ms + self._backoff.retry_delay(self._clock.now_ms, retry_after_ms), self._poll
         )
 
     def _on_list(self) -> None:
-        selected = self._subset.select(True, self._simulation.endpoints())
+        selected = self._subset.select(True, self._fleet.endpoints())
         if self._starting is not None and self._starting.ready_with_list:
-            self._simulation.ready_proxies.append(self)
+            self._fleet.on_ready(self)
         for endpoint in selected:
             per_s = self._starting.connections_per_s if self._starting else 0.0
             spread_ms = self._rng.uniform(0.0, MS * self._count / per_s) if per_s else 0.0
             self._clock.call_later(spread_ms, lambda name=endpoint.instance_id: self._connect(name))
-        self._handle(api.ServerList(api.ListKind.COMPLETE, tuple(self._to_server(i) for i in selected)))
+        self._handle(api.ServerList(api.ListKind.COMPLETE, tuple(self._to_server(each) for each in selected)))
 
     def _to_server(self, endpoint: Endpoint) -> api.Server:
         server = to_server(endpoint)
@@ -109,10 +130,10 @@
     def _connect(self, name: str) -> None:
         if name not in self._connected:
             self._connected.add(name)
-            self._simulation.servers[name].connected_at_s.append(self._clock.now_ms / MS)
+            self._fleet.servers[name].connected_at_s.append(self._clock.now_ms / MS)
 
     def call(self, call: api.Call) -> None:
-        """A caller's set-up."""
+        """A caller's set-up arrives."""
         self._handle(call)
 
     def _handle(self, event: api.Event) -> None:
@@ -130,9 +151,9 @@
                         ),
                     )
                 case api.Refuse(call_id, _):
-                    self._simulation.end_call(call_id, REFUSED)
+                    self._fleet.end_call(call_id, REFUSED)
                 case api.Fail(call_id):
-                    self._simulation.end_call(call_id, FAILED)
+                    self._fleet.end_call(call_id, FAILED)
 
     def _send(self, call_id: str, server_id: str) -> None:
         self._connect(server_id)
@@ -140,13 +161,15 @@
         self._open_attempts[call_id] = attempt
         self._server_by_call[call_id] = server_id
         sent_ms = self._clock.now_ms
-        server = self._simulation.servers[server_id]
+        server = self._fleet.servers[server_id]
 
         def on_answer(accepted: bool) -> None:
             if not accepted:
                 self._on_attempt_ended(call_id, attempt, api.Outcome.FULL)
-            elif self._open_attempts.pop(call_id, None) == attempt:  # what was given up is taken back
-                self._simulation.end_call(call_id, SERVED)
+            elif (
+                self._open_attempts.pop(call_id, None) == attempt
+            ):  # an answer to an attempt that was given up is dropped
+                self._fleet.end_call(call_id, SERVED)
                 self._handle(api.Established(call_id, attempt, server_id, self._clock.now_ms - sent_ms))
                 self._clock.call_later(
                     server.hold_ms,
@@ -158,7 +181,7 @@
         self._clock.call_later(ONE_WAY_DELAY_MS, lambda: server.set_up(on_answer))
 
     def _on_attempt_ended(self, call_id: str, attempt: int, outcome: api.Outcome) -> None:
-        """An attempt came to nothing; told once."""
+        """Notify the controller, once, of an attempt that failed."""
         if self._open_attempts.get(call_id) == attempt:
             del self._open_attempts[call_id]
             self._handle(
--- a/experiments/simulation.py
+++ b/experiments/simulation.py
@@ -1,14 +1,13 @@
-"""The same decisions without processes, for thousands of proxies: a heap of events on a clock of its own.
+"""Simulates a run without processes, for thousands of proxies: callbacks on a clock of its own.
 
-Every proxy here has the module's ``Controller``, the ``PollBackoff`` and the ``RendezvousSubset`` of the
-program itself; what is made up is the board, the servers' servers, the callers and the way between them.
+Every proxy has the ``Controller``, the ``PollBackoff`` and the ``RendezvousSubset`` of the program itself.
+Service discovery, the call servers, the callers and the network between them are models.
 """
 
 from __future__ import annotations
 
 import random
 from collections.abc import Mapping
-from typing import Any
 
 import msgspec
 
@@ -18,16 +17,16 @@
 from canvasplank.config.platform_settings import read_settings
 from emulators.fleet import service_settings
 from experiments.observations import MS, CallResult, ColdServer, Observations
-from experiments.plan import Experiment, Variant
+from experiments.plan import Experiment, FaultKind, Variant
 from experiments.simulated_environment import EventClock, SimulatedDiscovery, SimulatedServer
 from experiments.simulated_proxy import OPEN, SimulatedProxy
 
-START_SPREAD_MS = 1000.0  # all proxies are up after so long
-CALLER_TIMEOUT_MS = 3200.0  # of a caller
+START_SPREAD_MS = 1000.0  # the proxies start at random within this
+CALLER_TIMEOUT_MS = 3200.0  # a caller's deadline
 
 
 class Simulation:
-    """Everything in one simulated play."""
+    """One simulated run: the proxies, their surroundings, and the calls."""
 
     def __init__(self, experiment: Experiment, variant: Variant, size: int, seed: int) -> None:
         self._experiment, self._rng = experiment, random.Random(seed)
@@ -42,14 +41,15 @@
         self._restart_cold(options["rules"])
         settings = read_settings(options)
         starting = None if variant.cold_start is None else msgspec.convert(variant.cold_start, Starting)
-        self.ready_proxies: list[SimulatedProxy] = []  # whom callers may be sent to
+        self._ready_proxies: list[SimulatedProxy] = []  # those that callers may be sent to
         self._proxies = [SimulatedProxy(self, number, settings, starting, seed) for number in range(size)]
         self._classes = [each.name for each in settings.classes]
-        self._calls: dict[str, list[Any]] = {}  # due, outcome, took; in seconds
+        self._calls: dict[str, CallResult] = {}
 
     def _restart_cold(self, rules: Mapping[str, float]) -> None:
+        """Sample the servers that are cold; how slow and for how long is defined by the platform's rules."""
         for fault in self._experiment.faults:
-            if fault.kind == "servers-cold":
+            if fault.kind is FaultKind.SERVERS_COLD:
                 sampled = self._rng.sample(sorted(self.servers), round(fault.fraction * len(self.servers)))
                 for name in sampled:
                     self.servers[name].cold = self.observations.cold_servers[name] = ColdServer(
@@ -60,8 +60,12 @@
                         rules["overload_for_ms"] / MS,
                     )
 
+    def on_ready(self, proxy: SimulatedProxy) -> None:
+        """Callers may be sent to this proxy from now on."""
+        self._ready_proxies.append(proxy)
+
     def endpoints(self) -> list[Endpoint]:
-        """The list as the board has it now."""
+        """The endpoint list as service discovery has it now."""
         listed = []
         for cell, server in enumerate(self.servers.values()):
             cold = server.cold
@@ -73,11 +77,11 @@
     def end_call(self, call_id: str, outcome: str) -> None:
         """A call has its final answer."""
         call = self._calls[call_id]
-        if call[1] == OPEN:
-            call[1:] = outcome, self.clock.now_ms / MS - call[0]
+        if call.outcome == OPEN:
+            self._calls[call_id] = CallResult(call.due_s, outcome, self.clock.now_ms / MS - call.due_s)
 
     def run(self) -> Observations:
-        """Everything; gives what was observed."""
+        """Run to the end of the load and of the last deadline; return what was observed."""
         for proxy in self._proxies:
             self.clock.call_later(self._rng.uniform(0.0, START_SPREAD_MS), proxy.start)
         if self._experiment.calls_per_s > 0:
@@ -90,7 +94,7 @@
             observations.connected_at_s[name] = server.connected_at_s
             observations.set_ups_at_s[name] = server.set_ups_at_s
             observations.open_connections[name] = len(server.connected_at_s)
-        observations.calls = [CallResult(*call) for call in self._calls.values()]
+        observations.calls = list(self._calls.values())
         return observations
 
     def _schedule_call(self) -> None:
@@ -99,15 +103,15 @@
             self.clock.call_later(delay_ms, self._on_arrival)
 
     def _on_arrival(self) -> None:
-        """A call at a proxy that is ready, or lost where none is; then the next."""
+        """Send a call to a ready proxy, or count it as lost where none is; schedule the next."""
         self._schedule_call()
         now_ms = self.clock.now_ms
         call_id = f"{len(self._calls):016x}"
-        self._calls[call_id] = [now_ms / MS, OPEN, 0.0]
-        if not self.ready_proxies:
+        self._calls[call_id] = CallResult(now_ms / MS, OPEN, 0.0)
+        if not self._ready_proxies:
             self.end_call(call_id, "lost")
             return
-        self._rng.choice(self.ready_proxies).call(
+        self._rng.choice(self._ready_proxies).call(
             api.Call(
                 call_id,
                 self._rng.choice(self._classes),
@@ -118,5 +122,5 @@
 
 
 def run(experiment: Experiment, variant: Variant, size: int, seed: int) -> Observations:
-    """One variant at one size."""
+    """Simulate one variant at one size with one seed."""
     return Simulation(experiment, variant, size, seed).run()
--- a/tests/test_experiments.py
+++ b/tests/test_experiments.py
@@ -10,7 +10,7 @@
 from click.testing import CliRunner
 
 from canvasplank.config.configuration import ConfigurationError
-from experiments import experiment_run, measures, report, simulation
+from experiments import measures, proxy_processes, report, simulation
 from experiments.__main__ import cli
 from experiments.measures import Figure
 from experiments.observations import BudgetTrace, CallResult, ColdServer, Observations
@@ -207,11 +207,11 @@
 
 def test_the_file_of_a_part_is_not_written_again_while_a_process_may_read_it(tmp_path):
     """Written anew for each of 300 starts it was read half written: an empty file switches the part off."""
-    play = experiment_run.ExperimentRun.__new__(experiment_run.ExperimentRun)
-    play.fleet = SimpleNamespace(folder=tmp_path)
-    path = Path(play._settings_file("starting", {"polls_per_s": 30.0}))
+    processes = proxy_processes.ProxyProcesses.__new__(proxy_processes.ProxyProcesses)
+    processes._fleet = SimpleNamespace(folder=tmp_path)
+    path = Path(processes._settings_file("starting", {"polls_per_s": 30.0}))
     whole, written = path.read_text(), path.stat()
-    assert play._settings_file("starting", {"polls_per_s": 30.0}) == str(path)
+    assert processes._settings_file("starting", {"polls_per_s": 30.0}) == str(path)
     assert path.read_text() == whole
     assert path.stat().st_mtime_ns == written.st_mtime_ns
 
