--- a/emulators/callers.py
+++ b/emulators/callers.py
@@ -16,7 +16,7 @@
 from canvasplank.config.addresses import parse_address
 from emulators.tasks import Tasks
 
-REFUSALS = (34, 42, 102)
+REFUSAL_CAUSES = (34, 42, 102)
 
 
 @dataclass(frozen=True, slots=True)
@@ -80,38 +80,38 @@
 
     async def offer(self, rate_per_s: float, for_s: float) -> None:
         """Arrivals at random (Poisson), all drawn against the clock and none waiting for an answer."""
-        began = due = time.time()
-        while (due := due + self.random.expovariate(rate_per_s)) < began + for_s:
-            if (pause := due - time.time()) > 0:
-                await asyncio.sleep(pause)
+        start_s = due = time.time()
+        while (due := due + self.random.expovariate(rate_per_s)) < start_s + for_s:
+            if (delay_s := due - time.time()) > 0:
+                await asyncio.sleep(delay_s)
             self.place(due)
-        if (pause := began + for_s - time.time()) > 0:
-            await asyncio.sleep(pause)
+        if (delay_s := start_s + for_s - time.time()) > 0:
+            await asyncio.sleep(delay_s)
 
     def place(self, due_s: float) -> Try:
         """One call, to a proxy at random; while there is none, it is lost like one whose proxy dies."""
         kind = self.random.choices(self.classes, [c.share for c in self.classes])[0]
         proxy = self.random.choice(self.proxies) if self.proxies else ""
-        made = Try(f"{self.random.getrandbits(64) | 1:016x}", kind, proxy, due_s)
-        self.tries[made.id] = made
+        attempt = Try(f"{self.random.getrandbits(64) | 1:016x}", kind, proxy, due_s)
+        self.tries[attempt.id] = attempt
         if not proxy:
-            made.outcome, made.answered_s = "lost", time.time()
-            return made
+            attempt.outcome, attempt.answered_s = "lost", time.time()
+            return attempt
         parameters = {
             isup.Parameter.CLASS: kind.name.encode(),
             isup.Parameter.WAIT: b"%d" % max(1, (due_s + kind.wait_s - time.time()) * 1000),
             isup.Parameter.NUMBER: b"%016x" % self.random.getrandbits(64),
             isup.Parameter.FIGURES: b"dest:%d;width:1;via:-1" % self.random.randrange(self.pools),
-            isup.Parameter.DESCRIPTION: b"offer " + made.id.encode(),
+            isup.Parameter.DESCRIPTION: b"offer " + attempt.id.encode(),
         }
-        self._write(made.proxy, isup.encode(isup.Message(isup.Kind.SET_UP, made.id, parameters)))
-        asyncio.get_running_loop().call_later(kind.wait_s + 0.1, self._give_up, made)
-        return made
+        self._write(attempt.proxy, isup.encode(isup.Message(isup.Kind.SET_UP, attempt.id, parameters)))
+        asyncio.get_running_loop().call_later(kind.wait_s + 0.1, self._on_deadline, attempt)
+        return attempt
 
-    def _give_up(self, made: Try) -> None:
-        if made.outcome == "open":
-            made.outcome, made.answered_s = "given_up", time.time()
-            self._write(made.proxy, isup.release(made.id, isup.Cause.NORMAL))
+    def _on_deadline(self, attempt: Try) -> None:
+        if attempt.outcome == "open":
+            attempt.outcome, attempt.answered_s = "given_up", time.time()
+            self._write(attempt.proxy, isup.release(attempt.id, isup.Cause.NORMAL))
 
     def _write(self, address: str, data: bytes) -> None:
         """On the connection to a proxy, where that is open; what cannot be written finds no answer."""
@@ -124,32 +124,32 @@
         with contextlib.suppress(OSError):
             while data := await reader.read(16_384):
                 for message in parser.feed(data):
-                    self._hear(address, message)
-        for made in self.tries.values():
-            if made.proxy == address and made.outcome == "open":
-                made.outcome, made.answered_s = "lost", time.time()
+                    self._on_message(address, message)
+        for attempt in self.tries.values():
+            if attempt.proxy == address and attempt.outcome == "open":
+                attempt.outcome, attempt.answered_s = "lost", time.time()
         if address in self.proxies:  # a proxy ends a connection that says nothing for long
             with contextlib.suppress(OSError):
                 reader, self._streams[address] = await asyncio.open_connection(*parse_address(address))
                 self._tasks.keep(self._read(address, reader))
 
-    def _hear(self, address: str, message: isup.Message) -> None:
-        made = self.tries.get(message.call_id)
-        if made is None or message.kind not in (isup.Kind.ANSWER, isup.Kind.RELEASE):
+    def _on_message(self, address: str, message: isup.Message) -> None:
+        attempt = self.tries.get(message.call_id)
+        if attempt is None or message.kind not in (isup.Kind.ANSWER, isup.Kind.RELEASE):
             return
         if message.kind == isup.Kind.RELEASE:
             self._write(address, isup.release_heard(message.call_id))
-            if made.outcome == "served":
-                made.released_s = time.time()
+            if attempt.outcome == "served":
+                attempt.released_s = time.time()
                 return
-        made.answers += 1
-        if made.outcome != "open":
+        attempt.answers += 1
+        if attempt.outcome != "open":
             return
-        made.answered_s = time.time()
+        attempt.answered_s = time.time()
         if message.kind == isup.Kind.ANSWER:
-            made.outcome = "served"
+            attempt.outcome = "served"
         else:
-            made.outcome = "refused" if message.cause in REFUSALS else "failed"
+            attempt.outcome = "refused" if message.cause in REFUSAL_CAUSES else "failed"
 
     async def settled(self, within_s: float) -> None:
         """Wait until every try has its answer."""
--- a/emulators/discovery.py
+++ b/emulators/discovery.py
@@ -6,7 +6,7 @@
 import contextlib
 import json
 
-COMMENT_EVERY_S = 0.5
+COMMENT_INTERVAL_S = 0.5
 
 
 class Discovery:
@@ -15,14 +15,14 @@
     def __init__(self) -> None:
         self._port = 0
         self._events: list[dict] = []
-        self._news = asyncio.Condition()
+        self._changed = asyncio.Condition()
         self._server: asyncio.Server | None = None
         self._tasks: set[asyncio.Task] = set()  # asyncio made them
         self.in_trouble = False  # accepts, and closes at once
         self.busy_s: int | None = None  # refuses, and names this wait
         self.stalled = False  # accepts, and says nothing
         self.polls: list[float] = []  # when each came, in seconds of the loop's clock
-        self.first_told: list[float] = []  # when one that knew nothing was told the list
+        self.first_listed: list[float] = []  # when one that knew nothing was told the list
 
     async def start(self) -> None:
         """Listen on a free port; after a stop at the same one, with the events told so far."""
@@ -36,9 +36,9 @@
 
     async def tell(self, pool: dict) -> None:
         """A new event: ``pool`` as in the protocol."""
-        async with self._news:
+        async with self._changed:
             self._events.append({"rev": len(self._events) + 1, "pool": pool})
-            self._news.notify_all()
+            self._changed.notify_all()
 
     def anew(self) -> None:
         """Begin to count again, as for a proxy that has just started."""
@@ -84,7 +84,7 @@
                 return
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n")
             if last == 0 and self._events:
-                self.first_told.append(asyncio.get_running_loop().time())
+                self.first_listed.append(asyncio.get_running_loop().time())
             while not writer.is_closing():
                 for event in self._events[last:]:
                     writer.write(f"id: {event['rev']}\ndata: {json.dumps(event)}\n\n".encode())
@@ -92,5 +92,5 @@
                 writer.write(b":\n\n")
                 await writer.drain()
                 with contextlib.suppress(TimeoutError):
-                    async with asyncio.timeout(COMMENT_EVERY_S), self._news:
-                        await self._news.wait_for(lambda: len(self._events) > last)  # noqa: B023
+                    async with asyncio.timeout(COMMENT_INTERVAL_S), self._changed:
+                        await self._changed.wait_for(lambda: len(self._events) > last)  # noqa: B023
--- a/emulators/fleet.py
+++ b/emulators/fleet.py
@@ -17,11 +17,11 @@
 from emulators.server import CallServer
 
 ROOT = Path(__file__).parent.parent
-WAIT_S = 40.0
-LOOK_S, LOOK_MOST_S = 0.02, 0.4
+LOG_TIMEOUT_S = 40.0
+POLL_INTERVAL_S, POLL_INTERVAL_MAX_S = 0.02, 0.4
 
 
-_GIVEN: set[int] = set()
+_ASSIGNED_PORTS: set[int] = set()
 
 
 def free_port() -> int:
@@ -34,8 +34,8 @@
         with socket.socket() as probe:
             probe.bind(("127.0.0.1", 0))
             port = probe.getsockname()[1]
-        if port not in _GIVEN:
-            _GIVEN.add(port)
+        if port not in _ASSIGNED_PORTS:
+            _ASSIGNED_PORTS.add(port)
             return port
 
 
@@ -57,13 +57,13 @@
 
         Looks less and less often: guards a rig that starts hundreds against reading 15,000 logs a second.
         """
-        pause_s = LOOK_S
-        async with asyncio.timeout(WAIT_S):
+        interval_s = POLL_INTERVAL_S
+        async with asyncio.timeout(LOG_TIMEOUT_S):
             while words not in self.text():
                 if self.process.returncode is not None:
                     raise AssertionError(f"ended with {self.process.returncode}: {self.text()}")
-                await asyncio.sleep(pause_s)
-                pause_s = min(LOOK_MOST_S, 1.3 * pause_s)
+                await asyncio.sleep(interval_s)
+                interval_s = min(POLL_INTERVAL_MAX_S, 1.3 * interval_s)
 
     def freeze(self) -> None:
         """Stop it where it is, whatever it is in the middle of."""
@@ -180,9 +180,9 @@
 @contextlib.asynccontextmanager
 async def fleet(folder: Path, servers: list[CallServer], instances: int) -> AsyncIterator[Fleet]:
     """A fleet that ends with the block."""
-    made = Fleet(folder, servers, instances)
-    await made.start()
+    started = Fleet(folder, servers, instances)
+    await started.start()
     try:
-        yield made
+        yield started
     finally:
-        await made.stop()
+        await started.stop()
--- a/emulators/front.py
+++ b/emulators/front.py
@@ -8,14 +8,14 @@
 from canvasplank.config.addresses import parse_address
 
 TEST_ID = "0" * 15 + "1"
-TEST_S = 2.0
+TEST_TIMEOUT_S = 2.0
 
 
 async def passes_test(address: str) -> bool:
     """Whether the proxy there says that callers may be sent to it; one that says nothing does not."""
     writer = None
     try:
-        async with asyncio.timeout(TEST_S):
+        async with asyncio.timeout(TEST_TIMEOUT_S):
             reader, writer = await asyncio.open_connection(*parse_address(address))
             writer.write(isup.encode(isup.Message(isup.Kind.TEST, TEST_ID, {isup.Parameter.CAUSE: b"\0"})))
             messages = list(isup.Parser().feed(await reader.read(1024)))
--- a/emulators/link.py
+++ b/emulators/link.py
@@ -13,7 +13,7 @@
 from canvasplank.config.addresses import parse_address
 from emulators.tasks import Tasks
 
-READ_MOST = 65_536
+READ_MAX_BYTES = 65_536
 
 
 class Link:
@@ -23,7 +23,7 @@
         self.target = target
         self.delay_s = 0.0  # each way
         self.connections = 0
-        self._open = {"there": asyncio.Event(), "back": asyncio.Event()}
+        self._passing = {"there": asyncio.Event(), "back": asyncio.Event()}
         self._writers: set[asyncio.StreamWriter] = set()
         self._tasks = Tasks()
         self.heal()
@@ -39,13 +39,13 @@
 
     def cut(self, *ways: str) -> None:
         """Hold back what goes these ways: ``there`` (to the server), ``back``, or both."""
-        for way in ways or self._open:
-            self._open[way].clear()
+        for way in ways or self._passing:
+            self._passing[way].clear()
 
     def heal(self) -> None:
         """Let everything through."""
-        for passes in self._open.values():
-            passes.set()
+        for passing in self._passing.values():
+            passing.set()
 
     def reset(self) -> None:
         """End every connection at both ends; what was held back on them is lost."""
@@ -62,27 +62,27 @@
         self.connections += 1
         self._writers.add(writer)
         try:
-            await self._open["there"].wait()
-            far_reader, far_writer = await asyncio.open_connection(*parse_address(self.target))
+            await self._passing["there"].wait()
+            target_reader, target_writer = await asyncio.open_connection(*parse_address(self.target))
         except OSError:
             writer.transport.abort()
             return
         finally:
             self._writers.discard(writer)
-        self._writers |= {writer, far_writer}
-        there = self._tasks.keep(self._pump("there", reader, far_writer))
-        back = self._tasks.keep(self._pump("back", far_reader, writer))
+        self._writers |= {writer, target_writer}
+        there = self._tasks.keep(self._pump("there", reader, target_writer))
+        back = self._tasks.keep(self._pump("back", target_reader, writer))
         with contextlib.suppress(asyncio.CancelledError):
             await asyncio.wait({there, back}, return_when=asyncio.FIRST_COMPLETED)
-        for end in (writer, far_writer):
+        for end in (writer, target_writer):
             self._writers.discard(end)
             end.transport.abort()
 
     async def _pump(self, way: str, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         with contextlib.suppress(OSError):
-            while data := await reader.read(READ_MOST):
+            while data := await reader.read(READ_MAX_BYTES):
                 if self.delay_s:
                     await asyncio.sleep(self.delay_s)
-                await self._open[way].wait()
+                await self._passing[way].wait()
                 writer.write(data)
                 await writer.drain()
--- a/emulators/server.py
+++ b/emulators/server.py
@@ -15,10 +15,10 @@
 from canvasplank.codecs import sip
 from emulators.tasks import Tasks
 
-REJECT_SHARE, RELEASE_SHARE = 0.2, 0.15  # of a set-up's work
-TELLS_EVERY_S = 0.5
-WARMS_EVERY_S = 0.1
-SECOND_MS = 1000.0
+REJECTION_COST, RELEASE_COST = 0.2, 0.15  # of a set-up's work
+REPORT_INTERVAL_S = 0.5
+WARM_UP_STEP_S = 0.1
+MS_PER_S = 1000.0
 
 
 @dataclass(slots=True)
@@ -27,7 +27,7 @@
 
     writer: asyncio.StreamWriter
     invite: sip.Message | None
-    share: float = 1.0
+    cost: float = 1.0
 
 
 @dataclass
@@ -44,13 +44,13 @@
     set_ups: int = 0
     connections: int = 0  # open now
     accepted: list[float] = field(default_factory=list)  # when each came, in seconds of the loop's clock
-    came: list[float] = field(default_factory=list)  # when each set-up did
-    started_ms: float = 0.0  # Unix; 0: long ago.  One that has just started is as slow as ``begin_cold`` says
-    stood: set[str] = field(default_factory=set)
-    cancelled: set[str] = field(default_factory=set)
+    set_ups_at_s: list[float] = field(default_factory=list)  # when each set-up did
+    started_ms: float = 0.0  # Unix; 0: long ago.  One that has just started is as slow as ``start_cold`` says
+    established: set[str] = field(default_factory=set)
+    _cancelled: set[str] = field(default_factory=set)
     _queue: deque[Job] = field(default_factory=deque)
-    _arrived: asyncio.Event = field(default_factory=asyncio.Event)
-    _standing: dict[str, asyncio.Task] = field(default_factory=dict)
+    _job_queued: asyncio.Event = field(default_factory=asyncio.Event)
+    _calls: dict[str, asyncio.Task] = field(default_factory=dict)
     _tasks: Tasks = field(default_factory=Tasks)
 
     async def start(self) -> None:
@@ -68,86 +68,86 @@
         self._server.close()
         await self._tasks.end()
 
-    async def begin_cold(self, share: float, warm_s: float) -> None:
+    async def start_cold(self, fraction: float, warm_up_s: float) -> None:
         """As one that has just started: from this share of its speed to all of it, evenly."""
-        self.started_ms, began = time.time() * SECOND_MS, time.monotonic()
-        while (age := (time.monotonic() - began) / warm_s) < 1.0:
-            self.speed = share + (1.0 - share) * age
-            await asyncio.sleep(WARMS_EVERY_S)
+        self.started_ms, start_s = time.time() * MS_PER_S, time.monotonic()
+        while (age := (time.monotonic() - start_s) / warm_up_s) < 1.0:
+            self.speed = fraction + (1.0 - fraction) * age
+            await asyncio.sleep(WARM_UP_STEP_S)
         self.speed = 1.0
 
-    def wait_ms(self) -> float:
+    def queue_delay_ms(self) -> float:
         """How long what comes now would wait."""
-        return sum(job.share for job in self._queue) * SECOND_MS / self.capacity_per_s / self.speed
+        return sum(job.cost for job in self._queue) * MS_PER_S / self.capacity_per_s / self.speed
 
     async def _process(self) -> None:
         while True:
             while not self._queue:
-                self._arrived.clear()
-                await self._arrived.wait()
+                self._job_queued.clear()
+                await self._job_queued.wait()
             job = self._queue[0]
-            if job.invite is not None and job.invite.call_id in self.cancelled:
+            if job.invite is not None and job.invite.call_id in self._cancelled:
                 self._queue.popleft()
                 continue
-            await asyncio.sleep(job.share / self.capacity_per_s / self.speed)
+            await asyncio.sleep(job.cost / self.capacity_per_s / self.speed)
             self._queue.popleft()
-            if job.invite is not None and job.invite.call_id not in self.cancelled:
+            if job.invite is not None and job.invite.call_id not in self._cancelled:
                 self._answer(job.writer, job.invite)
 
-    def _put(self, job: Job) -> None:
+    def _enqueue(self, job: Job) -> None:
         self._queue.append(job)
-        self._arrived.set()
+        self._job_queued.set()
 
-    def _say(self, writer: asyncio.StreamWriter, data: bytes) -> None:
+    def _send(self, writer: asyncio.StreamWriter, data: bytes) -> None:
         if not self.silent and not writer.is_closing():
             writer.write(data)
 
     def _answer(self, writer: asyncio.StreamWriter, invite: sip.Message) -> None:
         body = b"answer " + invite.call_id.encode()
         head = sip.response(200, "OK", invite)
-        self._say(writer, head.replace(b"Content-Length: 0", b"Content-Length: %d" % len(body)) + body)
-        self.stood.add(invite.call_id)
-        self._standing[invite.call_id] = self._tasks.keep(self._hold(writer, invite.call_id))
+        self._send(writer, head.replace(b"Content-Length: 0", b"Content-Length: %d" % len(body)) + body)
+        self.established.add(invite.call_id)
+        self._calls[invite.call_id] = self._tasks.keep(self._hold(writer, invite.call_id))
 
     async def _hold(self, writer: asyncio.StreamWriter, call_id: str) -> None:
-        await asyncio.sleep(self.hold_ms / SECOND_MS)
-        self._standing.pop(call_id, None)
-        self._say(writer, sip.request("BYE", "caller", call_id, 2, {"Reason": "Q.850;cause=16"}))
-        self._put(Job(writer, None, RELEASE_SHARE))
+        await asyncio.sleep(self.hold_ms / MS_PER_S)
+        self._calls.pop(call_id, None)
+        self._send(writer, sip.request("BYE", "caller", call_id, 2, {"Reason": "Q.850;cause=16"}))
+        self._enqueue(Job(writer, None, RELEASE_COST))
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         parser = sip.Parser()
         self.connections += 1
         self.accepted.append(asyncio.get_running_loop().time())
-        self._tasks.keep(self._tell(writer))
+        self._tasks.keep(self._report_load(writer))
         with contextlib.suppress(OSError, asyncio.CancelledError):  # cancelled at the end: no error to print
             while data := await reader.read(16_384):
                 for message in parser.feed(data):
-                    self._take(writer, message)
+                    self._on_message(writer, message)
         self.connections -= 1
         writer.close()
 
-    async def _tell(self, writer: asyncio.StreamWriter) -> None:
+    async def _report_load(self, writer: asyncio.StreamWriter) -> None:
         while not writer.is_closing():
-            load_reports = {"X-Gauges": f"free:{self.lines - len(self._standing)};size:{self.lines}"}
-            self._say(writer, sip.request("NOTIFY", "exchange", "0" * 16, 1, load_reports))
-            await asyncio.sleep(TELLS_EVERY_S)
+            headers = {"X-Gauges": f"free:{self.lines - len(self._calls)};size:{self.lines}"}
+            self._send(writer, sip.request("NOTIFY", "exchange", "0" * 16, 1, headers))
+            await asyncio.sleep(REPORT_INTERVAL_S)
 
-    def _take(self, writer: asyncio.StreamWriter, message: sip.Message) -> None:
+    def _on_message(self, writer: asyncio.StreamWriter, message: sip.Message) -> None:
         match message.method, message.status:
             case "INVITE", 0:
                 self.set_ups += 1
-                self.came.append(asyncio.get_running_loop().time())
-                self.cancelled.discard(message.call_id)
-                if self.wait_ms() > self.full_ms:
+                self.set_ups_at_s.append(asyncio.get_running_loop().time())
+                self._cancelled.discard(message.call_id)
+                if self.queue_delay_ms() > self.full_ms:
                     full = sip.response(503, "full", message)
                     full = full.replace(b"Content-Length", b"X-Outcome: cpu_full\r\nContent-Length")
-                    self._say(writer, full)
-                    self._put(Job(writer, None, REJECT_SHARE))
+                    self._send(writer, full)
+                    self._enqueue(Job(writer, None, REJECTION_COST))
                 else:
-                    self._put(Job(writer, message))
+                    self._enqueue(Job(writer, message))
             case (("BYE" | "CANCEL"), 0):
-                self.cancelled.add(message.call_id)
-                if (call := self._standing.pop(message.call_id, None)) is not None:
+                self._cancelled.add(message.call_id)
+                if (call := self._calls.pop(message.call_id, None)) is not None:
                     call.cancel()
-                self._say(writer, sip.response(200, "OK", message))
+                self._send(writer, sip.response(200, "OK", message))
--- a/experiments/experiment_run.py
+++ b/experiments/experiment_run.py
@@ -96,11 +96,11 @@
         """Take from the emulators, the logs and the processes what they have noted."""
         observations, start_unix_s = self._observations, time.time() - self._now_s()
         observations.polled_at_s = self._since_start(self._fleet.discovery.polls)
-        observations.listed_at_s = self._since_start(self._fleet.discovery.first_told)
+        observations.listed_at_s = self._since_start(self._fleet.discovery.first_listed)
         for server in self._fleet.servers:
             observations.connected_at_s[server.name] = self._since_start(server.accepted)
             observations.open_connections[server.name] = server.connections
-            observations.set_ups_at_s[server.name] = self._since_start(server.came)
+            observations.set_ups_at_s[server.name] = self._since_start(server.set_ups_at_s)
         observations.calls = [
             CallResult(each.due_s - start_unix_s, each.outcome, each.took_s)
             for each in self._callers.tries.values()
--- a/experiments/fault_injection.py
+++ b/experiments/fault_injection.py
@@ -127,7 +127,7 @@
                 self._observations.cold_servers[server.name] = ColdServer(
                     self._now_s(), fraction, warm_up_ms / MS, factor, overload_ms / MS
                 )
-                self._tasks.keep(server.begin_cold(fraction, warm_up_ms / MS))
+                self._tasks.keep(server.start_cold(fraction, warm_up_ms / MS))
         await asyncio.sleep(0)  # each server sets its start time first
         await self._fleet.list(*self._fleet.servers)
 
