--- a/emulators/__init__.py
+++ b/emulators/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins written for this project, on loopback only: call servers, the notice board, callers, a store."""
+"""Emulators of outside systems, on loopback only: call servers, service discovery, callers, a store."""
--- a/emulators/callers.py
+++ b/emulators/callers.py
@@ -1,7 +1,7 @@
-"""Open-loop callers: they come at times drawn ahead, whether or not anything is answered.
+"""An emulator of open-loop callers: calls arrive at random times, whether or not earlier ones are answered.
 
-A call's wait is counted from when it was due to come, not from when it could be sent, so that a frozen proxy
-or a busy machine shows in the figures instead of hiding in fewer calls (no coordinated omission).
+The time to an answer counts from when a call was due, not from when it could be sent, so that a frozen proxy
+or a busy machine shows as long waits instead of fewer calls (no coordinated omission).
 """
 
 from __future__ import annotations
@@ -16,18 +16,18 @@
 from canvasplank.config.addresses import parse_address
 from emulators.tasks import Tasks
 
-REFUSAL_CAUSES = (34, 42, 102)
+REFUSAL_CAUSES = (34, 42, 102)  # Q.850: no circuit, congestion, recovery on timer expiry
 
 
 @dataclass(frozen=True, slots=True)
 class CallerClass:
-    """What callers of one class want."""
+    """A class of callers: its share of the calls, its weight, and its latency objective and deadline."""
 
     name: str
     share: float
     weight: float
-    aim_s: float
-    wait_s: float
+    aim_s: float  # an answer within this is worth ``weight``
+    wait_s: float  # a caller gives up after this
 
 
 CLASSES = (
@@ -38,7 +38,7 @@
 
 @dataclass(slots=True)
 class Try:
-    """One set-up and what became of it; times are Unix seconds, ``due_s`` when it was to be sent."""
+    """One set-up and its outcome; times are Unix seconds, ``due_s`` when it was to be sent."""
 
     id: str
     kind: CallerClass
@@ -51,12 +51,12 @@
 
     @property
     def took_s(self) -> float:
-        """From when it was due to its answer."""
+        """From when it was due to its answer, or to now."""
         return (self.answered_s or time.time()) - self.due_s
 
 
 class Callers:
-    """All callers, with one connection to each proxy."""
+    """All callers, with one connection to each proxy; ``tries`` holds every call by its id."""
 
     def __init__(self, seed: int, classes: tuple[CallerClass, ...] = CLASSES, pools: int = 1) -> None:
         self.random = random.Random(seed)
@@ -68,18 +68,18 @@
         self._tasks = Tasks()
 
     async def add_proxy(self, address: str) -> None:
-        """Callers come to this proxy too from now on."""
+        """Connect to this proxy; callers choose it too from now on."""
         reader, writer = await asyncio.open_connection(*parse_address(address))
         self._streams[address] = writer
         self._tasks.keep(self._read(address, reader))
         self.proxies.append(address)
 
     def drop_proxy(self, address: str) -> None:
-        """Nobody new comes to it."""
+        """Send no new calls to this proxy; those that are open go on."""
         self.proxies.remove(address)
 
     async def offer(self, rate_per_s: float, for_s: float) -> None:
-        """Arrivals at random (Poisson), all drawn against the clock and none waiting for an answer."""
+        """Place calls at this mean rate (Poisson arrivals by the clock), without waiting for answers."""
         start_s = due = time.time()
         while (due := due + self.random.expovariate(rate_per_s)) < start_s + for_s:
             if (delay_s := due - time.time()) > 0:
@@ -89,7 +89,7 @@
             await asyncio.sleep(delay_s)
 
     def place(self, due_s: float) -> Try:
-        """One call, to a proxy at random; while there is none, it is lost like one whose proxy dies."""
+        """Place a call at a random proxy; without one it is lost, like a call whose proxy dies."""
         kind = self.random.choices(self.classes, [c.share for c in self.classes])[0]
         proxy = self.random.choice(self.proxies) if self.proxies else ""
         attempt = Try(f"{self.random.getrandbits(64) | 1:016x}", kind, proxy, due_s)
@@ -97,7 +97,7 @@
         if not proxy:
             attempt.outcome, attempt.answered_s = "lost", time.time()
             return attempt
-        parameters = {
+        parameters: dict[int, bytes] = {
             isup.Parameter.CLASS: kind.name.encode(),
             isup.Parameter.WAIT: b"%d" % max(1, (due_s + kind.wait_s - time.time()) * 1000),
             isup.Parameter.NUMBER: b"%016x" % self.random.getrandbits(64),
@@ -114,7 +114,7 @@
             self._write(attempt.proxy, isup.release(attempt.id, isup.Cause.NORMAL))
 
     def _write(self, address: str, data: bytes) -> None:
-        """On the connection to a proxy, where that is open; what cannot be written finds no answer."""
+        """Send to a proxy where its connection is open; what cannot be sent stays unanswered."""
         writer = self._streams.get(address)
         if writer is not None and not writer.is_closing():
             writer.write(data)
@@ -128,7 +128,7 @@
         for attempt in self.tries.values():
             if attempt.proxy == address and attempt.outcome == "open":
                 attempt.outcome, attempt.answered_s = "lost", time.time()
-        if address in self.proxies:  # a proxy ends a connection that says nothing for long
+        if address in self.proxies:  # a proxy closes a connection that is idle for long
             with contextlib.suppress(OSError):
                 reader, self._streams[address] = await asyncio.open_connection(*parse_address(address))
                 self._tasks.keep(self._read(address, reader))
@@ -152,13 +152,13 @@
             attempt.outcome = "refused" if message.cause in REFUSAL_CAUSES else "failed"
 
     async def settled(self, within_s: float) -> None:
-        """Wait until every try has its answer."""
+        """Wait until no call is open, ``within_s`` at most."""
         until = time.time() + within_s
         while time.time() < until and any(t.outcome == "open" for t in self.tries.values()):
             await asyncio.sleep(0.02)
 
     async def stop(self) -> None:
-        """Go."""
+        """Close all connections."""
         self.proxies.clear()
         for writer in self._streams.values():
             writer.close()
@@ -166,8 +166,8 @@
 
 
 def service(tries: list[Try]) -> float:
-    """Worth answered within its aim, and a tenth of it later, over the worth asked for."""
-    asked = sum(t.kind.weight for t in tries)
+    """The weight of the calls served, a tenth of it where later than ``aim_s``, over the weight of all."""
+    offered = sum(t.kind.weight for t in tries)
     served = [t for t in tries if t.outcome == "served"]
-    got = sum(t.kind.weight * (1.0 if t.took_s <= t.kind.aim_s else 0.1) for t in served)
-    return got / asked if asked else 1.0
+    earned = sum(t.kind.weight * (1.0 if t.took_s <= t.kind.aim_s else 0.1) for t in served)
+    return earned / offered if offered else 1.0
--- a/emulators/fleet.py
+++ b/emulators/fleet.py
@@ -1,4 +1,4 @@
-"""Proxies as they are started in service, beside stand-in call servers and a stand-in board."""
+"""A fleet of proxies, started as in service, beside emulators of call servers and service discovery."""
 
 from __future__ import annotations
 
@@ -12,12 +12,13 @@
 from collections.abc import AsyncIterator, Callable
 from dataclasses import dataclass
 from pathlib import Path
+from typing import Any
 
 from emulators.discovery import Discovery
 from emulators.server import CallServer
 
 ROOT = Path(__file__).parent.parent
-LOG_TIMEOUT_S = 40.0
+LOG_TIMEOUT_S = 40.0  # for a line in a log
 POLL_INTERVAL_S, POLL_INTERVAL_MAX_S = 0.02, 0.4
 
 
@@ -25,15 +26,15 @@
 
 
 def free_port() -> int:
-    """A port that nobody uses now, and that was given to nobody before.
+    """A free port that this process has not returned before.
 
-    Guards hundreds that start at once against a port given twice before its first owner listens: listeners
-    share theirs, so two proxies would divide the callers of both.
+    Listeners share their ports (``SO_REUSEPORT``): were one returned twice before its first owner
+    listens, two of hundreds that start at once would divide the callers of both.
     """
     while True:
         with socket.socket() as probe:
             probe.bind(("127.0.0.1", 0))
-            port = probe.getsockname()[1]
+            port: int = probe.getsockname()[1]
         if port not in _ASSIGNED_PORTS:
             _ASSIGNED_PORTS.add(port)
             return port
@@ -41,7 +42,7 @@
 
 @dataclass
 class Proxy:
-    """One process of the program."""
+    """One process of the program; ``address`` is that of its callers."""
 
     name: str
     address: str
@@ -49,13 +50,13 @@
     log: Path
 
     def text(self) -> str:
-        """Its log so far."""
+        """The text of its log so far."""
         return self.log.read_text()
 
     async def prints(self, words: str) -> None:
-        """Wait until its log says so.
+        """Wait until its log contains this; ``AssertionError`` when it exits, ``TimeoutError`` when late.
 
-        Looks less and less often: guards a rig that starts hundreds against reading 15,000 logs a second.
+        The interval between reads grows: hundreds of starting proxies would mean 15,000 reads a second.
         """
         interval_s = POLL_INTERVAL_S
         async with asyncio.timeout(LOG_TIMEOUT_S):
@@ -66,40 +67,45 @@
                 interval_s = min(POLL_INTERVAL_MAX_S, 1.3 * interval_s)
 
     def freeze(self) -> None:
-        """Stop it where it is, whatever it is in the middle of."""
+        """Stop it where it is (SIGSTOP)."""
         self.process.send_signal(signal.SIGSTOP)
 
     def wake(self) -> None:
-        """Have it go on, as if no time had passed."""
+        """Let it go on (SIGCONT)."""
         self.process.send_signal(signal.SIGCONT)
 
     async def stop(self, how: signal.Signals = signal.SIGTERM) -> int:
-        """Signal it and wait for its end."""
+        """Send this signal and wait for its end; return its exit code."""
         with contextlib.suppress(ProcessLookupError):
             self.process.send_signal(how)
         return await self.process.wait()
 
 
 class Fleet:
-    """Call servers, a board and proxies."""
+    """Call servers, service discovery, and the proxies that were started.
+
+    ``in_configuration``, ``nice`` and ``discovery_for`` are set before the proxies they are for are started.
+    """
 
     def __init__(self, folder: Path, servers: list[CallServer], instances: int) -> None:
         self.folder, self.servers, self.instances = folder, servers, instances
         self.discovery = Discovery()
         self.in_configuration = True  # whether a proxy's configuration names the servers
-        self.nice = 0  # of the proxies: above 0, this process comes before them
-        self.discovery_for: Callable[[str], str] = lambda _: self.discovery.address  # as a proxy finds it
+        self.nice = 0  # of the proxies; above 0, this process has priority
+        self.discovery_for: Callable[[str], str] = lambda _: (
+            self.discovery.address
+        )  # by a proxy's name, its address of service discovery
         self.proxies: list[Proxy] = []
 
     async def start(self) -> None:
-        """Start the servers and the board; proxies come with ``proxy``."""
+        """Start the servers and service discovery, and list the servers; proxies are started by ``proxy``."""
         for server in self.servers:
             await server.start()
         await self.discovery.start()
         await self.list(*self.servers)
 
     async def list(self, *servers: CallServer) -> None:
-        """Have the board tell that these are the call servers; each is the one of its pool."""
+        """Publish these call servers as the list; each has a pool of its own."""
         entries = [
             {
                 "instanceId": server.name,
@@ -116,12 +122,12 @@
         await self.discovery.tell({"generation": 1, "reset": True, "instances": entries})
 
     @property
-    def settings(self) -> dict:
-        """What every proxy is told to go by."""
-        holds = [server.hold_ms for server in self.servers]
-        return service_settings(self.instances, len(holds), sum(holds) / len(holds))
+    def settings(self) -> dict[str, Any]:
+        """The platform settings of every proxy."""
+        hold_ms = [server.hold_ms for server in self.servers]
+        return service_settings(self.instances, len(hold_ms), sum(hold_ms) / len(hold_ms))
 
-    def _configuration(self, name: str, address: str, seed: int) -> dict:
+    def _configuration(self, name: str, address: str, seed: int) -> dict[str, Any]:
         known = self.discovery.known() if self.in_configuration else {"rev": 0, "notices": []}
         return _example() | {
             "name": name,
@@ -133,7 +139,7 @@
         }
 
     async def proxy(self, name: str, seed: int, **environment: str) -> Proxy:
-        """Start one and wait until it listens."""
+        """Start a proxy, with ``environment`` beside its configuration, and wait until it listens."""
         address = f"127.0.0.1:{free_port()}"
         path, log = self.folder / f"{name}.json", self.folder / f"{name}.log"
         path.write_text(json.dumps(self._configuration(name, address, seed)))
@@ -156,7 +162,7 @@
         return proxy
 
     async def stop(self) -> None:
-        """End everything."""
+        """Kill the proxies, and stop the emulators."""
         for proxy in self.proxies:
             if proxy.process.returncode is None:
                 await proxy.stop(signal.SIGKILL)
@@ -165,21 +171,22 @@
             await server.stop()
 
 
-def service_settings(instances: int, servers: int, hold_ms: float) -> dict:
-    """The example's settings for a fleet of this size, each server in a pool of its own."""
+def service_settings(instances: int, servers: int, hold_ms: float) -> dict[str, Any]:
+    """The platform settings of the example for a fleet of this size, each server in a pool of its own."""
     pools = list(range(servers))
-    settings = _example()["settings"]
+    settings: dict[str, Any] = _example()["settings"]
     family = settings["family_info"] | {"skilled_pools": [pools, pools], "class_hold_ms": [hold_ms] * 2}
     return settings | {"instances": instances, "family_info": family}
 
 
-def _example() -> dict:
-    return json.loads((ROOT / "examples" / "config.json").read_text())
+def _example() -> dict[str, Any]:
+    example: dict[str, Any] = json.loads((ROOT / "examples" / "config.json").read_text())
+    return example
 
 
 @contextlib.asynccontextmanager
 async def fleet(folder: Path, servers: list[CallServer], instances: int) -> AsyncIterator[Fleet]:
-    """A fleet that ends with the block."""
+    """A started fleet, that is stopped at the end of the block."""
     started = Fleet(folder, servers, instances)
     await started.start()
     try:
--- a/emulators/front.py
+++ b/emulators/front.py
@@ -1,4 +1,4 @@
-"""What a front does before it sends callers to a proxy: a test, as the protocol has it."""
+"""An emulator of a front: the health test that a proxy passes before callers are sent to it."""
 
 from __future__ import annotations
 
@@ -9,10 +9,11 @@
 
 TEST_ID = "0" * 15 + "1"
 TEST_TIMEOUT_S = 2.0
+READY_CAUSE = 1
 
 
 async def passes_test(address: str) -> bool:
-    """Whether the proxy there says that callers may be sent to it; one that says nothing does not."""
+    """Whether the proxy there answers, within ``TEST_TIMEOUT_S``, that callers may be sent to it."""
     writer = None
     try:
         async with asyncio.timeout(TEST_TIMEOUT_S):
@@ -24,10 +25,10 @@
     finally:
         if writer is not None:
             writer.close()
-    return bool(messages) and messages[0].cause == 1
+    return bool(messages) and messages[0].cause == READY_CAUSE
 
 
 async def until_passed(address: str, every_s: float = 0.25) -> None:
-    """Wait for the first yes."""
+    """Test a proxy at this interval until it passes."""
     while not await passes_test(address):
         await asyncio.sleep(every_s)
--- a/emulators/link.py
+++ b/emulators/link.py
@@ -1,8 +1,8 @@
-"""A link between two parties that can be made slow, stalled, cut one way or both, or reset.
+"""An emulator of a network path (TCP) that can be delayed, cut in one direction or both, or reset.
 
-What a cut or a stall holds back is not lost: it arrives when the link heals, late, as TCP has it, unless the
-connection was reset meanwhile.  So an answer held back on the way to the client is a commit whose answer does
-not arrive, and a request held back on the way to the server is one that may yet be carried out.
+A cut holds data back and loses none: it arrives, late, when the link heals, unless the connection was reset
+meanwhile. So a response held back on the way to the client is a commit whose response is missing, and a
+request held back on the way to the server is one that may yet be executed.
 """
 
 from __future__ import annotations
@@ -17,12 +17,12 @@
 
 
 class Link:
-    """Listens for clients and connects each to one server."""
+    """Accepts clients and connects each to ``target`` (``host:port``)."""
 
     def __init__(self, target: str) -> None:
         self.target = target
-        self.delay_s = 0.0  # each way
-        self.connections = 0
+        self.delay_s = 0.0  # in each direction, for each read
+        self.connections = 0  # accepted so far
         self._passing = {"there": asyncio.Event(), "back": asyncio.Event()}
         self._writers: set[asyncio.StreamWriter] = set()
         self._tasks = Tasks()
@@ -34,26 +34,26 @@
 
     @property
     def address(self) -> str:
-        """Where clients find it."""
+        """Its ``host:port`` for clients."""
         return f"127.0.0.1:{self._server.sockets[0].getsockname()[1]}"
 
     def cut(self, *ways: str) -> None:
-        """Hold back what goes these ways: ``there`` (to the server), ``back``, or both."""
+        """Hold back one direction, ``there`` (to the server) or ``back``, or both (none named)."""
         for way in ways or self._passing:
             self._passing[way].clear()
 
     def heal(self) -> None:
-        """Let everything through."""
+        """Let both directions pass again, first what was held back."""
         for passing in self._passing.values():
             passing.set()
 
     def reset(self) -> None:
-        """End every connection at both ends; what was held back on them is lost."""
+        """Abort every connection at both ends; what was held back on them is lost."""
         for writer in list(self._writers):
             writer.transport.abort()
 
     async def stop(self) -> None:
-        """End everything."""
+        """Stop listening and abort every connection."""
         self._server.close()
         self.reset()
         await self._tasks.end()
--- a/emulators/server.py
+++ b/emulators/server.py
@@ -1,7 +1,8 @@
-"""A stand-in call server: SIP on loopback, one processor with a queue, that can be slowed while it runs.
+"""An emulator of a call server: SIP on loopback, one processor with a queue, slowed down at will.
 
-A set-up costs ``1000 / capacity`` ms of processor and waits in line for it.  Once the wait passes ``full_ms``
-set-ups are turned away with 'processor full', for a fifth of the work.  One that was cancelled is dropped.
+A set-up costs ``1000 / capacity_per_s`` ms of processor time and queues for it. Once the queue's delay passes
+``full_ms``, set-ups are rejected with 'processor full' (503), for a fifth of the work. One that was cancelled
+is dropped from the queue.
 """
 
 from __future__ import annotations
@@ -23,7 +24,7 @@
 
 @dataclass(slots=True)
 class Job:
-    """One piece of work for the processor; ``writer`` is where its answer goes."""
+    """Work for the processor: a set-up to answer on ``writer``, or only cost; ``cost`` is in set-ups."""
 
     writer: asyncio.StreamWriter
     invite: sip.Message | None
@@ -32,7 +33,11 @@
 
 @dataclass
 class CallServer:
-    """One call server; ``speed`` may be changed at any time, 1 is its usual one."""
+    """One call server; ``speed`` (1: as in ``capacity_per_s``) and ``silent`` may be changed at any time.
+
+    A call that is answered is held for ``hold_ms``, then ended from here. ``lines`` bounds the free circuits
+    that it reports, not the calls it takes.
+    """
 
     name: str
     capacity_per_s: float
@@ -40,17 +45,21 @@
     full_ms: float = 2500.0
     lines: int = 400
     speed: float = 1.0
-    silent: bool = False  # reads, and says nothing
+    silent: bool = False  # reads and sends nothing
     set_ups: int = 0
     connections: int = 0  # open now
-    accepted: list[float] = field(default_factory=list)  # when each came, in seconds of the loop's clock
-    set_ups_at_s: list[float] = field(default_factory=list)  # when each set-up did
-    started_ms: float = 0.0  # Unix; 0: long ago.  One that has just started is as slow as ``start_cold`` says
-    established: set[str] = field(default_factory=set)
+    accepted: list[float] = field(
+        default_factory=list
+    )  # when each connection was, in seconds of the loop's clock
+    set_ups_at_s: list[float] = field(
+        default_factory=list
+    )  # when each set-up was received, on the same clock
+    started_ms: float = 0.0  # Unix; 0: long ago; set by ``start_cold``
+    established: set[str] = field(default_factory=set)  # call ids that were answered
     _cancelled: set[str] = field(default_factory=set)
     _queue: deque[Job] = field(default_factory=deque)
     _job_queued: asyncio.Event = field(default_factory=asyncio.Event)
-    _calls: dict[str, asyncio.Task] = field(default_factory=dict)
+    _calls: dict[str, asyncio.Task[None]] = field(default_factory=dict)
     _tasks: Tasks = field(default_factory=Tasks)
 
     async def start(self) -> None:
@@ -60,16 +69,16 @@
 
     @property
     def address(self) -> str:
-        """Where it listens."""
+        """Its ``host:port``."""
         return f"127.0.0.1:{self._server.sockets[0].getsockname()[1]}"
 
     async def stop(self) -> None:
-        """End everything."""
+        """Stop listening and end all calls."""
         self._server.close()
         await self._tasks.end()
 
     async def start_cold(self, fraction: float, warm_up_s: float) -> None:
-        """As one that has just started: from this share of its speed to all of it, evenly."""
+        """Act as just started: from this fraction of its speed, evenly, to all of it after ``warm_up_s``."""
         self.started_ms, start_s = time.time() * MS_PER_S, time.monotonic()
         while (age := (time.monotonic() - start_s) / warm_up_s) < 1.0:
             self.speed = fraction + (1.0 - fraction) * age
@@ -77,7 +86,7 @@
         self.speed = 1.0
 
     def queue_delay_ms(self) -> float:
-        """How long what comes now would wait."""
+        """How long a set-up that arrives now would wait for the processor."""
         return sum(job.cost for job in self._queue) * MS_PER_S / self.capacity_per_s / self.speed
 
     async def _process(self) -> None:
@@ -120,7 +129,7 @@
         self.connections += 1
         self.accepted.append(asyncio.get_running_loop().time())
         self._tasks.keep(self._report_load(writer))
-        with contextlib.suppress(OSError, asyncio.CancelledError):  # cancelled at the end: no error to print
+        with contextlib.suppress(OSError, asyncio.CancelledError):  # cancelled by ``stop``: no error to print
             while data := await reader.read(16_384):
                 for message in parser.feed(data):
                     self._on_message(writer, message)
--- a/experiments/simulated_proxy.py
+++ b/experiments/simulated_proxy.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import random
+from functools import partial
 from typing import Protocol
 
 from canvasplank import interface as api
@@ -111,7 +112,7 @@
         for endpoint in selected:
             per_s = self._starting.connections_per_s if self._starting else 0.0
             spread_ms = self._rng.uniform(0.0, MS * self._count / per_s) if per_s else 0.0
-            self._clock.call_later(spread_ms, lambda name=endpoint.instance_id: self._connect(name))
+            self._clock.call_later(spread_ms, partial(self._connect, endpoint.instance_id))
         self._handle(api.ServerList(api.ListKind.COMPLETE, tuple(self._to_server(each) for each in selected)))
 
     def _to_server(self, endpoint: Endpoint) -> api.Server:
@@ -140,15 +141,13 @@
         for action in self._controller.handle(self._clock.now_ms, event):
             match action:
                 case api.SetTimer(after_ms, token):
-                    self._clock.call_later(after_ms, lambda token=token: self._handle(api.TimerFired(token)))
+                    self._clock.call_later(after_ms, partial(self._handle, api.TimerFired(token)))
                 case api.SetUp(call_id, server_id, _):
                     self._send(call_id, server_id)
                 case api.Cancel(call_id, attempt):
                     self._clock.call_later(
                         0.0,
-                        lambda call_id=call_id, attempt=attempt: self._on_attempt_ended(
-                            call_id, attempt, api.Outcome.CANCELLED
-                        ),
+                        partial(self._on_attempt_ended, call_id, attempt, api.Outcome.CANCELLED),
                     )
                 case api.Refuse(call_id, _):
                     self._fleet.end_call(call_id, REFUSED)
