--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -1,4 +1,4 @@
-"""The admin commands and the figures, without sockets."""
+"""Commands of the admin address, and the exported counters, without sockets."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 from canvasplank.counters import Counters
 
 
-class Operated:
-    """Stands for the program: says whether it is ready, and notes what it is told."""
+class ProgramRecorder:
+    """A program as the admin commands use it: ready or not, and the commands it received."""
 
     def __init__(self) -> None:
-        self.is_ready, self.told = True, []
+        self.is_ready, self.commands = True, []
 
     def ready(self) -> bool:
         return self.is_ready
@@ -21,36 +21,31 @@
         return ["edge_in_flight 3"]
 
     def quiesce(self) -> None:
-        self.told.append("quiesce")
+        self.commands.append("quiesce")
         self.is_ready = False
 
     def resume(self) -> None:
-        self.told.append("resume")
+        self.commands.append("resume")
         self.is_ready = True
 
 
 @pytest.mark.parametrize(
-    ("lines", "last"),
+    ("lines", "last_response"),
     [
         (["health"], "200 ready\n"),
         (["quiesce", "health"], "400 not ready\n"),
         (["quiesce", "resume", " health \r\n"], "200 ready\n"),
         (["counters"], "200 counters\nedge_in_flight 3\nEOF\n"),
-        (
-            [
-                "",
-            ],
-            "400 unknown command ''\n",
-        ),
+        ([""], "400 unknown command ''\n"),
         (["HEALTH"], "400 unknown command 'HEALTH'\n"),
     ],
 )
-def test_answers(lines, last):
-    admin = Admin(Operated())
-    assert [admin.answer(line) for line in lines][-1] == last
+def test_each_command_gets_its_response(lines, last_response):
+    admin = Admin(ProgramRecorder())
+    assert [admin.answer(line) for line in lines][-1] == last_response
 
 
-def test_figures_by_class():
+def test_counters_by_class():
     counters = Counters()
     for figure, name in [("served", "voice"), ("served", "voice"), ("attempts", "voice"), ("failed", 'a"b')]:
         counters.by_class(figure, name)
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -17,20 +17,21 @@
 WAIT_S = 30.0
 
 
-def started(*arguments: str, **environment: str) -> subprocess.CompletedProcess[str]:
+def run_module(*arguments: str, **environment: str) -> subprocess.CompletedProcess[str]:
     ours = ("EDGE_", "CANVASPLANK_")
-    kept = {name: value for name, value in os.environ.items() if not name.startswith(ours)}
+    inherited = {name: value for name, value in os.environ.items() if not name.startswith(ours)}
     return subprocess.run(
         [sys.executable, "-m", *arguments],
         cwd=ROOT,
-        env=kept | environment,
+        env=inherited | environment,
         text=True,
         capture_output=True,
         timeout=WAIT_S,
     )
 
 
-def is_refused(done: subprocess.CompletedProcess[str], *words: str) -> None:
+def assert_refused(done: subprocess.CompletedProcess[str], *words: str) -> None:
+    """One line on standard error, with these words, and exit status 2."""
     assert done.returncode == 2, done.stderr
     assert done.stderr.count("\n") == 1 and "Traceback" not in done.stderr
     assert all(word in done.stderr for word in words), done.stderr
@@ -48,16 +49,16 @@
 
 
 @pytest.mark.parametrize("name", CONFIGURATIONS)
-def test_a_configuration(tmp_path, name):
+def test_an_unusable_configuration_is_refused(tmp_path, name):
     content, word = CONFIGURATIONS[name]
     path = tmp_path / "config.json"
     path.write_bytes(content if isinstance(content, bytes) else content.encode())
-    is_refused(started("canvasplank", EDGE_CONFIG=str(path)), "canvasplank: ", word)
+    assert_refused(run_module("canvasplank", EDGE_CONFIG=str(path)), "canvasplank: ", word)
 
 
 @pytest.mark.parametrize("path", ["", "no/such/file.json", "."], ids=["not named", "missing", "a folder"])
-def test_a_configuration_that_cannot_be_read(path):
-    is_refused(started("canvasplank", EDGE_CONFIG=path), "canvasplank: configuration")
+def test_an_unreadable_configuration_is_refused(path):
+    assert_refused(run_module("canvasplank", EDGE_CONFIG=path), "canvasplank: configuration")
 
 
 @pytest.mark.parametrize(
@@ -66,10 +67,10 @@
     ids=["not TOML", "an unknown key", "not UTF-8", "missing"],
 )
 @pytest.mark.parametrize("variable", [entry.variable for entry in REGISTRY])
-def test_a_file_of_a_part(tmp_path, variable, content):
-    configuration, path = tmp_path / "config.json", tmp_path / "part.toml"
+def test_an_unusable_extension_file_is_refused(tmp_path, variable, content):
+    configuration, path = tmp_path / "config.json", tmp_path / "extension.toml"
     configuration.write_text(EXAMPLE)
     if content is not None:
         path.write_bytes(content if isinstance(content, bytes) else content.encode())
-    done = started("canvasplank", EDGE_CONFIG=str(configuration), **{variable: str(path)})
-    is_refused(done, "canvasplank: ")
+    done = run_module("canvasplank", EDGE_CONFIG=str(configuration), **{variable: str(path)})
+    assert_refused(done, "canvasplank: ")
--- a/tests/test_emulators.py
+++ b/tests/test_emulators.py
@@ -1,4 +1,4 @@
-"""The stand-ins themselves: one that stops unnoticed would let a proof pass that saw nothing."""
+"""The emulators themselves: one that stops unnoticed would let a test pass that observed nothing."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 from emulators.callers import Callers
 
 
-def test_callers_who_find_no_proxy_for_a_while_are_lost_and_go_on_coming():
+def test_calls_without_a_proxy_are_lost_and_arrivals_continue():
     async def run():
         callers = Callers(seed=1)
         await callers.offer(200.0, 0.3)
         assert len(callers.tries) > 20
-        assert {made.outcome for made in callers.tries.values()} == {"lost"}
+        assert {attempt.outcome for attempt in callers.tries.values()} == {"lost"}
 
     asyncio.run(run())
--- a/tests/test_event_loop.py
+++ b/tests/test_event_loop.py
@@ -1,4 +1,4 @@
-"""The event loop works where Unix sockets are refused: it is woken, and hears signals, through a pipe."""
+"""The event loop on platforms without Unix sockets: signals and other threads wake it through a pipe."""
 
 from __future__ import annotations
 
@@ -11,24 +11,24 @@
 from canvasplank.runtime.event_loop import PipeEventLoop
 
 
-def refused(*_args, **_kwargs):
+def refuse_socket_pair(*_args, **_kwargs):
     raise OSError("no Unix sockets on this platform")
 
 
 def test_signals_and_other_threads_wake_it(monkeypatch):
-    """asyncio's own loop fails at its start here, since its wake-up is a socket pair."""
-    monkeypatch.setattr(socket, "socketpair", refused)
-    heard: list[str] = []
+    """asyncio's own loop, that is woken through a socket pair, fails at its start here."""
+    monkeypatch.setattr(socket, "socketpair", refuse_socket_pair)
+    wake_ups: list[str] = []
 
     async def run() -> None:
         loop = asyncio.get_running_loop()
         done = asyncio.Event()
-        loop.add_signal_handler(signal.SIGUSR2, lambda: (heard.append("signal"), done.set()))
+        loop.add_signal_handler(signal.SIGUSR2, lambda: (wake_ups.append("signal"), done.set()))
         os.kill(os.getpid(), signal.SIGUSR2)
         async with asyncio.timeout(10):
             await done.wait()
         done.clear()
-        woken = lambda: (heard.append("thread"), done.set())  # noqa: E731
+        woken = lambda: (wake_ups.append("thread"), done.set())  # noqa: E731
         threading.Thread(target=loop.call_soon_threadsafe, args=(woken,)).start()
         async with asyncio.timeout(10):
             await done.wait()
@@ -36,4 +36,4 @@
 
     with asyncio.Runner(loop_factory=PipeEventLoop) as runner:
         runner.run(run())
-    assert heard == ["signal", "thread"]
+    assert wake_ups == ["signal", "thread"]
--- a/tests/test_examples.py
+++ b/tests/test_examples.py
@@ -1,4 +1,4 @@
-"""The example of the README works as it stands, but for its ports, which here are free ones."""
+"""The README's example of a toy call works, here on free ports."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 ROOT = Path(__file__).parent.parent
 
 
-def test_a_toy_call_goes_through(tmp_path):
+def test_a_toy_call_is_answered(tmp_path):
     taken = [socket.create_server(("127.0.0.1", 0)) for _ in range(3)]
     proxy, sip, discovery = (str(s.getsockname()[1]) for s in taken)
-    for each in taken:
-        each.close()
+    for listener in taken:
+        listener.close()
     text = (ROOT / "examples/config.json").read_text()
     for written, free in (("2905", proxy), ("2906", sip), ("4222", discovery)):
         text = text.replace(f":{written}", f":{free}")
@@ -40,12 +40,12 @@
     assert "ready" in server.stdout.readline()
     program = run("canvasplank")
     try:
-        until = time.monotonic() + 10
+        deadline = time.monotonic() + 10
         while "listens" not in program.stdout.readline():
-            assert time.monotonic() < until
+            assert time.monotonic() < deadline
         caller = run("examples.toy_caller", f"127.0.0.1:{proxy}")
         assert caller.communicate(timeout=15)[0].splitlines() == ["stands: toy answer", "over, cause 16"]
     finally:
-        for each in (server, program):
-            each.kill()
-            each.communicate()
+        for process in (server, program):
+            process.kill()
+            process.communicate()
--- a/tests/test_experiments.py
+++ b/tests/test_experiments.py
@@ -1,4 +1,4 @@
-"""The experiment tool: its file, what it measures, and small plays of it, on processes and simulated."""
+"""The experiment tool: its file, its figures, and small runs of it, on processes and simulated."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 from experiments.plan import load_experiment
 from verification.spending import Trace
 
-PLAYS_MOST, LATE_MOST_MS = 5, 1500.0  # usually it is late by 0.2 to 0.7 s as two dozen processes start
+MAX_RUNS, MAX_LOOP_LAG_MS = 5, 1500.0  # usually 0.2 to 0.7 s as two dozen processes start
 SMALL = """
 name = "small"
 sizes = [3]
@@ -37,20 +37,20 @@
 """
 
 
-def written(tmp_path, text: str) -> str:
+def write_experiment(tmp_path, text: str) -> str:
     (tmp_path / "experiment.toml").write_text(text)
     return str(tmp_path / "experiment.toml")
 
 
-def played_table(tmp_path, text: str) -> list[dict]:
-    """The figures that the tool leaves of this experiment, in the folder ``to``."""
-    ran = CliRunner().invoke(cli, ["run", written(tmp_path, text), "--to", str(tmp_path / "to")])
+def run_experiment(tmp_path, text: str) -> list[dict]:
+    """Run this experiment; the rows of its table of figures, written to the folder ``to``."""
+    ran = CliRunner().invoke(cli, ["run", write_experiment(tmp_path, text), "--to", str(tmp_path / "to")])
     assert ran.exit_code == 0, ran.output
     return pyarrow.parquet.read_table(tmp_path / "to" / "figures.parquet").to_pylist()
 
 
-def value(figures: list[Figure], what: str) -> float | None:
-    [found] = [figure.value for figure in figures if figure.name == what]
+def value(figures: list[Figure], name: str) -> float | None:
+    [found] = [figure.value for figure in figures if figure.name == name]
     return found
 
 
@@ -58,11 +58,11 @@
     """The file."""
 
     @pytest.mark.parametrize("name", ["budget-storm", "cold-start", "cold-start-simulated"])
-    def test_the_files_that_come_with_it_are_good(self, name):
+    def test_the_experiments_of_the_project_load(self, name):
         assert load_experiment(f"experiments/{name}.toml").variants
 
     @pytest.mark.parametrize(
-        ("more", "said"),
+        ("more", "message"),
         [
             ('[[variant]]\nname = "paced"', "two variants have one name"),
             ('[[fault]]\nwhat = "board-closes"\nat_s = 3.0\nfor_s = 2.0', "does not end within 4 s"),
@@ -73,17 +73,17 @@
             ("[servers]", "Cannot declare"),
         ],
     )
-    def test_a_bad_one_is_one_line(self, tmp_path, more, said):
-        with pytest.raises(ConfigurationError, match=said) as fault:
-            load_experiment(written(tmp_path, f"{SMALL}\n{more}"))
-        assert "\n" not in str(fault.value)
+    def test_an_unusable_file_is_one_line(self, tmp_path, more, message):
+        with pytest.raises(ConfigurationError, match=message) as error:
+            load_experiment(write_experiment(tmp_path, f"{SMALL}\n{more}"))
+        assert "\n" not in str(error.value)
 
 
 class TestMeasures:
-    """Figures from times."""
+    """Figures from observations."""
 
-    def test_a_budget_that_is_kept_and_one_that_is_not(self):
-        def proved(second_from_ms: float) -> list[float | None]:
+    def test_a_budget_that_holds_and_one_that_is_broken(self):
+        def ratios(second_from_ms: float) -> list[float | None]:
             first = Trace("a", 0.5, [(0.0, 1000.0, 8.0)], [100.0 * n for n in range(10)])
             second = Trace("b", 0.5, [(second_from_ms, 2000.0, 8.0)], [900.0 + 100.0 * n for n in range(10)])
             traces = [first, second]
@@ -94,11 +94,11 @@
                 if figure.name.startswith("budget all: s")
             ]
 
-        kept, broken = proved(1000.0), proved(900.0)
-        assert kept[0] == pytest.approx(8 / 9) and broken[0] == pytest.approx(16 / 9)
-        assert kept[1] <= 1.0 and kept[2] == 1.0
+        held, broken = ratios(1000.0), ratios(900.0)
+        assert held[0] == pytest.approx(8 / 9) and broken[0] == pytest.approx(16 / 9)
+        assert held[1] <= 1.0 and held[2] == 1.0
 
-    def test_polls_in_trouble_count_from_when_all_are_up_and_their_first_polls_over(self):
+    def test_polls_during_a_fault_count_from_when_first_polls_have_ended(self):
         seen = Observations(
             2,
             10.0,
@@ -112,7 +112,7 @@
         assert value(found, "50% have the list after its return") == 0.5
         assert value(found, "polls after its return, most in 0.1 s") == 2
 
-    def test_a_list_that_never_reaches_all_is_never(self):
+    def test_a_list_that_never_reaches_all_has_no_figure(self):
         seen = Observations(3, 10.0, polled_at_s=[1.0], listed_at_s=[11.0, 12.0])
         assert (
             value(measures.compute_figures(seen, 20.0, 10.0), "100% have the list after its return") is None
@@ -129,11 +129,11 @@
             (range(100), None),
         ],
     )
-    def test_service_is_steady_since_the_last_bad_window(self, lost, since_s):
+    def test_service_is_steady_after_the_last_bad_window(self, lost, since_s):
         calls = [CallResult(n / 10, "lost" if n in lost else "served", 0.1) for n in range(100)]
         assert measures.steady_since_s(calls, 10.0) == since_s
 
-    def test_a_wait_counts_from_when_the_call_was_due(self):
+    def test_set_up_time_counts_from_when_the_call_was_due(self):
         seen = Observations(
             1,
             10.0,
@@ -147,7 +147,7 @@
         assert value(found, "served of all calls") == pytest.approx(2 / 3)
         assert value(found, "set-up time, 99 %") == pytest.approx(2000.0, rel=0.01)
 
-    def test_a_cold_server_falls_by_what_it_can_do_then(self):
+    def test_load_of_a_cold_server_is_over_its_capacity_at_that_time(self):
         cold = ColdServer(
             start_s=10.0, initial_fraction=0.3, warm_up_s=10.0, overload_factor=2.0, overload_s=1.0
         )
@@ -159,37 +159,37 @@
 
 
 @pytest.fixture(scope="module")
-def played():
+def simulated_runs():
     experiment = load_experiment("experiments/cold-start-simulated.toml")
     return {variant.name: simulation.run(experiment, variant, 300, seed=1) for variant in experiment.variants}
 
 
 class TestSimulation:
-    """The program's own decisions, by the hundred."""
+    """Simulated runs of the program's own decision modules."""
 
-    def test_what_the_processes_showed_as_they_were_shows_here(self, played):
-        """Measured on 300 processes: 372 polls a second for as long as the board is in trouble."""
-        found = measures.compute_figures(played["as it is"], 55.0, 25.0)
+    def test_the_simulation_agrees_with_processes_without_cold_start(self, simulated_runs):
+        """Measured on 300 processes: 372 polls a second for as long as service discovery has a fault."""
+        found = measures.compute_figures(simulated_runs["as it is"], 55.0, 25.0)
         assert value(found, "polls a second while the board is in trouble") == pytest.approx(375, rel=0.05)
         assert value(found, "connections at a server, most in 1 s") == 300
 
-    def test_with_the_pace_and_the_subset_board_and_servers_are_spared(self, played):
-        found = measures.compute_figures(played["paced, subset, ramp"], 55.0, 25.0)
+    def test_backoff_and_subset_bound_the_load_of_discovery_and_servers(self, simulated_runs):
+        found = measures.compute_figures(simulated_runs["paced, subset, ramp"], 55.0, 25.0)
         assert value(found, "polls a second while the board is in trouble") <= 38
         assert value(found, "polls, most in 0.1 s") <= 15
         assert value(found, "connections at a server, most in 1 s") <= 40
         assert value(found, "connections at a server at the end, most") <= 150
         assert value(found, "load of a cold server, over what it bears, worst") < 1.0
 
-    def test_the_same_seed_plays_the_same(self, played):
+    def test_the_same_seed_gives_the_same_run(self, simulated_runs):
         experiment = load_experiment("experiments/cold-start-simulated.toml")
         again = simulation.run(experiment, experiment.variants[2], 300, seed=1)
-        assert again.polled_at_s == played["paced, subset, ramp"].polled_at_s
-        assert again.calls == played["paced, subset, ramp"].calls
+        assert again.polled_at_s == simulated_runs["paced, subset, ramp"].polled_at_s
+        assert again.calls == simulated_runs["paced, subset, ramp"].calls
 
 
-def test_a_small_experiment_on_processes_and_simulated_leaves_tables_charts_and_a_summary(tmp_path):
-    table = played_table(tmp_path, SMALL)
+def test_a_small_experiment_writes_tables_charts_and_a_summary(tmp_path):
+    table = run_experiment(tmp_path, SMALL)
     assert {(row["way"], row["size"], row["variant"]) for row in table} == {
         (way, size, variant)
         for way, size in (("processes", 3), ("simulated", 30))
@@ -205,33 +205,34 @@
     ]
 
 
-def test_the_file_of_a_part_is_not_written_again_while_a_process_may_read_it(tmp_path):
-    """Written anew for each of 300 starts it was read half written: an empty file switches the part off."""
+def test_a_settings_file_is_not_written_again_while_a_process_may_read_it(tmp_path):
+    """Written anew for each of 300 starts it was read while empty, which switches the extension off."""
     processes = proxy_processes.ProxyProcesses.__new__(proxy_processes.ProxyProcesses)
     processes._fleet = SimpleNamespace(folder=tmp_path)
     path = Path(processes._settings_file("starting", {"polls_per_s": 30.0}))
-    whole, written = path.read_text(), path.stat()
+    text, written = path.read_text(), path.stat()
     assert processes._settings_file("starting", {"polls_per_s": 30.0}) == str(path)
-    assert path.read_text() == whole
+    assert path.read_text() == text
     assert path.stat().st_mtime_ns == written.st_mtime_ns
 
 
 def figures_in_time(tmp_path: Path, text: str) -> dict[str, float]:
-    """Of the first play in which the rig kept up: what was sent while its loop stood still comes at once.
+    """The figures of the first run in which the measuring loop was in time.
 
-    Guards the verdict against the machine: with stalls of 3.2 to 3.7 s a load of 0.36 was seen as 0.8 to 1.1.
+    What is sent while that loop is stalled arrives at once: with stalls of 3.2 to 3.7 s a load of 0.36 was
+    measured as 0.8 to 1.1.
     """
-    for number in range(PLAYS_MOST):
+    for number in range(MAX_RUNS):
         folder = tmp_path / str(number)
         folder.mkdir()
-        found = {row["what"]: row["value"] for row in played_table(folder, text)}
-        if found["the rig's own loop was late, most"] < LATE_MOST_MS:
+        found = {row["what"]: row["value"] for row in run_experiment(folder, text)}
+        if found["the rig's own loop was late, most"] < MAX_LOOP_LAG_MS:
             return found
-    pytest.fail(f"the machine stood still in each of {PLAYS_MOST} plays: nothing can be said")
+    pytest.fail(f"the measuring loop was stalled in each of {MAX_RUNS} runs: no result")
 
 
-def test_cold_servers_are_spared_by_twenty_four_processes_that_start_at_once(tmp_path):
-    """The board refuses, then tells them, with callers waiting and every server just started."""
+def test_twenty_four_processes_that_start_at_once_do_not_overload_cold_servers(tmp_path):
+    """Service discovery rejects polls, then lists the servers, with callers waiting and every server cold."""
     rush = """
 name = "rush"
 sizes = [24]
@@ -259,8 +260,8 @@
     assert found["polls, most in 0.1 s"] <= 12
 
 
-def test_a_budget_is_proved_through_faults_of_proxies_and_store(tmp_path):
-    """Six processes; a third of them cut off one way, one killed, the store stalled past a lease."""
+def test_a_budget_holds_through_faults_of_proxies_and_store(tmp_path):
+    """Six processes; a third of them cut off in one direction, one killed, the store stalled past a lease."""
     storm = """
 name = "storm"
 sizes = [6]
@@ -286,16 +287,16 @@
 trace = true
 budget = [{name = "all", kind = "set-ups", whole_per_s = 60.0, kept_back = 0.2}]
 """
-    table = played_table(tmp_path, storm)
+    table = run_experiment(tmp_path, storm)
     shared, window, spent = [row["value"] for row in table if row["what"].startswith("budget all: s")]
     assert 0.5 < shared <= 1.0 + 1e-9 and window <= 1.0 and spent > 0.1
 
 
-def test_a_summary_says_where_a_figure_did_not_come_to_be():
-    def played(seed, found):
+def test_a_summary_shows_where_a_figure_has_no_value():
+    def result(seed, found):
         return report.RunResult("e", "simulated", 5, "v", seed, [Figure("heard", "s", found)], {})
 
     assert "| heard (s) | 2.5 (2 to 3), in 2 of 3 |" in report.summary(
-        [played(1, 2.0), played(2, None), played(3, 3.0)]
+        [result(1, 2.0), result(2, None), result(3, 3.0)]
     )
-    assert "| heard (s) | never |" in report.summary([played(1, None)])
+    assert "| heard (s) | never |" in report.summary([result(1, None)])
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -1,4 +1,4 @@
-"""The program as operators run it: started beside itself, asked on its admin address, drained and resumed."""
+"""The program as operators run it: two versions side by side, the admin address, drain, resume, shutdown."""
 
 from __future__ import annotations
 
@@ -14,16 +14,12 @@
 
 import pytest
 
+from emulators.fleet import free_port
+
 ROOT = Path(__file__).parent.parent
 WAIT_S = 20.0  # bounds every wait here; none depends on speed
 
 
-def free_port() -> int:
-    with socket.socket() as probe:
-        probe.bind(("127.0.0.1", 0))
-        return probe.getsockname()[1]
-
-
 class Proxy:
     """One process of the program on loopback, with the example configuration."""
 
@@ -49,7 +45,7 @@
         self.lines: list[str] = []
 
     def wait_for(self, words: str) -> None:
-        """Read its log until a line says so, or it ends."""
+        """Read its log until a line contains this; fails when it exits, or after ``WAIT_S``."""
         deadline = time.monotonic() + WAIT_S
         while time.monotonic() < deadline:
             line = self.process.stderr.readline()
@@ -61,7 +57,7 @@
         pytest.fail(f"no line with {words!r}: {self.lines}")
 
     def stop(self) -> int:
-        """SIGTERM, and its exit code."""
+        """Send SIGTERM; return the exit code."""
         self.process.send_signal(signal.SIGTERM)
         try:
             return self.process.wait(WAIT_S)
@@ -79,8 +75,8 @@
             proxy.stop()
 
 
-def test_a_new_version_listens_beside_the_old(tmp_path, started):
-    """Found on the upgrade day: the second process exited with 2, its address being in use."""
+def test_a_new_version_listens_beside_the_old_one(tmp_path, started):
+    """On an upgrade day the second process exited with 2, its address being in use."""
     port = free_port()
     started.append(old := Proxy(tmp_path, port))
     old.wait_for("listens on")
@@ -88,46 +84,46 @@
     new.wait_for("listens on")
     assert old.stop() == 0
     with socket.create_connection(("127.0.0.1", port), timeout=WAIT_S):
-        pass  # the new one still takes callers
+        pass  # the new one still accepts callers
     assert new.stop() == 0
 
 
-def ask(port: int, line: str) -> list[str]:
-    """One command on the admin address, and the lines of its answer."""
+def send_command(port: int, line: str) -> list[str]:
+    """Send one command to the admin address; return the lines of the response."""
     with socket.create_connection(("127.0.0.1", port), timeout=WAIT_S) as admin:
         admin.sendall(f"{line}\n".encode())
-        answer = b""
+        response = b""
         while chunk := admin.recv(4096):
-            answer += chunk
-    return answer.decode().splitlines()
+            response += chunk
+    return response.decode().splitlines()
 
 
 def test_health_quiesce_and_resume(tmp_path, started):
-    """Found on the drain day: 4 s after quiesce the proxy still said yes, and kept its callers."""
+    """On a drain day the proxy still answered yes 4 s after quiesce, with its callers connected."""
     port, admin = free_port(), free_port()
     started.append(proxy := Proxy(tmp_path, port, admin))
     proxy.wait_for("operators' address")
-    assert ask(admin, "health")[0].startswith("200")
+    assert send_command(admin, "health")[0].startswith("200")
     with socket.create_connection(("127.0.0.1", port), timeout=WAIT_S) as caller:
-        assert ask(admin, "quiesce")[0].startswith("200")
-        assert ask(admin, "health")[0].startswith("400")
+        assert send_command(admin, "quiesce")[0].startswith("200")
+        assert send_command(admin, "health")[0].startswith("400")
         assert caller.recv(1) == b"", "a connection with nothing open is closed at once"
-    assert ask(admin, "resume")[0].startswith("200")
-    assert ask(admin, "health")[0].startswith("200")
+    assert send_command(admin, "resume")[0].startswith("200")
+    assert send_command(admin, "health")[0].startswith("200")
 
 
-def test_counters_and_what_is_not_known(tmp_path, started):
+def test_counters_and_an_unknown_command(tmp_path, started):
     port, admin = free_port(), free_port()
     started.append(proxy := Proxy(tmp_path, port, admin))
     proxy.wait_for("operators' address")
-    lines = ask(admin, "counters")
+    lines = send_command(admin, "counters")
     assert lines[0].startswith("200") and lines[-1] == "EOF"
     assert {"edge_in_flight 0", "edge_call_servers_known 1"} <= set(lines)
-    assert ask(admin, "reboot")[0].startswith("400")
+    assert send_command(admin, "reboot")[0].startswith("400")
 
 
-def test_a_new_instance_learns_from_a_running_one(tmp_path, started):
-    """Learning switched on by its own file: the running one answers, the new one takes its view."""
+def test_a_new_instance_warm_starts_from_a_running_one(tmp_path, started):
+    """With the extension's file, the running instance serves its view and the new one loads it."""
     view_port = free_port()
     started.append(old := Proxy(tmp_path, free_port(), learning=f'listen = "127.0.0.1:{view_port}"'))
     old.wait_for("views for new instances")
@@ -137,8 +133,8 @@
 
 
 @pytest.mark.parametrize("learning", ['peer = "127.0.0.1:{port}"', "peer = 'nowhere'", "colour = 'blue'"])
-def test_a_peer_that_refuses_or_a_bad_file(tmp_path, started, learning):
-    """A refused peer is one line and a start as if alone; a file that cannot be used stops the start."""
+def test_a_warm_start_without_a_peer_or_with_a_bad_file(tmp_path, started, learning):
+    """A peer that refuses is one log line and a cold start; an unusable file stops the start."""
     started.append(new := Proxy(tmp_path, free_port(), learning=learning.format(port=free_port())))
     if "{port}" in learning:
         new.wait_for("no view taken")
@@ -148,8 +144,8 @@
         assert new.process.wait(WAIT_S) == 2
 
 
-def test_no_connection_is_open_when_the_process_winds_down(tmp_path):
-    """A set-up written to a connection that nobody reads any more was lost on an upgrade day."""
+def test_no_connection_is_open_when_the_program_returns(tmp_path):
+    """On an upgrade day a set-up sent on a connection that was no longer read was lost."""
     import asyncio
 
     from canvasplank.config.configuration import load_configuration
--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -1,4 +1,4 @@
-"""Deadlines and turns: what has arrived is read before time tells anything."""
+"""The scheduler: timers run in order, and only after what has arrived is read."""
 
 from __future__ import annotations
 
@@ -8,10 +8,10 @@
 from canvasplank.runtime.scheduler import Scheduler, TimerQueue, UnixClock
 
 
-def test_they_come_due_in_order_and_can_be_taken_out():
+def test_timers_come_due_in_order_and_can_be_cancelled():
     timers, done = TimerQueue(), []
-    for name, at in (("c", 30), ("a", 10), ("x", 15), ("b", 20)):
-        timer = timers.add(at, lambda name=name: done.append(name))
+    for name, due_ms in (("c", 30), ("a", 10), ("x", 15), ("b", 20)):
+        timer = timers.add(due_ms, lambda name=name: done.append(name))
         if name == "x":
             timers.cancel(timer)
             timers.cancel(timer)
@@ -21,7 +21,7 @@
     assert done == ["a", "b"] and len(timers) == 1
 
 
-def test_the_clock_stands_still_in_a_turn_and_never_runs_back():
+def test_the_clock_is_constant_in_an_iteration_and_never_decreases():
     times = iter([100.0, 110.0, 90.0, 90.0, 90.0])
     seen = []
 
@@ -39,17 +39,17 @@
     assert seen == [110.0, 110.0]
 
 
-def test_a_clock_that_is_set_back_goes_on_from_where_it_was():
-    """It stood still until the system's had caught up, and no time-out was told."""
+def test_the_unix_clock_goes_on_when_the_system_clock_is_set_back():
+    """It once stopped until the system's had caught up, and no time-out fired meanwhile."""
     unix, steady = iter([1000.0, 1000.1, 940.2, 940.3, 1060.4]), iter([5.0, 5.1, 5.2, 5.3, 5.4])
     clock = UnixClock(lambda: next(unix), lambda: next(steady))
-    told = [round(clock()) for _ in range(4)]
-    assert told == [1_000_100, 1_000_190, 1_000_280, 1_060_400]
+    times_ms = [round(clock()) for _ in range(4)]
+    assert times_ms == [1_000_100, 1_000_190, 1_000_280, 1_060_400]
 
 
-def test_a_pause_of_ours_is_read_up_before_time_tells():
-    """What came while we stood still is told before any deadline that passed meanwhile."""
-    told = []
+def test_pending_input_is_read_after_a_pause_before_timers_fire():
+    """What arrived while the process was paused is handled before deadlines that passed meanwhile."""
+    events = []
 
     async def run() -> None:
         now = [0.0]
@@ -59,27 +59,27 @@
 
         def read() -> None:
             scheduler.begin_iteration()
-            told.append(right.recv(1))
+            events.append(right.recv(1))
 
         asyncio.get_running_loop().add_reader(right, read)
-        scheduler.call_later(50, lambda: told.append("deadline"))
+        scheduler.call_later(50, lambda: events.append("deadline"))
         scheduler.begin_iteration()
         for _ in range(5):
             await asyncio.sleep(0)
-        left.send(b"12")  # read one byte a look, as a long arrival is
+        left.send(b"12")  # read one byte an iteration, as long input is
         now[0] = 1000.0
         scheduler.begin_iteration()
-        while "deadline" not in told:
+        while "deadline" not in events:
             await asyncio.sleep(0)
         asyncio.get_running_loop().remove_reader(right)
         left.close()
         right.close()
 
     asyncio.run(asyncio.wait_for(run(), 10))
-    assert told == [b"1", b"2", "deadline"]
+    assert events == [b"1", b"2", "deadline"]
 
 
-def test_one_action_that_fails_keeps_no_other_from_being_done():
+def test_a_failing_timer_does_not_stop_the_others():
     done = []
 
     async def run() -> None:
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -12,8 +12,10 @@
 IDLE = {"open_calls": 0, "unsent": 0, "connections": 0}
 
 
-def looks(shutdown: Shutdown, *, until_ms: float = 6000.0, **load: int) -> Iterator[tuple[float, Phase]]:
-    """Time since SIGTERM and phase at each look, with the same load all the while."""
+def phases_over_time(
+    shutdown: Shutdown, *, until_ms: float = 6000.0, **load: int
+) -> Iterator[tuple[float, Phase]]:
+    """Time since SIGTERM, in ms, and phase at each check, under a constant load."""
     now_ms = BEGUN_MS
     while shutdown.phase is not Phase.STOPPED and now_ms < BEGUN_MS + until_ms:
         now_ms += shutdown.next_check_ms(now_ms)
@@ -21,15 +23,15 @@
         yield now_ms - BEGUN_MS, shutdown.advance(now_ms, **load | {"open_calls": open_calls})
 
 
-def entered(shutdown: Shutdown, **load: int) -> dict[Phase, float]:
+def phase_starts(shutdown: Shutdown, **load: int) -> dict[Phase, float]:
     """When each phase was entered, in ms since SIGTERM."""
     found: dict[Phase, float] = {}
-    for past_ms, phase in looks(shutdown, **IDLE | load):
+    for past_ms, phase in phases_over_time(shutdown, **IDLE | load):
         found.setdefault(phase, past_ms)
     return found
 
 
-def begun(longest_ms: float = 9000.0) -> Shutdown:
+def begun_shutdown(longest_ms: float = 9000.0) -> Shutdown:
     shutdown = Shutdown(longest_ms)
     assert shutdown.phase is Phase.SERVING
     assert shutdown.begin(BEGUN_MS)
@@ -37,26 +39,30 @@
     return shutdown
 
 
-def test_a_second_word_changes_nothing():
-    shutdown = begun()
+def test_a_second_sigterm_changes_nothing():
+    shutdown = begun_shutdown()
     assert not shutdown.begin(BEGUN_MS + 300)
-    assert entered(shutdown)[Phase.DRAINING] == 700
+    assert phase_starts(shutdown)[Phase.DRAINING] == 700
 
 
-def test_it_serves_on_for_700_ms_whatever_is_open_or_not():
-    assert entered(begun())[Phase.DRAINING] == entered(begun(), open_calls=5)[Phase.DRAINING] == 700
+def test_lame_duck_serves_for_700_ms_whatever_is_open():
+    assert (
+        phase_starts(begun_shutdown())[Phase.DRAINING]
+        == phase_starts(begun_shutdown(), open_calls=5)[Phase.DRAINING]
+        == 700
+    )
 
 
-def test_what_lay_at_the_listener_is_read_before_anything_is_ended():
-    """One phase a look: closing the listener and ending connections are never in the same turn."""
-    phases = [phase for _, phase in looks(begun(), **IDLE)]
+def test_pending_connections_are_read_before_anything_is_closed():
+    """One phase for each check: the listener and the connections never close in the same loop iteration."""
+    phases = [phase for _, phase in phases_over_time(begun_shutdown(), **IDLE)]
     assert phases == [Phase.DRAINING, Phase.DISCONNECTING, Phase.STOPPED]
 
 
 @pytest.mark.parametrize(("longest_ms", "failed_ms"), [(9000.0, 3400.0), (1200.0, 1600.0)])
-def test_open_calls_are_waited_for_until_300_ms_before_somebody_may_kill_it(longest_ms, failed_ms):
-    """That is after the longest deadline, counted as 3 s where it is longer, and 0.7 s."""
-    disconnecting_ms = entered(begun(longest_ms), open_calls=1)[Phase.DISCONNECTING]
+def test_open_calls_have_until_300_ms_before_the_process_may_be_killed(longest_ms, failed_ms):
+    """That is 0.7 s and the longest deadline, at most 3 s."""
+    disconnecting_ms = phase_starts(begun_shutdown(longest_ms), open_calls=1)[Phase.DISCONNECTING]
     assert failed_ms <= disconnecting_ms <= failed_ms + 20
 
 
@@ -69,20 +75,20 @@
         ({"unsent": 1, "connections": 1}, 3620),
     ],
 )
-def test_it_stops_before_somebody_may_kill_it(load, stopped_ms):
-    assert entered(begun(), **load)[Phase.STOPPED] == pytest.approx(stopped_ms, abs=20)
-    assert entered(begun(), **load)[Phase.STOPPED] < 3700
+def test_it_stops_before_the_process_may_be_killed(load, stopped_ms):
+    assert phase_starts(begun_shutdown(), **load)[Phase.STOPPED] == pytest.approx(stopped_ms, abs=20)
+    assert phase_starts(begun_shutdown(), **load)[Phase.STOPPED] < 3700
 
 
-def test_a_set_up_that_comes_while_the_last_bytes_leave_is_waited_for():
-    shutdown = begun()
+def test_a_set_up_during_the_last_writes_is_waited_for():
+    shutdown = begun_shutdown()
     shutdown.advance(BEGUN_MS + 700, **IDLE)
     assert shutdown.advance(BEGUN_MS + 720, open_calls=0, unsent=9, connections=1) is Phase.DRAINING
     assert shutdown.advance(BEGUN_MS + 740, open_calls=1, unsent=0, connections=1) is Phase.DRAINING
     assert shutdown.advance(BEGUN_MS + 760, open_calls=0, unsent=0, connections=1) is Phase.DISCONNECTING
 
 
-def test_the_parts_have_what_is_left_but_100_ms():
-    shutdown = begun()
+def test_extensions_have_the_remaining_time_less_100_ms():
+    shutdown = begun_shutdown()
     assert shutdown.remaining_ms(BEGUN_MS + 740) == 3700 - 100 - 740
     assert shutdown.remaining_ms(BEGUN_MS + 5000) == 0
--- a/tests/test_simulator_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -1,4 +1,4 @@
-"""The adapter, as a process, with batches written by hand."""
+"""The adapter to the simulator, as a process, with batches written by hand."""
 
 from __future__ import annotations
 
@@ -49,7 +49,7 @@
     return done, [json.loads(line) for line in done.stdout.splitlines()]
 
 
-def opened(*instances, options=OPTIONS):
+def open_instances(*instances, options=OPTIONS):
     starts = (["configure", 7, options], ["update", 0, "cached", 1])
     return [
         ["sync", 100.0, 1],
@@ -59,7 +59,7 @@
     ]
 
 
-def sends(lines, instance=0):
+def deliveries(lines, instance=0):
     return [line for line in lines if line[:2] == ["deliver", instance]]
 
 
@@ -67,68 +67,68 @@
     return ["request", instance, call, at + 3000, 1, 0, None, -1, "91f03b7c55d20a64", None, "reading", pool]
 
 
-def test_empty_batch():
+def test_an_empty_batch_is_finished():
     done, lines = run(["sync", 8412.25, 1], ["end"])
     assert (done.returncode, lines) == (0, [["finished", 1]])
 
 
 def test_a_call_from_request_to_end():
     done, lines = run(
-        *opened(0),
+        *open_instances(0),
         ["sync", 110.0, 2], request(), ["end"],
         ["sync", 150.0, 3], ["head_received", 0, CALL, 0, 40.0, "s:2"], ["end"],
         ["sync", 900.0, 4], ["settled", 0, CALL, 0, "s:2", "GOOD", 790.0, True, None, [5, 9, 1, -1]], ["end"],
     )  # fmt: skip
     assert done.returncode == 0, done.stderr
-    assert [line[:4] for line in sends(lines)] == [["deliver", 0, CALL, "s:2"]]
-    assert 0 < sends(lines)[0][4] < 3000
+    assert [line[:4] for line in deliveries(lines)] == [["deliver", 0, CALL, "s:2"]]
+    assert 0 < deliveries(lines)[0][4] < 3000
     assert [line for line in lines if line[0] == "finished"] == [["finished", n] for n in (1, 2, 3, 4)]
     assert not [line for line in lines if line[0] in ("busy", "surrender", "give_in")]
 
 
-def test_a_full_processor_sends_the_call_on():
+def test_a_full_processor_has_the_call_retried_elsewhere():
     _, lines = run(
-        *opened(0),
+        *open_instances(0),
         ["sync", 110.0, 2], request(), ["end"],
         ["sync", 150.0, 3], ["settled", 0, CALL, 0, "s:2", "FULL", 40.0, False, 3, None], ["end"],
     )  # fmt: skip
-    assert len(sends(lines)) == 2
+    assert len(deliveries(lines)) == 2
 
 
 def test_instances_share_nothing_and_act_alike():
-    _, both = run(*opened(0, 1), ["sync", 110.0, 2], request(0), request(1), ["end"])
-    _, alone = run(*opened(1), ["sync", 110.0, 2], request(1), ["end"])
-    assert sends(both, 1) == sends(alone, 1) != []
+    _, both = run(*open_instances(0, 1), ["sync", 110.0, 2], request(0), request(1), ["end"])
+    _, single = run(*open_instances(1), ["sync", 110.0, 2], request(1), ["end"])
+    assert deliveries(both, 1) == deliveries(single, 1) != []
 
 
-def test_a_stopped_instance_starts_afresh():
+def test_a_stopped_instance_restarts_without_state():
     _, lines = run(
-        *opened(0),
+        *open_instances(0),
         ["sync", 110.0, 2], request(), ["end"],
         ["sync", 120.0, 3], ["shutdown", 0],
         ["configure", 0, 8, OPTIONS], ["update", 0, 0, "cached", 1], ["end"],
         ["sync", 4000.0, 4], ["ring", 0, "sweep"], request(at=4000.0), ["end"],
     )  # fmt: skip
     assert not [line for line in lines if line[0] in ("surrender", "give_in")]
-    assert len(sends(lines)) == 2
+    assert len(deliveries(lines)) == 2
 
 
-def test_events_the_library_has_no_use_for_pass():
-    useless = ["peer", 0, 1, "aGkgNw=="], ["update", 0, 9, "failed", 2]
-    done, lines = run(*opened(0), ["sync", 110.0, 2], *useless, ["end"])
+def test_unused_events_are_ignored():
+    unused = ["peer", 0, 1, "aGkgNw=="], ["update", 0, 9, "failed", 2]
+    done, lines = run(*open_instances(0), ["sync", 110.0, 2], *unused, ["end"])
     assert done.returncode == 0, done.stderr
     assert lines[-1] == ["finished", 2]
 
 
-def read(*messages):
-    """The events that an adapter's host reads from the messages of one instance."""
+def decode(*messages):
+    """The events that a ``ControllerHost`` reads from the messages of one instance."""
     host = simulator_adapter.ControllerHost()
     list(host.batch(100.0, [["configure", 0, 7, OPTIONS]]))
     return [host._readers[message[0]](message) for message in messages]
 
 
-def test_free_lines_come_unasked_and_answers_to_probes_do_not():
-    events = read(
+def test_circuits_are_reported_unsolicited_and_probe_answers_are_not():
+    events = decode(
         ["echo", 0, "s:1", "GOOD", 0.0, [12, 90, -1, -1]],
         ["echo", 0, "s:1", "GOOD", 0.0, [-1, -1, -1, -1]],
         ["echo", 0, "s:1", "GOOD", 1.5, [12, 90, 0.5, 3]],
@@ -143,7 +143,7 @@
 
 
 @pytest.mark.parametrize(("holds", "hold_ms"), [([9800.0], 9800.0), ([], None), (None, None)])
-def test_the_mean_length_of_a_call_is_read_where_it_is_told(holds, hold_ms):
+def test_the_mean_hold_time_is_read_where_it_is_given(holds, hold_ms):
     family = OPTIONS["family_info"] | {"class_hold_ms": holds}
     assert simulator_adapter.read_settings(OPTIONS | {"family_info": family}).classes[0].hold_ms == hold_ms
 
@@ -162,7 +162,7 @@
         '["sync",1.0,1]\n["shutdown",3]\n["end"]\n',
     ],
 )
-def test_a_broken_frame_ends_with_one_line_on_standard_error(raw):
+def test_a_malformed_frame_is_one_line_and_exit_status_2(raw):
     done, lines = run(raw=raw)
     assert done.returncode == 2
     assert lines == []
@@ -178,8 +178,8 @@
         ({"load_report": {"names": [], "via": "by pigeon"}}, "by pigeon"),
     ],
 )
-def test_settings_that_cannot_be_are_named(change, word):
-    done, lines = run(*opened(0, options=OPTIONS | change)[:3], ["end"])
+def test_invalid_settings_are_named(change, word):
+    done, lines = run(*open_instances(0, options=OPTIONS | change)[:3], ["end"])
     assert done.returncode == 0
     assert lines[0][:2] == ["give_in", 0]
     assert word in lines[0][2]
--- a/tests/test_smoke.py
+++ b/tests/test_smoke.py
@@ -1,4 +1,4 @@
-"""The README's example runs and does what its comment says."""
+"""The README's example of the library runs, and prints what its comment shows."""
 
 import contextlib
 import io
@@ -8,7 +8,7 @@
 ROOT = Path(__file__).parent.parent
 
 
-def test_readme_example():
+def test_the_example_of_the_readme_runs():
     source = re.search(r"```python\n(.*?)```", (ROOT / "README.md").read_text(), re.S).group(1)
     printed = io.StringIO()
     with contextlib.redirect_stdout(printed):
