--- a/emulators/link.py
+++ b/emulators/link.py
@@ -1,8 +1,8 @@
-"""A link between two parties that can be made slow, stalled, cut one way or both, or reset.
+"""An emulator of a network path (TCP) that can be delayed, cut in one direction or both, or reset.
 
-What a cut or a stall holds back is not lost: it arrives when the link heals, late, as TCP has it, unless the
-connection was reset meanwhile.  So an answer held back on the way to the client is a commit whose answer does
-not arrive, and a request held back on the way to the server is one that may yet be carried out.
+A cut holds data back and loses none: it arrives, late, when the link heals, unless the connection was reset
+meanwhile. So a response held back on the way to the client is a commit whose response is missing, and a
+request held back on the way to the server is one that may yet be executed.
 """
 
 from __future__ import annotations
@@ -13,17 +13,17 @@
 from canvasplank.config.addresses import parse_address
 from emulators.tasks import Tasks
 
-READ_MOST = 65_536
+READ_MAX_BYTES = 65_536
 
 
 class Link:
-    """Listens for clients and connects each to one server."""
+    """Accepts clients and connects each to ``target`` (``host:port``)."""
 
     def __init__(self, target: str) -> None:
         self.target = target
-        self.delay_s = 0.0  # each way
-        self.connections = 0
-        self._open = {"there": asyncio.Event(), "back": asyncio.Event()}
+        self.delay_s = 0.0  # in each direction, for each read
+        self.connections = 0  # accepted so far
+        self._passing = {"there": asyncio.Event(), "back": asyncio.Event()}
         self._writers: set[asyncio.StreamWriter] = set()
         self._tasks = Tasks()
         self.heal()
@@ -34,26 +34,26 @@
 
     @property
     def address(self) -> str:
-        """Where clients find it."""
+        """Its ``host:port`` for clients."""
         return f"127.0.0.1:{self._server.sockets[0].getsockname()[1]}"
 
     def cut(self, *ways: str) -> None:
-        """Hold back what goes these ways: ``there`` (to the server), ``back``, or both."""
-        for way in ways or self._open:
-            self._open[way].clear()
+        """Hold back one direction, ``there`` (to the server) or ``back``, or both (none named)."""
+        for way in ways or self._passing:
+            self._passing[way].clear()
 
     def heal(self) -> None:
-        """Let everything through."""
-        for passes in self._open.values():
-            passes.set()
+        """Let both directions pass again, first what was held back."""
+        for passing in self._passing.values():
+            passing.set()
 
     def reset(self) -> None:
-        """End every connection at both ends; what was held back on them is lost."""
+        """Abort every connection at both ends; what was held back on them is lost."""
         for writer in list(self._writers):
             writer.transport.abort()
 
     async def stop(self) -> None:
-        """End everything."""
+        """Stop listening and abort every connection."""
         self._server.close()
         self.reset()
         await self._tasks.end()
@@ -62,27 +62,27 @@
         self.connections += 1
         self._writers.add(writer)
         try:
-            await self._open["there"].wait()
-            far_reader, far_writer = await asyncio.open_connection(*parse_address(self.target))
+            await self._passing["there"].wait()
+            target_reader, target_writer = await asyncio.open_connection(*parse_address(self.target))
         except OSError:
             writer.transport.abort()
             return
         finally:
             self._writers.discard(writer)
-        self._writers |= {writer, far_writer}
-        there = self._tasks.keep(self._pump("there", reader, far_writer))
-        back = self._tasks.keep(self._pump("back", far_reader, writer))
+        self._writers |= {writer, target_writer}
+        there = self._tasks.keep(self._pump("there", reader, target_writer))
+        back = self._tasks.keep(self._pump("back", target_reader, writer))
         with contextlib.suppress(asyncio.CancelledError):
             await asyncio.wait({there, back}, return_when=asyncio.FIRST_COMPLETED)
-        for end in (writer, far_writer):
+        for end in (writer, target_writer):
             self._writers.discard(end)
             end.transport.abort()
 
     async def _pump(self, way: str, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         with contextlib.suppress(OSError):
-            while data := await reader.read(READ_MOST):
+            while data := await reader.read(READ_MAX_BYTES):
                 if self.delay_s:
                     await asyncio.sleep(self.delay_s)
-                await self._open[way].wait()
+                await self._passing[way].wait()
                 writer.write(data)
                 await writer.drain()
