--- /dev/null
+++ b/canvasplank/policy/call_queue.py
@@ -0,0 +1,111 @@
+"""The call queue and retries: calls without a final answer, their order, redials and busy numbers."""
+
+from collections import OrderedDict
+
+from canvasplank import interface as api
+from canvasplank.policy.decision_context import DecisionContext
+from canvasplank.policy.leaky_bucket import HIGHEST_THRESHOLD, LOWEST_THRESHOLD
+from canvasplank.policy.server import Server
+
+MARGIN_MS, MARGIN_TICKS = 25.0, 2  # a final answer leaves both before the caller's time is up
+MARGIN_FRACTION = 0.1  # of the caller's wait, where that is less than MARGIN_MS
+MAX_QUEUED_CALLS = 400  # past it the call of lowest rank is refused
+MAX_REDIALS, MAX_BUSY_NUMBERS = 4000, 1000  # remembered: unserved calls, busy numbers
+INITIAL_BUSY_MS, MAX_BUSY_MS = 500.0, 4000.0  # backoff of a number found busy, doubling
+MAX_CREDIT_CALLS = 4.0  # that a tenant may bring in a row beyond its quota
+
+
+class CallRecord:
+    """One call that still lacks its final answer."""
+
+    def __init__(self, call: api.Call, call_class: api.CallClass, context: DecisionContext) -> None:
+        self.request, self.call_class = call, call_class
+        self.arrived_ms = self.first_ms = self.not_before_ms = now_ms = context.now_ms  # not before: rule 5
+        self.quota_weight = 1.0  # of its class's weight: less past its tenant's quota
+        margin_ms = max(0.0, min(MARGIN_MS, MARGIN_FRACTION * (call.expires_ms - now_ms)))
+        self.deadline_ms = call.expires_ms - margin_ms - MARGIN_TICKS * context.tick_ms
+        self.attempts, self.cancel_sent = 0, False
+        self.failed_server_id: str | None = None  # where its latest attempt failed
+        self.server: Server | None = None  # where its one attempt is in flight
+
+    def is_in_flight(self, event: api.Established | api.AttemptEnded) -> bool:
+        return self.server is not None and event.attempt == self.attempts - 1  # a repeated event is not
+
+    def weight(self, now_ms: float) -> float:
+        late = now_ms >= self.first_ms + self.call_class.target_ms
+        return self.call_class.weight * self.quota_weight * (self.call_class.late_weight if late else 1.0)
+
+
+class CallQueue:
+    """Calls and their order: thresholds by weight, tenants' credits, redials and busy numbers."""
+
+    def __init__(self, context: DecisionContext) -> None:
+        self._context, settings = context, context.settings
+        self.calls: dict[str, CallRecord] = {}  # those that still lack their final answer
+        self.waiting: dict[str, CallRecord] = {}  # those of them that have no attempt in flight
+        # Of calls that may be dialled again: first attempt, time of the note (their order), quota weight.
+        self.redials: OrderedDict[tuple[str | None, str], tuple[float, float, float]] = OrderedDict()
+        self.busy: dict[str | None, tuple[float, float]] = {}  # by number: when to try again, backoff
+        self._redial_window_ms = max(c.deadline_ms for c in settings.classes)
+        total = sum(c.quota_per_s for c in settings.tenants)
+        self._fractions = {c.name: c.quota_per_s / total for c in settings.tenants if total}
+        self._credits = dict.fromkeys(self._fractions, MAX_CREDIT_CALLS)
+        quotas = {1.0, settings.over_quota_weight if self._fractions else 1.0}
+        weighted = [(c.weight * quota, c.late_weight) for c in settings.classes for quota in quotas]
+        weights = sorted({weight * late for weight, late_weight in weighted for late in (1.0, late_weight)})
+        step = (HIGHEST_THRESHOLD - LOWEST_THRESHOLD) / max(1, len(weights) - 1)
+        self._thresholds = {weight: LOWEST_THRESHOLD + step * rank for rank, weight in enumerate(weights)}
+        self.trial_threshold = self._thresholds[min(c.weight for c in settings.classes)]
+
+    def add(self, call: CallRecord) -> None:
+        """Exception (redials): the target of a caller back under its number and class runs from the first."""
+        request, key = call.request, (call.request.number, call.request.class_name)
+        self.calls[request.id] = call
+        if request.was_cut or key not in self.redials:
+            call.quota_weight = self._take_credit(request.tenant)
+        else:
+            call.first_ms, _, call.quota_weight = self.redials.pop(key)
+
+    def _take_credit(self, tenant: str | None) -> float:
+        """Exception (tenants' quotas): each call credits all with their fractions and takes one of its."""
+        if tenant is None or tenant not in self._fractions:
+            return 1.0
+        for name, fraction in self._fractions.items():
+            self._credits[name] = min(MAX_CREDIT_CALLS, self._credits[name] + fraction)
+        within = self._credits[tenant] >= 1.0
+        self._credits[tenant] -= within
+        return 1.0 if within else self._context.settings.over_quota_weight
+
+    def remove(self, call: CallRecord) -> None:
+        """Drop an unserved call, noting it for a redial."""
+        number, now_ms = call.request.number, self._context.now_ms
+        del self.calls[call.request.id]
+        self.waiting.pop(call.request.id, None)
+        if number is None:
+            return
+        self.redials[number, call.call_class.name] = call.first_ms, now_ms, call.quota_weight
+        for _ in range(2):  # two out for one in: bounded and cheap
+            _, noted_ms, _ = next(iter(self.redials.values()), (0.0, now_ms, 1.0))
+            if noted_ms < now_ms - self._redial_window_ms or len(self.redials) > MAX_REDIALS:
+                self.redials.popitem(last=False)
+
+    def threshold(self, call: CallRecord) -> float:
+        return self._thresholds[call.weight(self._context.now_ms)]
+
+    def rank(self, call: CallRecord) -> tuple[float, float]:
+        return call.weight(self._context.now_ms), call.arrived_ms  # the newest has most time to its target
+
+    def is_number_busy(self, number: str | None) -> bool:
+        return self.busy.get(number, (0.0, 0.0))[0] > self._context.now_ms
+
+    def on_number_busy(self, number: str | None) -> None:
+        """Exception (busy numbers): no server has a line to it, so none is tried for a while that doubles."""
+        if number is not None:
+            _, backoff_ms = self.busy.pop(number, (0.0, INITIAL_BUSY_MS))
+            self.busy[number] = self._context.now_ms + backoff_ms, min(2 * backoff_ms, MAX_BUSY_MS)
+            if len(self.busy) > MAX_BUSY_NUMBERS:
+                del self.busy[next(iter(self.busy))]
+
+    def on_sent(self, number: str | None) -> None:
+        if number in self.busy:
+            self.busy[number] = self._context.now_ms + self.busy[number][1], self.busy[number][1]
--- /dev/null
+++ b/canvasplank/policy/decision_context.py
@@ -0,0 +1,49 @@
+"""What the collaborators share: settings, waits derived from them, time, random draws, actions, the timer."""
+
+import random
+
+from canvasplank import interface as api
+from canvasplank.policy.leaky_bucket import NEVER
+
+CONGESTION_FRACTION = 0.5  # of the harmful wait: an answer that takes longer is a sign of congestion
+STALL_TICKS = 4  # a timer so late shows that this gateway stood still
+
+
+class DecisionContext:
+    """The time and the actions of the event in hand, and what outlives it."""
+
+    def __init__(self, settings: api.Settings, seed: int) -> None:
+        self.settings, self.rng = settings, random.Random(seed)
+        self.now_ms, self.resumed_ms = 0.0, -1.0  # resumed: when a standstill of ours was last noticed
+        self.actions: list[api.Action] = []
+        self.pool_reports: dict[int, tuple[float | None, float | None]] = {}  # last circuits and capacity
+        self.tick_ms = max(settings.tick_ms, 1.0)
+        target_ms = min(c.target_ms for c in settings.classes)
+        self.harmful_wait_ms = min(settings.resend_ms or target_ms, target_ms)
+        self.congested_wait_ms = CONGESTION_FRACTION * self.harmful_wait_ms
+        holds = [c.hold_ms for c in settings.classes if c.hold_ms is not None]
+        self.mean_hold_ms = sum(holds) / len(holds) if holds else None
+        self._wakeup_ms, self._wakeups = NEVER, 0  # when the one timer that counts comes due; its number
+
+    def begin(self, now_ms: float) -> None:
+        """Start on an event; a clock that steps back stands still."""
+        self.now_ms, self.actions = max(self.now_ms, now_ms), []
+        if self.now_ms > self._wakeup_ms + STALL_TICKS * self.tick_ms:
+            # Exception (standstill): what a batch brings after one is read whole before time counts.
+            self.resumed_ms, self._wakeup_ms = self.now_ms, NEVER
+            self.wake_at(self.now_ms + self.tick_ms)
+
+    def wake_at(self, at_ms: float) -> None:
+        """Check again at this time at the latest.  One timer counts; an earlier one takes its place."""
+        if at_ms < self._wakeup_ms:
+            self._wakeup_ms = max(at_ms, self.now_ms + self.tick_ms)
+            self._wakeups += 1
+            self.actions.append(api.SetTimer(self._wakeup_ms - self.now_ms, f"look {self._wakeups}"))
+
+    def take_timer(self, token: str) -> bool:
+        current = token == f"look {self._wakeups}"
+        self._wakeup_ms = NEVER if current else self._wakeup_ms  # it is spent now
+        return current
+
+    def log(self, text: str) -> None:
+        self.actions.append(api.Log(text))
--- /dev/null
+++ b/canvasplank/policy/routing.py
@@ -0,0 +1,77 @@
+"""The servers of the list, and the route rule: which of them may take a call now, and in which order."""
+
+from collections.abc import Iterator
+
+from canvasplank import interface as api
+from canvasplank.policy.call_queue import CallQueue, CallRecord
+from canvasplank.policy.decision_context import DecisionContext
+from canvasplank.policy.leaky_bucket import SECOND_MS
+from canvasplank.policy.server import Server
+
+RANDOM_CHOICES = 2  # other servers drawn, of which the idler comes first
+
+
+class Router:
+    """Finds candidates for a call; it sends nothing itself."""
+
+    def __init__(self, context: DecisionContext, queue: CallQueue, budgets: api.BudgetDelay | None) -> None:
+        self._context, self._queue, self._budgets = context, queue, budgets
+        self.servers: dict[str, Server] = {}
+
+    def on_list(self, event: api.ServerList) -> None:
+        for entry in event.servers:
+            if entry.state is api.ServerState.GONE:
+                self.servers.pop(entry.id, None)
+            elif entry.id in self.servers:
+                self.servers[entry.id].on_entry(entry)
+            else:
+                self.servers[entry.id] = Server(entry, self._context)
+        if event.kind is not api.ListKind.CHANGES:
+            for server_id in self.servers.keys() - {entry.id for entry in event.servers}:
+                del self.servers[server_id]
+
+    def candidates(self, call: CallRecord) -> Iterator[Server]:
+        """First choice while its bucket admits it, else the idler of two drawn at random."""
+        serving = [s for s in self.servers.values() if self.serves(s, call)]
+        if self._queue.threshold(call) <= self._queue.trial_threshold:  # Exception (silence): a trial
+            yield from (s for s in serving if s.silence.is_trial_due())
+        failed = [s for s in serving if s.entry.id == call.failed_server_id]  # Exception (failures): last
+        first = [s for s in serving if s.entry.pool == call.request.preferred_pool and s not in failed]
+        yield from (s for s in first if self._admits(s, call))
+        others = [s for s in serving if s not in first and s not in failed and self._admits(s, call)]
+        yield from sorted(self._draw_two(others), key=lambda s: len(s.pending))
+        yield from (s for s in failed if self._admits(s, call))
+
+    def _draw_two(self, others: list[Server]) -> list[Server]:
+        if len(others) <= RANDOM_CHOICES:
+            return others
+        choices = self._context.rng.choices  # Exception (fleet size): weighted by our part of each
+        first = choices(others, [s.fleet_fraction() for s in others])[0]
+        rest = [s for s in others if s is not first]
+        return [first, choices(rest, [s.fleet_fraction() for s in rest])[0]]
+
+    def serves(self, server: Server, call: CallRecord) -> bool:
+        pools, entry = call.call_class.pools, server.entry
+        return entry.state is api.ServerState.READY and (pools is None or entry.pool in pools)
+
+    def _admits(self, server: Server, call: CallRecord) -> bool:
+        server.rate.settle()
+        ready = not server.silence.silent and server.slow_start.ready_at_ms() <= self._context.now_ms
+        admits = ready and server.rate.bucket.admits(self._queue.threshold(call))
+        return admits and self.budget_at_ms(server, call) <= self._context.now_ms
+
+    def budget_at_ms(self, server: Server, call: CallRecord, *, take: bool = False) -> float:
+        budgets, server_id = self._budgets, server.entry.id
+        delay_ms = budgets(call.request, call.attempts, server_id, take) if budgets else 0.0
+        return self._context.now_ms + delay_ms
+
+    def room_at_ms(self, call: CallRecord) -> float:
+        """When a server may next take a call that finds no room now, by time alone; rates grow meanwhile."""
+        at_ms, threshold = self._context.now_ms + SECOND_MS, self._queue.threshold(call)
+        for server in self.servers.values():
+            silent, bucket = server.silence.silent, server.rate.bucket
+            if self.serves(server, call) and not (silent and server.pending):
+                ready_ms = server.silence.next_trial_ms if silent else bucket.admits_at_ms(threshold)
+                ready_ms = max(ready_ms, server.slow_start.ready_at_ms(), self.budget_at_ms(server, call))
+                at_ms = min(at_ms, ready_ms)
+        return at_ms
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -12,8 +12,8 @@
 
 from canvasplank import interface as api
 from canvasplank.interface import Outcome
-from canvasplank.policy import restrictor
-from canvasplank.policy import servers as server_rules
+from canvasplank.policy import leaky_bucket
+from canvasplank.policy import server as server_module
 
 CLASSES = tuple(replace(c, hold_ms=8000.0) for c in (LOW, HIGH))
 
@@ -116,7 +116,7 @@
         call_id, _ = g.call()
         g.until(g.now + 20)
         g.full(call_id, "a")
-        return g.controller._servers["a"].bucket.rate
+        return g.controller._servers["a"].rate.bucket.rate
 
     def test_a_small_fleet_keeps_the_call_a_second(self):
         for told in (False, True):
@@ -124,7 +124,7 @@
             g.servers(ready("a", 0))
             if told:
                 g.tell(lines("a", 400))
-            assert self.cut_rate(g) == server_rules.FLOOR_RATE
+            assert self.cut_rate(g) == server_module.MIN_RATE_PER_S
 
     @pytest.mark.parametrize("count", [40, 400, 4000])
     def test_floors_of_a_large_fleet_sum_to_less_than_the_server_carries(self, count):
@@ -138,7 +138,7 @@
     def test_without_told_lines_the_second_is_shared_by_count(self):
         g = Gateway(large())
         g.servers(ready("a", 0))
-        assert self.cut_rate(g) * 250 == pytest.approx(server_rules.FEW_GATEWAYS)
+        assert self.cut_rate(g) * 250 == pytest.approx(server_module.MIN_RATE_GATEWAYS)
 
     def test_no_bucket_opens_wider_than_some_even_shares(self):
         """A bucketful of every gateway is seconds of work; it must leak no faster than it is wanted."""
@@ -194,7 +194,7 @@
         g.alive = {"b": 40}
         g.call(first=0)
         g.until(g.now + 1500)
-        assert g.controller._servers["a"].silent
+        assert g.controller._servers["a"].silence.silent
         return g
 
     def tried(self, g: Gateway, class_name: str, seconds: int = 20) -> int:
@@ -216,7 +216,7 @@
         g = self.silent(250)
         g.servers(ready("a", 0, started_ms=g.now), kind=api.ListKind.CHANGES)
         view = g.controller._servers["a"]
-        assert not view.silent and view.cold_until_ms > g.now
+        assert not view.silence.silent and view.slow_start.until_ms > g.now
 
 
 class TestStandstill:
@@ -236,23 +236,23 @@
             g.answer(call_id, "a", waited_ms=1800)
         g.until(g.now + 1000)
         view = g.controller._servers["a"]
-        assert not view.silent and view.delay_ms < 100 and view.cut_ms < 0
+        assert not view.silence.silent and view.usual_delay_ms < 100 and view.rate.last_cut_ms < 0
         assert not [a for _, a in g.done if isinstance(a, api.Cancel)]
 
     def test_the_first_event_of_a_batch_is_not_all_the_news(self):
         g, ids = self.stall(1800)
         g.call(first=1)
-        assert not g.controller._servers["a"].silent
+        assert not g.controller._servers["a"].silence.silent
         for call_id in ids:
             g.answer(call_id, "a", waited_ms=1800)
         g.until(g.now + 500)
-        assert not g.controller._servers["a"].silent
+        assert not g.controller._servers["a"].silence.silent
 
     def test_what_did_not_come_with_the_batch_is_silence_after_all(self):
         g, _ = self.stall(1800)
         g.call(first=1)
         g.until(g.now + 100)
-        assert g.controller._servers["a"].silent
+        assert g.controller._servers["a"].silence.silent
 
     def test_what_is_past_its_time_is_not_sent(self):
         g, _ = self.stall(1800)
@@ -286,7 +286,7 @@
         for number in ("1", "2", "1", "3"):
             g.call(number=number, expires_ms=g.now)
             g.until(g.now + 100)
-        unserved = g.controller._unserved
+        unserved = g.controller._queue.redials
         assert [key for key, _ in unserved] == ["2", "1", "3"]
         noted = [at for _, at, _ in unserved.values()]
         assert noted == sorted(noted) and unserved["1", "low"][0] == 0
@@ -345,11 +345,11 @@
 
     def test_remembered_lines_are_bounded(self):
         g = Gateway(large(instances=3))
-        for pool in range(server_rules.POOLS_MOST + 5):
+        for pool in range(server_module.MAX_POOLS + 5):
             g.servers(ready("a", pool))
             g.tell(lines("a", 10))
             g.servers(gone("a", pool))
-        assert len(g.controller._last_reported) == server_rules.POOLS_MOST
+        assert len(g.controller._context.pool_reports) == server_module.MAX_POOLS
 
 
 def test_trials_do_not_cut_the_rate_of_a_silent_server():
@@ -358,12 +358,12 @@
     g.steady("a", 0, 24, gap_ms=100)
     g.call(expires_ms=g.now + 1000)
     g.until(g.now + 900)
-    rate = g.controller._servers["a"].bucket.rate
+    rate = g.controller._servers["a"].rate.bucket.rate
     g.until(g.now + 600)
     _, actions = g.call()
     assert sent_to(actions) == ["a"] and rate > 5
     g.until(g.now + 2500)
-    assert g.controller._servers["a"].bucket.rate >= rate
+    assert g.controller._servers["a"].rate.bucket.rate >= rate
 
 
 def test_a_silent_server_is_tried_on_the_scale_of_the_first_resend():
@@ -396,4 +396,4 @@
         g, _ = self.lossy()
         g.call()
         g.until(g.now + 400)
-        assert g.controller._servers["a"].bucket.rate == restrictor.NEVER
+        assert g.controller._servers["a"].rate.bucket.rate == leaky_bucket.NEVER
--- a/tests/test_gate.py
+++ b/tests/test_gate.py
@@ -2,6 +2,8 @@
 
 from __future__ import annotations
 
+from dataclasses import replace
+
 import pytest
 from conftest import SETTINGS, Gateway, draining, ready
 
@@ -16,14 +18,14 @@
     controller = g.controller
     g.servers(draining("a", 0))
     view = controller._servers["a"]
-    view.state = api.ServerState.READY
+    view.entry = replace(view.entry, state=api.ServerState.READY)
     return controller, controller._calls[call_id], view
 
 
 def sends(controller, call, view) -> bool:
-    controller._actions = []
+    controller._context.actions = []
     opened = controller._gate(call, view)
-    assert opened == any(isinstance(a, api.SetUp) for a in controller._actions)
+    assert opened == any(isinstance(a, api.SetUp) for a in controller._context.actions)
     return opened
 
 
@@ -35,9 +37,9 @@
 def test_1_in_time_and_only_while_owed(held, late):
     controller, call, view = held
     if late == "time is up":
-        controller._now = call.call.expires_ms - 1
+        controller._context.now_ms = call.request.expires_ms - 1
     else:
-        del controller._calls[call.call.id]
+        del controller._calls[call.request.id]
     assert not sends(controller, call, view)
 
 
@@ -57,7 +59,7 @@
     if state is None:  # gone, and another server of that id came in its place
         controller._servers["a"] = object()
     else:
-        view.state = state
+        view.entry = replace(view.entry, state=state)
     assert not sends(controller, call, view)
 
 
@@ -68,13 +70,13 @@
     controller = g.controller
     view, call = controller._servers["a"], controller._calls[call_id]
     assert not call.server, "its first set-up waits for its turn"
-    view.cold.fill = 1.0
+    view.slow_start.bucket.fill = 1.0
     assert not sends(controller, call, view)
-    view.cold.fill = 0.0
+    view.slow_start.bucket.fill = 0.0
     assert sends(controller, call, view)
 
 
 def test_5_release_awaited(held):
     controller, call, view = held
-    call.not_before_ms = controller._now + 1
+    call.not_before_ms = controller._context.now_ms + 1
     assert not sends(controller, call, view)
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -9,10 +9,9 @@
 
 from canvasplank import interface as api
 from canvasplank.interface import Outcome
-from canvasplank.policy import Controller, restrictor
-from canvasplank.policy import controller as call_rules
-from canvasplank.policy import servers as server_rules
-from canvasplank.policy.restrictor import LeakyBucket
+from canvasplank.policy import Controller, call_queue, controller, leaky_bucket
+from canvasplank.policy import server as server_module
+from canvasplank.policy.leaky_bucket import LeakyBucket
 
 
 def answers(actions):
@@ -25,7 +24,7 @@
     def test_open_bucket_forgets_at_once(self):
         bucket = LeakyBucket(0, 0.0)
         bucket.add()
-        bucket.leak(1, restrictor.NEVER)
+        bucket.leak(1, leaky_bucket.NEVER)
         assert bucket.fill == 0
 
     def test_leaks_at_its_rate_and_not_below_zero(self):
@@ -33,27 +32,27 @@
         bucket.add()
         assert bucket.fill == pytest.approx(2.0)
         bucket.rate = 4.0
-        bucket.leak(250, restrictor.NEVER)
+        bucket.leak(250, leaky_bucket.NEVER)
         assert bucket.fill == pytest.approx(1.0)
         bucket.leak(450, 300)
         assert bucket.fill == pytest.approx(0.8), "of that time only the part up to 300 counts"
-        bucket.leak(10_000, restrictor.NEVER)
+        bucket.leak(10_000, leaky_bucket.NEVER)
         assert bucket.fill == 0
 
     def test_passes_up_to_the_threshold_itself(self):
-        bucket = LeakyBucket(0, -restrictor.INITIAL_FILL)
-        assert bucket.admits(restrictor.SPLASH)
-        assert not bucket.admits(restrictor.SPLASH - 0.01)
+        bucket = LeakyBucket(0, -leaky_bucket.INITIAL_FILL)
+        assert bucket.admits(leaky_bucket.SPLASH)
+        assert not bucket.admits(leaky_bucket.SPLASH - 0.01)
 
     def test_fill_is_capped(self):
         bucket = LeakyBucket(0, 0.0)
         for _ in range(100):
             bucket.add()
-        assert bucket.fill == restrictor.MAX_FILL
+        assert bucket.fill == leaky_bucket.MAX_FILL
 
     def test_thresholds_rise_with_worth_and_stay_below_the_cap(self):
-        assert restrictor.SPLASH <= restrictor.LOWEST_THRESHOLD
-        assert restrictor.LOWEST_THRESHOLD < restrictor.HIGHEST_THRESHOLD < restrictor.MAX_FILL
+        assert leaky_bucket.SPLASH <= leaky_bucket.LOWEST_THRESHOLD
+        assert leaky_bucket.LOWEST_THRESHOLD < leaky_bucket.HIGHEST_THRESHOLD < leaky_bucket.MAX_FILL
 
 
 class TestRoute:
@@ -97,10 +96,10 @@
         return g
 
     def test_drops_to_the_answered_calls_of_the_last_second(self):
-        assert self.full_after(30).controller._servers["a"].bucket.rate == pytest.approx(9, abs=1.01)
+        assert self.full_after(30).controller._servers["a"].rate.bucket.rate == pytest.approx(9, abs=1.01)
 
     def test_never_below_one_call_a_second(self):
-        assert self.full_after(0).controller._servers["a"].bucket.rate == server_rules.FLOOR_RATE
+        assert self.full_after(0).controller._servers["a"].rate.bucket.rate == server_module.MIN_RATE_PER_S
 
     def test_one_unlucky_second_is_no_measure(self):
         """A second with one answer, after steady ones: the cut looks further back."""
@@ -111,32 +110,32 @@
         call_id, _ = g.call(first=0)
         g.until(g.now + 40)
         g.full(call_id, "a")
-        assert g.controller._servers["a"].bucket.rate > 1.5
+        assert g.controller._servers["a"].rate.bucket.rate > 1.5
 
     def test_one_jam_cuts_once(self, gateway):
         ids = [gateway.call(first=0)[0] for _ in range(3)]
         gateway.until(60)
         gateway.full(ids[0], "a")
-        first = gateway.controller._servers["a"].bucket.rate
+        first = gateway.controller._servers["a"].rate.bucket.rate
         gateway.until(120)
         gateway.full(ids[1], "a")
-        assert gateway.controller._servers["a"].bucket.rate == first
+        assert gateway.controller._servers["a"].rate.bucket.rate == first
 
     def test_grows_in_quiet_seconds(self):
         g = self.full_after(0)
         g.call(first=0, expires_ms=g.now + 20_000)
         g.until(g.now + 100)
-        before = g.controller._servers["a"].bucket.rate
+        before = g.controller._servers["a"].rate.bucket.rate
         g.servers(ready("a", 0), kind=api.ListKind.CHANGES)
         g.until(g.now + 3000)
         g.servers(ready("a", 0), kind=api.ListKind.CHANGES)
-        assert g.controller._servers["a"].bucket.rate >= before
+        assert g.controller._servers["a"].rate.bucket.rate >= before
 
     def test_slow_answers_count_as_an_early_full(self, gateway):
         call_id, _ = gateway.call(first=0)
         gateway.until(400)
         gateway.answer(call_id, "a", waited_ms=390)
-        assert gateway.controller._servers["a"].bucket.rate < restrictor.NEVER
+        assert gateway.controller._servers["a"].rate.bucket.rate < leaky_bucket.NEVER
 
 
 class TestOverdueAnswers:
@@ -148,7 +147,7 @@
             gateway.call(first=0)
             gateway.until(gateway.now + 60)
         to_a = sum("a" in sent_to([a]) for _, a in gateway.done)
-        assert to_a <= restrictor.MAX_FILL + 5
+        assert to_a <= leaky_bucket.MAX_FILL + 5
 
     @pytest.mark.parametrize(
         ("waits", "cut"), [((40, 390), False), ((40, 390, 40, 390), False), ((40, 390, 390), True)]
@@ -157,44 +156,46 @@
         """Found on sockets: cut at each chance wait, a busy gateway held calls from servers at rest."""
         for waited_ms in waits:
             gateway.steady("a", 0, 1, gap_ms=400, waited_ms=waited_ms)
-        assert (gateway.controller._servers["a"].bucket.rate < restrictor.NEVER) is cut
+        assert (gateway.controller._servers["a"].rate.bucket.rate < leaky_bucket.NEVER) is cut
 
     def test_a_lone_overdue_answer_is_no_pressure(self, gateway):
         gateway.steady("a", 0, 4)
         gateway.call(first=0)
         gateway.until(gateway.now + 450)
-        assert gateway.controller._servers["a"].bucket.rate == restrictor.NEVER
+        assert gateway.controller._servers["a"].rate.bucket.rate == leaky_bucket.NEVER
 
     @pytest.mark.parametrize(("full", "rate"), [(False, 4.5), (True, 3.0)])
     def test_a_cut_is_eased_by_quick_answers_unless_a_full_bears_it_out(self, gateway, full, rate):
         view = gateway.controller._servers["a"]
         gateway.steady("a", 0, 1)
-        view.bucket.rate, view.spared, view.quiet_ms = 3.0, restrictor.NEVER, restrictor.NEVER
+        view.rate.bucket.rate, view.rate.rate_before_cut = 3.0, leaky_bucket.NEVER
+        view.rate.quiet_since_ms = leaky_bucket.NEVER
         if full:
             gateway.full(gateway.call(first=0)[0], "a")
-            view.bucket.rate, view.quiet_ms = 3.0, restrictor.NEVER
-        gateway.steady("a", 0, server_rules.ENOUGH_ANSWERS + 1, gap_ms=400)
-        assert view.bucket.rate == rate
+            view.rate.bucket.rate, view.rate.quiet_since_ms = 3.0, leaky_bucket.NEVER
+        gateway.steady("a", 0, server_module.MIN_ANSWERS + 1, gap_ms=400)
+        assert view.rate.bucket.rate == rate
 
     def test_what_is_lost_for_good_does_not_halt_the_bucket(self, gateway):
         """Found on sockets: a server spoke on, its set-ups hung on a dead connection, and none followed."""
         gateway.servers(ready("a", 0))
         gateway.steady("a", 0, 4)
         view = gateway.controller._servers["a"]
-        view.bucket.rate = 1.0
+        view.rate.bucket.rate = 1.0
         for _ in range(3):
             gateway.call(first=0, expires_ms=gateway.now + 9000)
         for _ in range(50):
             gateway.until(gateway.now + 100)
-            view.heard_ms = gateway.now
+            view.last_received_ms = gateway.now
         assert sent_to(gateway.call(first=0)[1]) == ["a"]
 
     def test_more_worth_gets_further(self):
         """With the bucket filled past what low worth may reach, only the call of high worth leaves."""
         g = Gateway()
         g.servers(ready("a", 0))
-        bucket = g.controller._servers["a"].bucket
-        bucket.rate, bucket.fill = server_rules.FLOOR_RATE, restrictor.HIGHEST_THRESHOLD - restrictor.SPLASH
+        bucket = g.controller._servers["a"].rate.bucket
+        bucket.rate = server_module.MIN_RATE_PER_S
+        bucket.fill = leaky_bucket.HIGHEST_THRESHOLD - leaky_bucket.SPLASH
         assert not sent_to(g.call("low")[1])
         assert sent_to(g.call("high")[1]) == ["a"]
 
@@ -237,9 +238,9 @@
             assert sent_to(gateway.end(call_id, "b", outcome)) == ["a"]
 
     def test_a_failure_without_work_takes_no_room_in_the_bucket(self, gateway):
-        bucket = gateway.controller._servers["a"].bucket
-        for outcome, left in ((Outcome.ERROR, 0.0), (Outcome.RESET, restrictor.SPLASH)):
-            bucket.rate, bucket.fill = server_rules.FLOOR_RATE, 0.0
+        bucket = gateway.controller._servers["a"].rate.bucket
+        for outcome, left in ((Outcome.ERROR, 0.0), (Outcome.RESET, leaky_bucket.SPLASH)):
+            bucket.rate, bucket.fill = server_module.MIN_RATE_PER_S, 0.0
             call_id, _ = gateway.call(first=0)
             gateway.end(call_id, "a", outcome)
             assert bucket.fill == pytest.approx(left, abs=0.01)
@@ -248,7 +249,7 @@
         """Without it every call knocked at a server without lines, most of them in vain."""
         call_id, _ = gateway.call(first=0)
         gateway.end(call_id, "a", Outcome.FULL, processor_full=False)
-        assert gateway.controller._servers["a"].bucket.rate == server_rules.FLOOR_RATE
+        assert gateway.controller._servers["a"].rate.bucket.rate == server_module.MIN_RATE_PER_S
 
     def test_out_of_attempts_is_refused_at_once(self):
         g = Gateway(settings(max_attempts=2))
@@ -292,14 +293,16 @@
         g.call(number="77", expires_ms=500)
         g.until(2000)
         call_id, _ = g.call(**second)
-        assert g.controller._calls[call_id].target_ms == 2000 + LOW.target_ms
+        call, target_ms = g.controller._calls[call_id], 2000 + LOW.target_ms
+        assert call.first_ms + LOW.target_ms == target_ms
+        assert call.weight(target_ms - 1) == LOW.weight > call.weight(target_ms)
 
     def test_memory_is_bounded(self, monkeypatch):
-        monkeypatch.setattr(call_rules, "REDIALS_MOST", 50)
+        monkeypatch.setattr(call_queue, "MAX_REDIALS", 50)
         g = Gateway()
         for number in range(300):
             g.call(number=str(number), expires_ms=g.now)
-        assert len(g.controller._unserved) <= 51
+        assert len(g.controller._queue.redials) <= 51
 
 
 class TestRules:
@@ -336,7 +339,7 @@
             if call is None or call.server is None:
                 break
             gateway.until(gateway.now + 20)
-            gateway.full(call_id, call.server.server_id)
+            gateway.full(call_id, call.server.entry.id)
         assert gateway.attempts[call_id] + 1 <= SETTINGS.max_attempts
 
     @pytest.mark.parametrize("told", [draining("a", 0), gone("a", 0)])
@@ -383,7 +386,7 @@
         view = gateway.controller._servers["a"]
         call_id, _ = gateway.call(first=0)
         gateway.until(1300)
-        assert view.silent
+        assert view.silence.silent
         if late:
             gateway.answer(call_id, "a")
         else:
@@ -392,8 +395,8 @@
             for _ in range(10):
                 gateway.until(gateway.now + 300)
                 gateway.call(first=0)
-        assert not view.silent
-        assert (view.cold_until_ms > gateway.now) is not late
+        assert not view.silence.silent
+        assert (view.slow_start.until_ms > gateway.now) is not late
 
     @pytest.mark.parametrize("outcome", [Outcome.TIMED_OUT, Outcome.RESET, Outcome.CANCELLED])
     def test_5_release_is_awaited(self, gateway, outcome):
@@ -436,7 +439,7 @@
         call_id, _ = gateway.call(first=0, number="7")
         gateway.answer(call_id, "a")
         gateway.end(call_id, "a", Outcome.ENDED, finished=True)
-        assert not gateway.controller._unserved
+        assert not gateway.controller._queue.redials
 
     def test_calls_at_a_server_that_is_gone_move_on(self, gateway):
         call_id, _ = gateway.call(first=0)
@@ -470,7 +473,7 @@
         assert not controller._calls and not controller._established and not controller._servers
 
     def test_held_calls_are_bounded_and_the_least_worth_goes(self, monkeypatch):
-        monkeypatch.setattr(call_rules, "QUEUED_MOST", 3)
+        monkeypatch.setattr(controller, "MAX_QUEUED_CALLS", 3)
         g = Gateway()
         kept = [g.call("high")[0] for _ in range(2)]
         refused = []
@@ -541,7 +544,7 @@
     """Found on sockets: the first late answer of a day set rates to the floor for most of it."""
 
     @pytest.mark.parametrize(
-        ("sign", "rate"), [("late", 10), ("no line", 10), ("full", server_rules.FLOOR_RATE)]
+        ("sign", "rate"), [("late", 10), ("no line", 10), ("full", server_module.MIN_RATE_PER_S)]
     )
     def test_only_a_full_processor_cuts_it_below_an_even_share(self, sign, rate):
         classes = tuple(replace(c, hold_ms=2000.0) for c in SETTINGS.classes)
@@ -554,7 +557,7 @@
             g.answer(call_id, "a", waited_ms=400)
         else:
             g.end(call_id, "a", Outcome.FULL, processor_full=sign == "full")
-        assert g.controller._servers["a"].bucket.rate == pytest.approx(rate)
+        assert g.controller._servers["a"].rate.bucket.rate == pytest.approx(rate)
 
     def test_the_way_there_is_no_pressure(self):
         """Found on sockets: with half the first resend at 62 ms, a server 60 ms away passed for pressed."""
@@ -564,7 +567,7 @@
         call_id, _ = g.call(first=0)
         g.until(g.now + 70)
         g.answer(call_id, "a", waited_ms=70)
-        assert g.controller._servers["a"].bucket.rate == restrictor.NEVER
+        assert g.controller._servers["a"].rate.bucket.rate == leaky_bucket.NEVER
 
 
 def report(rate_per_s=None, wait_ms=0.0):
@@ -590,19 +593,19 @@
     def test_one_call_at_a_time_tries_again_after_gaps_that_double(self, gateway):
         call_id, _ = gateway.call(number="thin")
         busy(gateway, call_id)
-        gap_ms = call_rules.BUSY_MS
+        gap_ms = call_queue.INITIAL_BUSY_MS
         for _ in range(6):
             assert answers(gateway.call(number="thin")[1])
             gateway.until(gateway.now + gap_ms)
             tries = [gateway.call(number="thin") for _ in range(5)]
             assert sum(bool(sent_to(actions)) for _, actions in tries) == 1
             busy(gateway, tries[0][0])
-            gap_ms = min(2 * gap_ms, call_rules.BUSY_MOST_MS)
+            gap_ms = min(2 * gap_ms, call_queue.MAX_BUSY_MS)
 
     def test_a_call_that_stands_ends_it(self, gateway):
         call_id, _ = gateway.call(number="thin")
         busy(gateway, call_id)
-        gateway.until(gateway.now + call_rules.BUSY_MS)
+        gateway.until(gateway.now + call_queue.INITIAL_BUSY_MS)
         call_id, _ = gateway.call(number="thin")
         gateway.answer(call_id, "a")
         assert sent_to(gateway.call(number="thin")[1])
@@ -617,10 +620,10 @@
         assert answers(busy(gateway, gateway.call(number=None)[0])), "an end all the same"
 
     def test_they_are_forgotten_past_a_number_of_them(self, gateway):
-        for number in range(call_rules.BUSY_MOST + 50):
+        for number in range(call_queue.MAX_BUSY_NUMBERS + 50):
             call_id, actions = gateway.call(number=str(number))
             busy(gateway, call_id, *sent_to(actions))
-        assert len(gateway.controller._busy) == call_rules.BUSY_MOST
+        assert len(gateway.controller._queue.busy) == call_queue.MAX_BUSY_NUMBERS
 
 
 class TestReports:
@@ -632,14 +635,14 @@
         gateway.answer(call_id, "a")
         view = gateway.controller._servers["a"]
         gateway.end(call_id, "a", Outcome.ENDED, finished=True, report=told)
-        assert view.capacity is None and gateway.controller._fair(view) is None
+        assert view.capacity_per_s is None and view.even_share_per_s() is None
 
     def test_it_sets_the_even_share_where_lines_promise_more(self, gateway):
         gateway.tell(api.CircuitsReported("a", 200, 200))
         settings_of = gateway.controller._settings
         view = gateway.controller._servers["a"]
         gateway.tell(api.ProbeAnswered("a", answered=True, report=report(8.0)))
-        assert gateway.controller._fair(view) == pytest.approx(8.0 / settings_of.instances)
+        assert view.even_share_per_s() == pytest.approx(8.0 / settings_of.instances)
 
     def test_one_from_before_a_slowdown_does_not_keep_a_rate_open(self, gateway):
         gateway.steady("a", 0, 8)
@@ -648,11 +651,11 @@
             gateway.call(first=0)
             gateway.until(gateway.now + 100)
         gateway.until(gateway.now + 1000)
-        assert gateway.controller._servers["a"].bucket.rate < 50.0
+        assert gateway.controller._servers["a"].rate.bucket.rate < 50.0
 
     @pytest.mark.parametrize(
         ("told", "most_share"),
-        [(None, server_rules.COLD_BY_POOL * RULES.cold_share), (30.0, server_rules.COLD_BY_REPORT)],
+        [(None, server_module.BY_POOL * RULES.cold_share), (30.0, server_module.BY_REPORT)],
         ids=["by its predecessor's word", "by its own"],
     )
     def test_a_cold_successors_budget_over_all_gateways_keeps_the_rule(self, gateway, told, most_share):
@@ -661,14 +664,14 @@
         view = gateway.controller._servers["c"]
         if told:
             gateway.tell(api.ProbeAnswered("c", answered=True, report=report(told)))
-        sum_of_all = gateway.controller._cold_rate(view) * SETTINGS.instances
+        sum_of_all = view.slow_start.rate_per_s() * SETTINGS.instances
         assert sum_of_all == pytest.approx(most_share * RULES.overload_multiple * (told or 100.0), rel=0.01)
         assert sum_of_all < RULES.overload_multiple * (told or RULES.cold_share * 100.0)
 
     def test_what_a_server_told_before_its_restart_is_no_measure_of_the_cold_one(self, gateway):
         gateway.tell(api.ProbeAnswered("a", answered=True, report=report(100.0)))
         gateway.servers(ready("a", 0, started_ms=gateway.now + 1), ready("b", 1))
-        rate = gateway.controller._cold_rate(gateway.controller._servers["a"])
+        rate = gateway.controller._servers["a"].slow_start.rate_per_s()
         assert rate * SETTINGS.instances < RULES.overload_multiple * RULES.cold_share * 100.0
 
     def test_a_cold_servers_answers_widen_its_budget_whatever_the_rules_multiple(self):
@@ -676,10 +679,10 @@
         g = Gateway(settings(rules=replace(RULES, overload_multiple=2.0)))
         g.servers(ready("a", 0, started_ms=0.0))
         view = g.controller._servers["a"]
-        view.answered.extend(g.now + server_rules.LOOK_BACK_MS * i / 40 for i in range(40))
-        g.now = server_rules.LOOK_BACK_MS - 100
+        view.answered_ms.extend(g.now + server_module.ANSWER_WINDOW_MS * i / 40 for i in range(40))
+        g.now = server_module.ANSWER_WINDOW_MS - 100
         g.controller.handle(g.now, api.CallAbandoned("nobody"))
-        assert g.controller._cold_rate(view) > view.lately(g.now) > 0
+        assert view.slow_start.rate_per_s() > view.window_rate_per_s() > 0
 
 
 class TestMembers:
@@ -692,7 +695,7 @@
         weights = []
         for tenant in tenants:
             call_id, _ = g.call(tenant=tenant)
-            weights.append(g.controller._weight(g.controller._calls[call_id]))
+            weights.append(g.controller._calls[call_id].weight(g.now))
             g.until(g.now + 100)
         return weights
 
@@ -712,6 +715,6 @@
         g = Gateway(settings(tenants=self.MEMBERS, over_quota_weight=0.2))
         for _ in range(30):
             call_id, _ = g.call(tenant="small", number="n")
-            part = g.controller._calls[call_id].part
+            part = g.controller._calls[call_id].quota_weight
             g.tell(api.CallAbandoned(call_id))
         assert part == 1.0, "thirty tries of one call"
