--- /dev/null
+++ b/tests/test_policy_calls.py
@@ -0,0 +1,247 @@
+"""Where calls go, what failures and odd events do, and what is kept of calls."""
+
+from __future__ import annotations
+
+import pytest
+from conftest import LOW, SETTINGS, Gateway, draining, gone, ready, sent_to, settings
+from policy_helpers import answers, lines
+
+from canvasplank import interface as api
+from canvasplank.interface import Outcome
+from canvasplank.policy import controller, leaky_bucket
+from canvasplank.policy import server as server_module
+
+
+class TestRoute:
+    """First choice, then the idler of two others."""
+
+    def test_first_choice_while_it_admits(self, gateway):
+        for first, server in ((0, "a"), (1, "b"), (0, "a")):
+            assert sent_to(gateway.call(first=first)[1]) == [server]
+
+    def test_a_class_goes_only_to_its_pools(self):
+        g = Gateway(settings(classes=(LOW, api.CallClass("b-only", 1000, 6000, 1, 0, pools=(1,)))))
+        g.servers(ready("a", 0), ready("b", 1))
+        assert sent_to(g.call("b-only", first=0)[1]) == ["b"]
+
+    def test_of_two_others_the_one_with_fewer_unanswered(self):
+        g = Gateway()
+        g.servers(draining("a", 0), ready("b", 1), ready("c", 2))
+        for _ in range(2):
+            g.call(first=1)
+            g.until(g.now + 50)
+        assert sent_to(g.call(first=0)[1]) == ["c"]
+
+    def test_a_full_first_choice_gives_way_at_once(self, gateway):
+        call_id, _ = gateway.call(first=0)
+        gateway.until(100)
+        assert sent_to(gateway.full(call_id, "a")) in (["a"], ["b"])
+        sent = [sent_to(gateway.call(first=0)[1]) for _ in range(6)]
+        assert ["b"] in sent, "a cut bucket passes the rest on to the other server"
+
+
+class TestFailures:
+    """Found in incidents: servers that fail set-ups fast, all of them or a part."""
+
+    @pytest.mark.parametrize("outcome", [Outcome.ERROR, Outcome.NO_CONNECTION])
+    def test_another_server_comes_first_and_the_same_one_last(self, gateway, outcome):
+        call_id, _ = gateway.call(first=0)
+        assert sent_to(gateway.end(call_id, "a", outcome)) == ["b"]
+        gateway.servers(gone("b", 1), kind=api.ListKind.CHANGES)
+        if outcome is Outcome.ERROR:
+            assert sent_to(gateway.end(call_id, "b", outcome)) == ["a"]
+
+    def test_a_failure_without_work_takes_no_room_in_the_bucket(self, gateway):
+        bucket = gateway.controller._servers["a"].rate.bucket
+        for outcome, left in ((Outcome.ERROR, 0.0), (Outcome.RESET, leaky_bucket.SPLASH)):
+            bucket.rate, bucket.fill = server_module.MIN_RATE_PER_S, 0.0
+            call_id, _ = gateway.call(first=0)
+            gateway.end(call_id, "a", outcome)
+            assert bucket.fill == pytest.approx(left, abs=0.01)
+
+    def test_out_of_lines_cuts_as_a_full_processor_does(self, gateway):
+        """Without it every call knocked at a server without lines, most of them in vain."""
+        call_id, _ = gateway.call(first=0)
+        gateway.end(call_id, "a", Outcome.FULL, processor_full=False)
+        assert gateway.controller._servers["a"].rate.bucket.rate == server_module.MIN_RATE_PER_S
+
+    def test_out_of_attempts_is_refused_at_once(self):
+        g = Gateway(settings(max_attempts=2))
+        g.servers(ready("a", 0), ready("b", 1))
+        call_id, _ = g.call(first=0)
+        g.end(call_id, "a", Outcome.ERROR)
+        [refusal] = answers(g.end(call_id, "b", Outcome.ERROR))
+        assert refusal.call_id == call_id and 1000 <= refusal.retry_after_ms <= 2000
+
+    def test_refused_callers_are_not_told_to_come_back_together(self):
+        waits = set()
+        g = Gateway(settings(max_attempts=1))
+        g.servers(ready("a", 0))
+        for _ in range(5):
+            call_id, _ = g.call(first=0)
+            waits |= {a.retry_after_ms for a in answers(g.end(call_id, "a", Outcome.ERROR))}
+        assert len(waits) == 5
+
+    def test_callers_who_heed_no_wait_are_told_none(self):
+        g = Gateway(settings(max_attempts=1, retry_after_max_ms=None))
+        g.servers(ready("a", 0))
+        call_id, _ = g.call(first=0)
+        assert answers(g.end(call_id, "a", Outcome.ERROR)) == [api.Refuse(call_id, None)]
+
+
+class TestOddEvents:
+    """Events out of place, and what is kept."""
+
+    def test_things_no_longer_held_are_passed_over(self, gateway):
+        for event in (
+            api.Established("no call", 0, "a", 10),
+            api.Established("no call", 0, "no server", 10),
+            api.AttemptEnded("no call", 0, "no server", Outcome.TIMED_OUT, finished=True),
+            api.CallAbandoned("no call"),
+            api.TimerFired("no timer"),
+            api.ProbeAnswered("no server", answered=True),
+        ):
+            assert not [a for a in gateway.tell(event) if not isinstance(a, api.SetTimer)]
+
+    def test_an_outcome_told_twice_frees_no_call_for_a_second_attempt(self, gateway):
+        call_id, _ = gateway.call(first=0)
+        first = api.AttemptEnded(call_id, 0, "a", Outcome.ERROR, finished=False)
+        assert sent_to(gateway.tell(first)) == ["b"]
+        assert not sent_to(gateway.tell(first))
+        gateway.tell(api.Established(call_id, 0, "a", 10))
+        assert call_id in gateway.controller._calls, "an answer to an attempt that ended is no answer"
+
+    def test_a_served_call_is_not_remembered_as_unserved(self, gateway):
+        call_id, _ = gateway.call(first=0, number="7")
+        gateway.answer(call_id, "a")
+        gateway.end(call_id, "a", Outcome.ENDED, finished=True)
+        assert not gateway.controller._queue.redials
+
+    def test_calls_at_a_server_that_is_gone_move_on(self, gateway):
+        call_id, _ = gateway.call(first=0)
+        gateway.servers(gone("a", 0), kind=api.ListKind.CHANGES)
+        seen = gateway.until(gateway.now + 700)
+        assert [a for a in seen if isinstance(a, api.Cancel)] == [api.Cancel(call_id, 0)]
+        gateway.end(call_id, "a", Outcome.CANCELLED)
+        assert sent_to(gateway.until(gateway.now + 400)) == ["b"]
+
+    def test_a_clock_that_steps_back_stands_still(self, gateway):
+        gateway.until(1000)
+        call_id, _ = gateway.call(expires_ms=1500)
+        gateway.now = 200
+        gateway.answer(call_id, "a")
+        gateway.now = 900
+        assert sent_to(gateway.call(expires_ms=1500)[1]) == ["a"]
+
+    def test_the_same_call_twice_is_one_call(self, gateway):
+        gateway.call(id="x")
+        assert not sent_to(gateway.call(id="x")[1])
+
+    def test_state_of_ended_calls_and_vanished_servers_is_freed(self, gateway):
+        for _ in range(20):
+            call_id, actions = gateway.call(number=None)
+            server = sent_to(actions)[0]
+            gateway.until(gateway.now + 50)
+            gateway.answer(call_id, server)
+            gateway.end(call_id, server, Outcome.ENDED, finished=True)
+        gateway.servers()
+        controller = gateway.controller
+        assert not controller._calls and not controller._established and not controller._servers
+
+    def test_held_calls_are_bounded_and_the_least_worth_goes(self, monkeypatch):
+        monkeypatch.setattr(controller, "MAX_QUEUED_CALLS", 3)
+        g = Gateway()
+        kept = [g.call("high")[0] for _ in range(2)]
+        refused = []
+        for _ in range(4):
+            refused += [a.call_id for a in answers(g.call("low")[1])]
+        assert len(refused) == 3 and not set(kept) & set(refused)
+
+    def test_same_events_same_actions(self):
+        def run(seed):
+            g = Gateway(seed=seed)
+            g.servers(draining("x", 0), ready("a", 1), ready("b", 2), ready("c", 3))
+            for _ in range(50):
+                g.call(first=0)
+                g.until(g.now + 30)
+            return g.done
+
+        assert run(3) == run(3)
+        assert run(3) != run(4)
+
+
+class TestHurriedCallers:
+    """Found on sockets: of callers who wait 100 ms, most were failed 27 ms early, and so got no answer."""
+
+    @pytest.mark.parametrize(("wait_ms", "fails_ms"), [(100, 80), (3000, 2965)])
+    def test_a_short_wait_is_used_up_to_its_last_tenth(self, gateway, wait_ms, fails_ms):
+        began_ms = gateway.now
+        gateway.call(first=0, expires_ms=began_ms + wait_ms)
+        gateway.until(began_ms + wait_ms)
+        assert [at - began_ms for at, action in gateway.done if isinstance(action, api.Fail)] == [fails_ms]
+
+
+class TestWork:
+    """What a gateway does when nothing is due: nothing."""
+
+    def test_an_idle_gateway_sets_no_timer(self, gateway):
+        gateway.steady("a", 0, 3)
+        gateway.until(gateway.now + 2000)
+        before = sum(isinstance(a, api.SetTimer) for _, a in gateway.done)
+        gateway.until(gateway.now + 60_000)
+        gateway.tell(lines("a", 100))
+        assert not gateway.timers
+        assert sum(isinstance(a, api.SetTimer) for _, a in gateway.done) == before
+
+    def test_held_calls_wait_for_the_next_room_not_for_the_clock(self):
+        g = Gateway()
+        for _ in range(50):
+            g.call(expires_ms=10_000)
+        g.until(9000)
+        assert sum(isinstance(a, api.SetTimer) for _, a in g.done) <= 12
+
+    def test_the_memory_of_redials_is_in_the_order_of_the_notes(self):
+        """A redial is noted anew with its old first try; what was noted first still goes first."""
+        g = Gateway()
+        for number in ("1", "2", "1", "3"):
+            g.call(number=number, expires_ms=g.now)
+            g.until(g.now + 100)
+        unserved = g.controller._queue.redials
+        assert [key for key, _ in unserved] == ["2", "1", "3"]
+        noted = [at for _, at, _ in unserved.values()]
+        assert noted == sorted(noted) and unserved["1", "low"][0] == 0
+        g.until(SETTINGS.classes[0].deadline_ms + 250)
+        g.call(number="4", expires_ms=g.now)
+        assert [key for key, _ in unserved] == ["3", "4"]
+
+
+class TestOddInputs:
+    """What a gateway of the users' own may bring."""
+
+    def test_a_server_listed_twice_is_one_server_as_last_told(self):
+        g = Gateway()
+        g.servers(ready("a", 0), api.Server("a", 0, api.ServerState.DRAINING))
+        assert not sent_to(g.call()[1])
+
+    def test_a_first_choice_that_no_server_has(self, gateway):
+        assert len(sent_to(gateway.call(first=99)[1])) == 1
+
+    def test_a_start_in_the_future_is_a_cold_server(self, gateway):
+        gateway.servers(ready("a", 0, started_ms=gateway.now + 5000), kind=api.ListKind.CHANGES)
+        sent = []
+        for _ in range(20):
+            sent += sent_to(gateway.call(first=0)[1])
+            gateway.until(gateway.now + 50)
+        assert sent.count("a") <= 1
+
+    def test_an_outcome_of_a_server_that_has_left(self, gateway):
+        call_id, _ = gateway.call(first=0)
+        gateway.servers(ready("b", 1))
+        assert sent_to(gateway.end(call_id, "a", Outcome.ERROR)) == ["b"]
+
+    def test_a_clock_that_jumps_ahead(self, gateway):
+        call_id, _ = gateway.call(first=0)
+        gateway.now += 3_600_000
+        gateway.call(first=1)
+        gateway.until(gateway.now + 100)
+        assert [a.call_id for _, a in gateway.done if isinstance(a, api.Fail)] == [call_id]
--- /dev/null
+++ b/tests/test_policy_large_fleet.py
@@ -0,0 +1,170 @@
+"""Many gateways before a few servers, each with a small part of the calls.
+
+Every test here counts what gateways send; none measures time spent.
+"""
+
+from __future__ import annotations
+
+import pytest
+from conftest import RULES, Gateway, ready, sent_to
+from policy_helpers import large, lines
+
+from canvasplank import interface as api
+from canvasplank.policy import server as server_module
+
+
+def fleet(instances: int) -> list[Gateway]:
+    return [Gateway(large(instances), seed=seed) for seed in range(instances)]
+
+
+def offer(gateways: list[Gateway], seconds: float, calls_per_s: float, weights=None, does=None):
+    """Calls spread over the gateways by weight; gives the times of set-ups to server a.
+
+    ``does`` tells how many calls a second the server can do at a time; it answers in turn.  None: silent.
+    """
+    sent: list[float] = []
+    weights = weights or [1.0] * len(gateways)
+    total, credit = sum(weights), [(index * 0.618) % 1 for index in range(len(gateways))]  # not in step
+    start = free_at = gateways[0].now
+    for step in range(int(seconds * 20)):
+        now = start + step * 50
+        for index, g in enumerate(gateways):
+            mark = len(g.done)
+            g.until(now)
+            credit[index] += calls_per_s / 20 * weights[index] / total
+            while credit[index] >= 1:
+                credit[index] -= 1
+                g.call(expires_ms=now + 3000)
+            for when, action in g.done[mark:]:
+                if isinstance(action, api.SetUp) and action.server_id == "a":
+                    sent.append(when)
+                    if does:
+                        free_at = max(free_at, now) + 1000 / does(now)
+                        g.due.append((max(free_at, now + 40), action.call_id, "a"))
+    return sorted(sent)
+
+
+class TestColdServerAndTheFleet:
+    """Rule 4 is about all gateways together: their set-ups are summed."""
+
+    CAPACITY = 60.0  # calls a second of the warm server; it has lines for that and holds them 8 s
+
+    def present(self, age_ms: float) -> float:
+        """What it can do so long after its start, growing evenly."""
+        grown = min(1.0, max(0.0, age_ms) / RULES.warm_within_ms)
+        return self.CAPACITY * (RULES.cold_share + (1 - RULES.cold_share) * grown)
+
+    def within_limit(self, sent: list[float], born: float) -> bool:
+        """No span from any set-up on holds more than the multiple of what the server can do at that time."""
+        span, budget = RULES.overload_span_ms, RULES.overload_multiple * RULES.overload_span_ms / 1000
+        return all(sum(at <= s < at + span for s in sent) <= budget * self.present(at - born) for at in sent)
+
+    @pytest.mark.parametrize("instances", [1, 7, 250])
+    @pytest.mark.parametrize("uneven", [False, True])
+    @pytest.mark.parametrize("known", [False, True])
+    def test_a_restart_is_not_pushed_over(self, instances, uneven, known):
+        """Also with all the calls of a busy fleet, uneven gateways, and a server known from before."""
+        gateways = fleet(instances)
+        weights = [1 + 9 * (i % 5 == 0) if uneven else 1 for i in range(instances)]
+        for g in gateways:
+            g.servers(ready("a", 0) if known else ready("b", 1))
+            if known:
+                g.tell(lines("a", self.CAPACITY * 8))
+        if known:
+            offer(gateways, 6, self.CAPACITY * 0.9, weights, does=lambda now: self.CAPACITY)
+        born = gateways[0].now
+        for g in gateways:
+            g.servers(ready("a", 0, started_ms=born), kind=api.ListKind.CHANGES)
+            g.tell(lines("a", self.CAPACITY * 8))
+        sent = offer(gateways, 6, self.CAPACITY * 1.5, weights, does=lambda now: self.present(now - born))
+        assert sent, "it is used"
+        assert self.within_limit(sent, born)
+
+    @pytest.mark.parametrize("instances", [7, 250])
+    def test_a_return_from_silence_before_the_list_tells(self, instances):
+        """It dies, slowly or not, and is back cold: the trials of all together stay within its budget."""
+        gateways = fleet(instances)
+        for g in gateways:
+            g.servers(ready("a", 0))
+            g.tell(lines("a", self.CAPACITY * 8))
+        offer(gateways, 6, self.CAPACITY * 0.9, does=lambda now: self.CAPACITY)
+        silent = offer(gateways, 10, self.CAPACITY * 0.9)
+        back = [at for at in silent if at > silent[0] + 6000]  # by then each has seen for itself
+        assert self.within_limit(back, gateways[0].now), "trials alone"
+        born = gateways[0].now
+        sent = offer(gateways, 4, self.CAPACITY * 0.9, does=lambda now: self.present(now - born))
+        assert self.within_limit(sent, born)
+
+
+class TestPart:
+    """A gateway's part of the one call a second."""
+
+    def cut_rate(self, g: Gateway) -> float:
+        call_id, _ = g.call()
+        g.until(g.now + 20)
+        g.full(call_id, "a")
+        return g.controller._servers["a"].rate.bucket.rate
+
+    def test_a_small_fleet_keeps_the_call_a_second(self):
+        for told in (False, True):
+            g = Gateway(large(4))
+            g.servers(ready("a", 0))
+            if told:
+                g.tell(lines("a", 400))
+            assert self.cut_rate(g) == server_module.MIN_RATE_PER_S
+
+    @pytest.mark.parametrize("count", [40, 400, 4000])
+    def test_floors_of_a_large_fleet_sum_to_less_than_the_server_carries(self, count):
+        """Found on the first busy day at full size: floors summed to several servers."""
+        g = Gateway(large())
+        g.servers(ready("a", 0))
+        g.tell(lines("a", count))
+        carries = count / 8.0
+        assert 0 < self.cut_rate(g) * 250 <= carries / 2
+
+    def test_without_told_lines_the_second_is_shared_by_count(self):
+        g = Gateway(large())
+        g.servers(ready("a", 0))
+        assert self.cut_rate(g) * 250 == pytest.approx(server_module.MIN_RATE_GATEWAYS)
+
+    def test_no_bucket_opens_wider_than_some_even_shares(self):
+        """A bucketful of every gateway is seconds of work; it must leak no faster than it is wanted."""
+        g = Gateway(large())
+        g.servers(ready("a", 0))
+        g.tell(lines("a", 200))
+        g.until(1000)
+        sent = []
+        for _ in range(20):
+            sent += sent_to(g.call()[1])
+            g.until(g.now + 20)
+        assert 1 <= len(sent) <= 2
+
+    def test_a_gateway_that_gets_many_calls_earns_a_wider_bucket(self):
+        g = Gateway(large())
+        g.servers(ready("a", 0))
+        g.tell(lines("a", 800))
+        g.steady("a", 0, 60, gap_ms=100)
+        g.done.clear()
+        g.steady("a", 0, 20, gap_ms=100)
+        assert sum("a" in sent_to([a]) for _, a in g.done) >= 18
+
+    @pytest.mark.parametrize("told", [(-1, 5), (3, 0), (0, -4), (1, float("inf")), (1, float("nan"))])
+    def test_absurd_lines_are_no_measure(self, told):
+        g = Gateway(large())
+        g.servers(ready("a", 0))
+        g.tell(api.CircuitsReported("a", *told))
+        g.tell(api.CircuitsReported("no server", 1, 1))
+        assert sent_to(g.call()[1]) == ["a"]
+
+    def test_second_choices_go_by_size_in_a_large_fleet_only(self):
+        """Found in if96e53: the load of a large server passed evenly to small ones buried them."""
+        for instances, low, high in ((4, 60, 140), (250, 0, 30)):
+            small = 0
+            for seed in range(200):
+                g = Gateway(large(instances), seed=seed)
+                g.servers(ready("a", 0), ready("b", 1), ready("c", 2))
+                for name, count in (("a", 100), ("b", 2000), ("c", 2000)):
+                    g.tell(lines(name, count if instances > 4 else 2000))
+                g.until(50)
+                small += sent_to(g.call(first=9)[1]) == ["a"]
+            assert low <= small <= high
--- /dev/null
+++ b/tests/test_policy_rate_control.py
@@ -0,0 +1,227 @@
+"""The bucket of a server and the rate rule: cuts, growth, overdue answers, load reports."""
+
+from __future__ import annotations
+
+from dataclasses import replace
+
+import pytest
+from conftest import SETTINGS, Gateway, ready, sent_to, settings
+from policy_helpers import report
+
+from canvasplank import interface as api
+from canvasplank.interface import Outcome
+from canvasplank.policy import leaky_bucket
+from canvasplank.policy import server as server_module
+from canvasplank.policy.leaky_bucket import LeakyBucket
+
+
+class TestBucket:
+    """ND1621's restrictor."""
+
+    def test_open_bucket_forgets_at_once(self):
+        bucket = LeakyBucket(0, 0.0)
+        bucket.add()
+        bucket.leak(1, leaky_bucket.NEVER)
+        assert bucket.fill == 0
+
+    def test_leaks_at_its_rate_and_not_below_zero(self):
+        bucket = LeakyBucket(0, 0.5)
+        bucket.add()
+        assert bucket.fill == pytest.approx(2.0)
+        bucket.rate = 4.0
+        bucket.leak(250, leaky_bucket.NEVER)
+        assert bucket.fill == pytest.approx(1.0)
+        bucket.leak(450, 300)
+        assert bucket.fill == pytest.approx(0.8), "of that time only the part up to 300 counts"
+        bucket.leak(10_000, leaky_bucket.NEVER)
+        assert bucket.fill == 0
+
+    def test_passes_up_to_the_threshold_itself(self):
+        bucket = LeakyBucket(0, -leaky_bucket.INITIAL_FILL)
+        assert bucket.admits(leaky_bucket.SPLASH)
+        assert not bucket.admits(leaky_bucket.SPLASH - 0.01)
+
+    def test_fill_is_capped(self):
+        bucket = LeakyBucket(0, 0.0)
+        for _ in range(100):
+            bucket.add()
+        assert bucket.fill == leaky_bucket.MAX_FILL
+
+    def test_thresholds_rise_with_worth_and_stay_below_the_cap(self):
+        assert leaky_bucket.SPLASH <= leaky_bucket.LOWEST_THRESHOLD
+        assert leaky_bucket.LOWEST_THRESHOLD < leaky_bucket.HIGHEST_THRESHOLD < leaky_bucket.MAX_FILL
+
+
+class TestRate:
+    """The rate rule."""
+
+    def full_after(self, count):
+        g = Gateway()
+        g.servers(ready("a", 0))
+        g.steady("a", 0, count, gap_ms=100)
+        call_id, _ = g.call(first=0)
+        g.until(g.now + 50)
+        g.full(call_id, "a")
+        return g
+
+    def test_drops_to_the_answered_calls_of_the_last_second(self):
+        assert self.full_after(30).controller._servers["a"].rate.bucket.rate == pytest.approx(9, abs=1.01)
+
+    def test_never_below_one_call_a_second(self):
+        assert self.full_after(0).controller._servers["a"].rate.bucket.rate == server_module.MIN_RATE_PER_S
+
+    def test_one_unlucky_second_is_no_measure(self):
+        """A second with one answer, after steady ones: the cut looks further back."""
+        g = Gateway()
+        g.servers(ready("a", 0))
+        g.steady("a", 0, 8, gap_ms=250)
+        g.until(g.now + 950)
+        call_id, _ = g.call(first=0)
+        g.until(g.now + 40)
+        g.full(call_id, "a")
+        assert g.controller._servers["a"].rate.bucket.rate > 1.5
+
+    def test_one_jam_cuts_once(self, gateway):
+        ids = [gateway.call(first=0)[0] for _ in range(3)]
+        gateway.until(60)
+        gateway.full(ids[0], "a")
+        first = gateway.controller._servers["a"].rate.bucket.rate
+        gateway.until(120)
+        gateway.full(ids[1], "a")
+        assert gateway.controller._servers["a"].rate.bucket.rate == first
+
+    def test_grows_in_quiet_seconds(self):
+        g = self.full_after(0)
+        g.call(first=0, expires_ms=g.now + 20_000)
+        g.until(g.now + 100)
+        before = g.controller._servers["a"].rate.bucket.rate
+        g.servers(ready("a", 0), kind=api.ListKind.CHANGES)
+        g.until(g.now + 3000)
+        g.servers(ready("a", 0), kind=api.ListKind.CHANGES)
+        assert g.controller._servers["a"].rate.bucket.rate >= before
+
+    def test_slow_answers_count_as_an_early_full(self, gateway):
+        call_id, _ = gateway.call(first=0)
+        gateway.until(400)
+        gateway.answer(call_id, "a", waited_ms=390)
+        assert gateway.controller._servers["a"].rate.bucket.rate < leaky_bucket.NEVER
+
+
+class TestOverdueAnswers:
+    """Answers that do not come."""
+
+    def test_nothing_leaks_while_answers_are_overdue(self, gateway):
+        """A jammed or silent server is fed a bucketful at most, and the rest goes elsewhere."""
+        for _ in range(12):
+            gateway.call(first=0)
+            gateway.until(gateway.now + 60)
+        to_a = sum("a" in sent_to([a]) for _, a in gateway.done)
+        assert to_a <= leaky_bucket.MAX_FILL + 5
+
+    @pytest.mark.parametrize(
+        ("waits", "cut"), [((40, 390), False), ((40, 390, 40, 390), False), ((40, 390, 390), True)]
+    )
+    def test_it_takes_two_slow_answers_in_a_row(self, gateway, waits, cut):
+        """Found on sockets: cut at each chance wait, a busy gateway held calls from servers at rest."""
+        for waited_ms in waits:
+            gateway.steady("a", 0, 1, gap_ms=400, waited_ms=waited_ms)
+        assert (gateway.controller._servers["a"].rate.bucket.rate < leaky_bucket.NEVER) is cut
+
+    def test_a_lone_overdue_answer_is_no_pressure(self, gateway):
+        gateway.steady("a", 0, 4)
+        gateway.call(first=0)
+        gateway.until(gateway.now + 450)
+        assert gateway.controller._servers["a"].rate.bucket.rate == leaky_bucket.NEVER
+
+    @pytest.mark.parametrize(("full", "rate"), [(False, 4.5), (True, 3.0)])
+    def test_a_cut_is_eased_by_quick_answers_unless_a_full_bears_it_out(self, gateway, full, rate):
+        view = gateway.controller._servers["a"]
+        gateway.steady("a", 0, 1)
+        view.rate.bucket.rate, view.rate.rate_before_cut = 3.0, leaky_bucket.NEVER
+        view.rate.quiet_since_ms = leaky_bucket.NEVER
+        if full:
+            gateway.full(gateway.call(first=0)[0], "a")
+            view.rate.bucket.rate, view.rate.quiet_since_ms = 3.0, leaky_bucket.NEVER
+        gateway.steady("a", 0, server_module.MIN_ANSWERS + 1, gap_ms=400)
+        assert view.rate.bucket.rate == rate
+
+    def test_what_is_lost_for_good_does_not_halt_the_bucket(self, gateway):
+        """Found on sockets: a server spoke on, its set-ups hung on a dead connection, and none followed."""
+        gateway.servers(ready("a", 0))
+        gateway.steady("a", 0, 4)
+        view = gateway.controller._servers["a"]
+        view.rate.bucket.rate = 1.0
+        for _ in range(3):
+            gateway.call(first=0, expires_ms=gateway.now + 9000)
+        for _ in range(50):
+            gateway.until(gateway.now + 100)
+            view.last_received_ms = gateway.now
+        assert sent_to(gateway.call(first=0)[1]) == ["a"]
+
+    def test_more_worth_gets_further(self):
+        """With the bucket filled past what low worth may reach, only the call of high worth leaves."""
+        g = Gateway()
+        g.servers(ready("a", 0))
+        bucket = g.controller._servers["a"].rate.bucket
+        bucket.rate = server_module.MIN_RATE_PER_S
+        bucket.fill = leaky_bucket.HIGHEST_THRESHOLD - leaky_bucket.SPLASH
+        assert not sent_to(g.call("low")[1])
+        assert sent_to(g.call("high")[1]) == ["a"]
+
+
+class TestNewlyMet:
+    """Found on sockets: the first late answer of a day set rates to the floor for most of it."""
+
+    @pytest.mark.parametrize(
+        ("sign", "rate"), [("late", 10), ("no line", 10), ("full", server_module.MIN_RATE_PER_S)]
+    )
+    def test_only_a_full_processor_cuts_it_below_an_even_share(self, sign, rate):
+        classes = tuple(replace(c, hold_ms=2000.0) for c in SETTINGS.classes)
+        g = Gateway(settings(classes=classes))
+        g.servers(ready("a", 0))
+        g.tell(api.CircuitsReported("a", 80, 80))
+        call_id, _ = g.call(first=0)
+        g.until(400 if sign == "late" else 100)
+        if sign == "late":  # the first of all, so that no answer in time speaks for chance
+            g.answer(call_id, "a", waited_ms=400)
+        else:
+            g.end(call_id, "a", Outcome.FULL, processor_full=sign == "full")
+        assert g.controller._servers["a"].rate.bucket.rate == pytest.approx(rate)
+
+    def test_the_way_there_is_no_pressure(self):
+        """Found on sockets: with half the first resend at 62 ms, a server 60 ms away passed for pressed."""
+        g = Gateway(settings(resend_ms=125))
+        g.servers(ready("a", 0))
+        g.steady("a", 0, 20, gap_ms=100, waited_ms=55)
+        call_id, _ = g.call(first=0)
+        g.until(g.now + 70)
+        g.answer(call_id, "a", waited_ms=70)
+        assert g.controller._servers["a"].rate.bucket.rate == leaky_bucket.NEVER
+
+
+class TestReports:
+    """What servers tell of their load."""
+
+    @pytest.mark.parametrize("told", [None, report(), report(0.0), report(20.0, wait_ms=900.0)])
+    def test_one_that_tells_nothing_of_what_can_be_taken_changes_nothing(self, gateway, told):
+        call_id, _ = gateway.call()
+        gateway.answer(call_id, "a")
+        view = gateway.controller._servers["a"]
+        gateway.end(call_id, "a", Outcome.ENDED, finished=True, report=told)
+        assert view.capacity_per_s is None and view.even_share_per_s() is None
+
+    def test_it_sets_the_even_share_where_lines_promise_more(self, gateway):
+        gateway.tell(api.CircuitsReported("a", 200, 200))
+        settings_of = gateway.controller._settings
+        view = gateway.controller._servers["a"]
+        gateway.tell(api.ProbeAnswered("a", answered=True, report=report(8.0)))
+        assert view.even_share_per_s() == pytest.approx(8.0 / settings_of.instances)
+
+    def test_one_from_before_a_slowdown_does_not_keep_a_rate_open(self, gateway):
+        gateway.steady("a", 0, 8)
+        gateway.tell(api.ProbeAnswered("a", answered=True, report=report(50.0)))
+        for _ in range(4):
+            gateway.call(first=0)
+            gateway.until(gateway.now + 100)
+        gateway.until(gateway.now + 1000)
+        assert gateway.controller._servers["a"].rate.bucket.rate < 50.0
--- /dev/null
+++ b/tests/test_policy_retries.py
@@ -0,0 +1,123 @@
+"""Retries: redials, busy numbers, and tenants' quotas."""
+
+from __future__ import annotations
+
+import pytest
+from conftest import LOW, SETTINGS, Gateway, ready, sent_to, settings
+from policy_helpers import answers, busy
+
+from canvasplank import interface as api
+from canvasplank.policy import call_queue
+
+
+class TestRedials:
+    """Further tries of a caller."""
+
+    def test_a_redial_ranks_by_its_first_try(self):
+        g = Gateway()
+        g.call(number="77", expires_ms=500)
+        g.until(2000)
+        g.call(number="77", id="redial")
+        g.call(number="78", id="fresh")
+        g.servers(ready("a", 0))
+        assert [a.call_id for _, a in g.done if isinstance(a, api.SetUp)][:1] == ["fresh"]
+
+    @pytest.mark.parametrize("second", [{"number": "78"}, {"number": "77", "was_cut": True}, {}])
+    def test_others_do_not(self, second):
+        g = Gateway()
+        g.call(number="77", expires_ms=500)
+        g.until(2000)
+        call_id, _ = g.call(**second)
+        call, target_ms = g.controller._calls[call_id], 2000 + LOW.target_ms
+        assert call.first_ms + LOW.target_ms == target_ms
+        assert call.weight(target_ms - 1) == LOW.weight > call.weight(target_ms)
+
+    def test_memory_is_bounded(self, monkeypatch):
+        monkeypatch.setattr(call_queue, "MAX_REDIALS", 50)
+        g = Gateway()
+        for number in range(300):
+            g.call(number=str(number), expires_ms=g.now)
+        assert len(g.controller._queue.redials) <= 51
+
+
+class TestBusyNumbers:
+    """A flood for one thin number must cost nobody else."""
+
+    def test_is_refused_at_once_with_a_spread_wait_and_tried_nowhere_else(self, gateway):
+        call_id, _ = gateway.call(number="thin")
+        actions = busy(gateway, call_id)
+        assert not sent_to(actions)
+        waits = [answers(actions)[0].retry_after_ms]
+        waits += [answers(gateway.call(number="thin")[1])[0].retry_after_ms for _ in range(20)]
+        most = SETTINGS.retry_after_max_ms
+        assert most / 2 <= min(waits) < max(waits) <= most and len(set(waits)) > 10
+
+    def test_one_call_at_a_time_tries_again_after_gaps_that_double(self, gateway):
+        call_id, _ = gateway.call(number="thin")
+        busy(gateway, call_id)
+        gap_ms = call_queue.INITIAL_BUSY_MS
+        for _ in range(6):
+            assert answers(gateway.call(number="thin")[1])
+            gateway.until(gateway.now + gap_ms)
+            tries = [gateway.call(number="thin") for _ in range(5)]
+            assert sum(bool(sent_to(actions)) for _, actions in tries) == 1
+            busy(gateway, tries[0][0])
+            gap_ms = min(2 * gap_ms, call_queue.MAX_BUSY_MS)
+
+    def test_a_call_that_stands_ends_it(self, gateway):
+        call_id, _ = gateway.call(number="thin")
+        busy(gateway, call_id)
+        gateway.until(gateway.now + call_queue.INITIAL_BUSY_MS)
+        call_id, _ = gateway.call(number="thin")
+        gateway.answer(call_id, "a")
+        assert sent_to(gateway.call(number="thin")[1])
+
+    def test_other_numbers_and_calls_without_one_go_on(self, gateway):
+        call_id, _ = gateway.call(number="thin")
+        busy(gateway, call_id)
+        for number in ("other", None):
+            call_id, actions = gateway.call(number=number)
+            assert sent_to(actions) == ["a"]
+            gateway.answer(call_id, "a")
+        assert answers(busy(gateway, gateway.call(number=None)[0])), "an end all the same"
+
+    def test_they_are_forgotten_past_a_number_of_them(self, gateway):
+        for number in range(call_queue.MAX_BUSY_NUMBERS + 50):
+            call_id, actions = gateway.call(number=str(number))
+            busy(gateway, call_id, *sent_to(actions))
+        assert len(gateway.controller._queue.busy) == call_queue.MAX_BUSY_NUMBERS
+
+
+class TestMembers:
+    """Customers with shares."""
+
+    MEMBERS = (api.Tenant("big", 9.0), api.Tenant("small", 1.0))
+
+    def weights(self, tenants):
+        g = Gateway(settings(tenants=self.MEMBERS, over_quota_weight=0.2))
+        weights = []
+        for tenant in tenants:
+            call_id, _ = g.call(tenant=tenant)
+            weights.append(g.controller._calls[call_id].weight(g.now))
+            g.until(g.now + 100)
+        return weights
+
+    def test_what_goes_past_a_share_is_worth_less(self):
+        weights = self.weights(["big", "small"] * 50)
+        assert set(weights[0::2]) == {1.0}, "less than its part of the traffic"
+        assert weights[21::2].count(0.2) == pytest.approx(40 * 0.8, abs=2), "a half, where a tenth is its own"
+
+    def test_within_the_shares_all_are_worth_the_whole(self):
+        assert set(self.weights((["big"] * 9 + ["small"]) * 10)) == {1.0}
+
+    @pytest.mark.parametrize("unknown", [None, "nobody"])
+    def test_a_member_that_the_settings_do_not_know_has_no_share_to_pass(self, unknown):
+        assert set(self.weights([unknown] * 30)) == {1.0}
+
+    def test_a_redial_counts_with_its_first_try(self):
+        g = Gateway(settings(tenants=self.MEMBERS, over_quota_weight=0.2))
+        for _ in range(30):
+            call_id, _ = g.call(tenant="small", number="n")
+            part = g.controller._calls[call_id].quota_weight
+            g.tell(api.CallAbandoned(call_id))
+        assert part == 1.0, "thirty tries of one call"
--- /dev/null
+++ b/tests/test_policy_slow_start.py
@@ -0,0 +1,122 @@
+"""Slow start: rule 4 for one gateway, budgets and successors."""
+
+from __future__ import annotations
+
+from dataclasses import replace
+
+import pytest
+from conftest import LOW, RULES, SETTINGS, Gateway, gone, ready, sent_to, settings
+from policy_helpers import large, lines, report
+
+from canvasplank import interface as api
+from canvasplank.interface import Outcome
+from canvasplank.policy import server as server_module
+
+
+class TestRule4:
+    """A cold server is spared."""
+
+    @pytest.mark.parametrize("cause", ["new", "restarted"])
+    def test_4_a_cold_server_of_unknown_size_gets_one_call_a_second_from_all(self, cause):
+        """Found on a busy day: one call a second from every gateway tipped a small server."""
+        g = Gateway()
+        g.servers(ready("a", 0) if cause == "restarted" else ready("b", 1))
+        g.until(5000)
+        g.servers(ready("a", 0, started_ms=4000), kind=api.ListKind.CHANGES)
+        for _ in range(80):
+            g.call(first=0)
+            g.until(g.now + 50)
+        sent = sum("a" in sent_to([a]) for _, a in g.done)
+        assert 1 <= sent <= 4000 / 1000 / SETTINGS.instances + 1
+
+    def test_4_a_cold_server_gets_more_as_it_answers(self):
+        g = Gateway(settings(classes=(replace(LOW, hold_ms=8000.0),)))
+        g.servers(ready("a", 0))
+        g.tell(api.CircuitsReported("a", 500, 500))
+        g.steady("a", 0, 40, gap_ms=100)
+        g.servers(ready("a", 0, started_ms=g.now), kind=api.ListKind.CHANGES)
+        g.done.clear()
+        g.steady("a", 0, 40, gap_ms=100)
+        sent = sum("a" in sent_to([a]) for _, a in g.done)
+        assert 8 <= sent <= 30
+        g.until(g.now + RULES.warm_within_ms)
+        g.done.clear()
+        g.steady("a", 0, 40, gap_ms=100)
+        assert sum("a" in sent_to([a]) for _, a in g.done) >= 38
+
+    @pytest.mark.parametrize("late", [True, False])
+    def test_4_back_from_silence_is_cold_unless_it_answers_what_came_before(self, gateway, late):
+        view = gateway.controller._servers["a"]
+        call_id, _ = gateway.call(first=0)
+        gateway.until(1300)
+        assert view.silence.silent
+        if late:
+            gateway.answer(call_id, "a")
+        else:
+            gateway.alive = {"a": 40, "b": 40}
+            gateway.end(call_id, "a", Outcome.CANCELLED)
+            for _ in range(10):
+                gateway.until(gateway.now + 300)
+                gateway.call(first=0)
+        assert not view.silence.silent
+        assert (view.slow_start.until_ms > gateway.now) is not late
+
+
+class TestBudget:
+    """The budget of a cold server, by what measures its capacity."""
+
+    @pytest.mark.parametrize(
+        ("told", "most_share"),
+        [(None, server_module.BY_POOL * RULES.cold_share), (30.0, server_module.BY_REPORT)],
+        ids=["by its predecessor's word", "by its own"],
+    )
+    def test_a_cold_successors_budget_over_all_gateways_keeps_the_rule(self, gateway, told, most_share):
+        gateway.tell(api.ProbeAnswered("a", answered=True, report=report(100.0)))
+        gateway.servers(gone("a", 0), ready("c", 0, started_ms=gateway.now))
+        view = gateway.controller._servers["c"]
+        if told:
+            gateway.tell(api.ProbeAnswered("c", answered=True, report=report(told)))
+        sum_of_all = view.slow_start.rate_per_s() * SETTINGS.instances
+        assert sum_of_all == pytest.approx(most_share * RULES.overload_multiple * (told or 100.0), rel=0.01)
+        assert sum_of_all < RULES.overload_multiple * (told or RULES.cold_share * 100.0)
+
+    def test_what_a_server_told_before_its_restart_is_no_measure_of_the_cold_one(self, gateway):
+        gateway.tell(api.ProbeAnswered("a", answered=True, report=report(100.0)))
+        gateway.servers(ready("a", 0, started_ms=gateway.now + 1), ready("b", 1))
+        rate = gateway.controller._servers["a"].slow_start.rate_per_s()
+        assert rate * SETTINGS.instances < RULES.overload_multiple * RULES.cold_share * 100.0
+
+    def test_a_cold_servers_answers_widen_its_budget_whatever_the_rules_multiple(self):
+        """With a multiple of 2 the budget shrank below what the server had just answered."""
+        g = Gateway(settings(rules=replace(RULES, overload_multiple=2.0)))
+        g.servers(ready("a", 0, started_ms=0.0))
+        view = g.controller._servers["a"]
+        view.answered_ms.extend(g.now + server_module.ANSWER_WINDOW_MS * i / 40 for i in range(40))
+        g.now = server_module.ANSWER_WINDOW_MS - 100
+        g.controller.handle(g.now, api.CallAbandoned("nobody"))
+        assert view.slow_start.rate_per_s() > view.window_rate_per_s() > 0
+
+
+class TestASuccessor:
+    """A server that takes the place of one that is gone, met with calls held for it."""
+
+    def test_has_the_lines_of_its_pool_until_it_tells_its_own(self):
+        g = Gateway(large(instances=3))
+        g.servers(ready("a", 0))
+        g.tell(lines("a", 176))
+        g.servers(gone("a", 0), kind=api.ListKind.CHANGES)
+        for _ in range(30):
+            g.call()
+        g.until(g.now + 1000)
+        mark = len(g.done)
+        g.servers(ready("b", 0), kind=api.ListKind.CHANGES)
+        g.until(g.now + 50)
+        assert 1 <= len(sent_to([action for _, action in g.done[mark:]])) <= 4
+
+    def test_remembered_lines_are_bounded(self):
+        g = Gateway(large(instances=3))
+        for pool in range(server_module.MAX_POOLS + 5):
+            g.servers(ready("a", pool))
+            g.tell(lines("a", 10))
+            g.servers(gone("a", pool))
+        assert len(g.controller._context.pool_reports) == server_module.MAX_POOLS
