--- a/canvasplank/policy/controller.py
+++ b/canvasplank/policy/controller.py
@@ -27,7 +27,7 @@
 
     def handle(self, now_ms: float, event: api.Event) -> list[api.Action]:
         """Take one event, at a time in ms, and give the actions to carry out in their order."""
-        self._context.begin(now_ms)
+        self._context.start_event(now_ms)
         match event:
             case api.Call() if event.id not in self._calls and event.id not in self._established:
                 self._on_call(event)
--- a/canvasplank/policy/decision_context.py
+++ b/canvasplank/policy/decision_context.py
@@ -25,7 +25,7 @@
         self.mean_hold_ms = sum(holds) / len(holds) if holds else None
         self._wakeup_ms, self._wakeups = NEVER, 0  # when the one timer that counts comes due; its number
 
-    def begin(self, now_ms: float) -> None:
+    def start_event(self, now_ms: float) -> None:
         """Start on an event; a clock that steps back stands still."""
         self.now_ms, self.actions = max(self.now_ms, now_ms), []
         if self.now_ms > self._wakeup_ms + STALL_TICKS * self.tick_ms:
--- a/canvasplank/policy/server.py
+++ b/canvasplank/policy/server.py
@@ -52,14 +52,14 @@
         self.rate = RateControl(self, dither, entry.initial_rate_per_s)
         self.slow_start = SlowStart(self, dither)
         self.silence = SilenceDetection(self)
-        self.slow_start.begin(entry.started_ms)
+        self.slow_start.start(entry.started_ms)
 
     def on_entry(self, entry: api.Server) -> None:
         restarted, self.entry = entry.started_ms != self.entry.started_ms, entry
         if restarted:  # what waited there is lost and proves nothing
             self.answered_sent_ms = self.restart_seen_ms = self.context.now_ms
             self.silence.on_restart()
-            self.slow_start.begin(entry.started_ms)
+            self.slow_start.start(entry.started_ms)
 
     def discard_before(self, started_ms: float) -> None:
         while self.answered_ms and self.answered_ms[0] < started_ms:  # that proves nothing of it now
@@ -242,7 +242,7 @@
             self._context.log(f"server {server.entry.id}: congested, {reason}: rate {rate:.1f}/s")
 
     def on_full(self, processor_full: bool) -> None:
-        self.cut("it says it is full" if processor_full else "it has no line free", full=processor_full)
+        self.cut("processor full" if processor_full else "no free circuit", full=processor_full)
         self.rate_before_cut = None  # recovery does not undo it
 
     def on_answer(self, sent_ms: float, waited_ms: float) -> None:
@@ -272,7 +272,7 @@
         self.until_ms = -NEVER
         self._paced_until_ms = -NEVER if mass_start is None else self._context.now_ms + MASS_START_MS
 
-    def begin(self, started_ms: float | None, span_ms: float = NEVER) -> None:
+    def start(self, started_ms: float | None, span_ms: float = NEVER) -> None:
         """From its start until it is surely warm, or did not start, a server has a budget."""
         if started_ms is None:
             return
@@ -319,13 +319,13 @@
         if not self.silent:
             self.silent, self.since_ms = True, self._context.now_ms
             self._schedule_trial()
-            self._context.log(f"server {self._server.entry.id}: considered silent: {reason}")
+            self._context.log(f"server {self._server.entry.id}: taken for silent: {reason}")
 
     def on_answer(self, sent_ms: float) -> None:
         if self.silent:
             self.silent, self._backoff = False, INITIAL_TRIAL_BACKOFF
             if sent_ms >= self.since_ms + SECOND_MS:  # an answer to a trial may come from a fresh start
-                self._server.slow_start.begin(self._context.now_ms, RETURN_SLOW_START_MS)
+                self._server.slow_start.start(self._context.now_ms, RETURN_SLOW_START_MS)
             self._context.log(f"server {self._server.entry.id}: answers again")
             self._context.wake_at(self._context.now_ms + self._context.tick_ms)  # others' calls can move here
 
--- a/tests/policy_helpers.py
+++ b/tests/policy_helpers.py
@@ -1,4 +1,4 @@
-"""What several tests of the decisions say things with."""
+"""Helpers that several tests of the decisions share."""
 
 from __future__ import annotations
 
--- a/tests/test_policy_calls.py
+++ b/tests/test_policy_calls.py
@@ -1,4 +1,4 @@
-"""Where calls go, what failures and odd events do, and what is kept of calls."""
+"""Where calls go, what failures and odd events do, and what is remembered of calls."""
 
 from __future__ import annotations
 
@@ -59,7 +59,7 @@
             gateway.end(call_id, "a", outcome)
             assert bucket.fill == pytest.approx(left, abs=0.01)
 
-    def test_out_of_lines_cuts_as_a_full_processor_does(self, gateway):
+    def test_no_free_circuit_cuts_as_a_full_processor_does(self, gateway):
         """Without it every call knocked at a server without lines, most of them in vain."""
         call_id, _ = gateway.call(first=0)
         gateway.end(call_id, "a", Outcome.FULL, processor_full=False)
@@ -73,7 +73,7 @@
         [refusal] = answers(g.end(call_id, "b", Outcome.ERROR))
         assert refusal.call_id == call_id and 1000 <= refusal.retry_after_ms <= 2000
 
-    def test_refused_callers_are_not_told_to_come_back_together(self):
+    def test_refused_callers_get_different_retry_after_times(self):
         waits = set()
         g = Gateway(settings(max_attempts=1))
         g.servers(ready("a", 0))
@@ -82,7 +82,7 @@
             waits |= {a.retry_after_ms for a in answers(g.end(call_id, "a", Outcome.ERROR))}
         assert len(waits) == 5
 
-    def test_callers_who_heed_no_wait_are_told_none(self):
+    def test_callers_without_retry_after_support_get_none(self):
         g = Gateway(settings(max_attempts=1, retry_after_max_ms=None))
         g.servers(ready("a", 0))
         call_id, _ = g.call(first=0)
@@ -90,9 +90,9 @@
 
 
 class TestOddEvents:
-    """Events out of place, and what is kept."""
+    """Events out of place, and what is remembered."""
 
-    def test_things_no_longer_held_are_passed_over(self, gateway):
+    def test_events_about_unknown_calls_and_servers_are_ignored(self, gateway):
         for event in (
             api.Established("no call", 0, "a", 10),
             api.Established("no call", 0, "no server", 10),
@@ -103,7 +103,7 @@
         ):
             assert not [a for a in gateway.tell(event) if not isinstance(a, api.SetTimer)]
 
-    def test_an_outcome_told_twice_frees_no_call_for_a_second_attempt(self, gateway):
+    def test_an_outcome_reported_twice_frees_no_call_for_a_second_attempt(self, gateway):
         call_id, _ = gateway.call(first=0)
         first = api.AttemptEnded(call_id, 0, "a", Outcome.ERROR, finished=False)
         assert sent_to(gateway.tell(first)) == ["b"]
@@ -125,7 +125,7 @@
         gateway.end(call_id, "a", Outcome.CANCELLED)
         assert sent_to(gateway.until(gateway.now + 400)) == ["b"]
 
-    def test_a_clock_that_steps_back_stands_still(self, gateway):
+    def test_a_clock_that_steps_back_does_not_advance(self, gateway):
         gateway.until(1000)
         call_id, _ = gateway.call(expires_ms=1500)
         gateway.now = 200
@@ -148,14 +148,14 @@
         controller = gateway.controller
         assert not controller._calls and not controller._established and not controller._servers
 
-    def test_held_calls_are_bounded_and_the_least_worth_goes(self, monkeypatch):
+    def test_queued_calls_are_bounded_and_the_lowest_weight_is_refused(self, monkeypatch):
         monkeypatch.setattr(controller, "MAX_QUEUED_CALLS", 3)
         g = Gateway()
-        kept = [g.call("high")[0] for _ in range(2)]
+        queued = [g.call("high")[0] for _ in range(2)]
         refused = []
         for _ in range(4):
             refused += [a.call_id for a in answers(g.call("low")[1])]
-        assert len(refused) == 3 and not set(kept) & set(refused)
+        assert len(refused) == 3 and not set(queued) & set(refused)
 
     def test_same_events_same_actions(self):
         def run(seed):
@@ -174,14 +174,16 @@
     """Found on sockets: of callers who wait 100 ms, most were failed 27 ms early, and so got no answer."""
 
     @pytest.mark.parametrize(("wait_ms", "fails_ms"), [(100, 80), (3000, 2965)])
-    def test_a_short_wait_is_used_up_to_its_last_tenth(self, gateway, wait_ms, fails_ms):
-        began_ms = gateway.now
-        gateway.call(first=0, expires_ms=began_ms + wait_ms)
-        gateway.until(began_ms + wait_ms)
-        assert [at - began_ms for at, action in gateway.done if isinstance(action, api.Fail)] == [fails_ms]
+    def test_a_short_wait_is_used_except_its_last_tenth(self, gateway, wait_ms, fails_ms):
+        started_at_ms = gateway.now
+        gateway.call(first=0, expires_ms=started_at_ms + wait_ms)
+        gateway.until(started_at_ms + wait_ms)
+        assert [at - started_at_ms for at, action in gateway.done if isinstance(action, api.Fail)] == [
+            fails_ms
+        ]
 
 
-class TestWork:
+class TestIdleWork:
     """What a gateway does when nothing is due: nothing."""
 
     def test_an_idle_gateway_sets_no_timer(self, gateway):
@@ -193,7 +195,7 @@
         assert not gateway.timers
         assert sum(isinstance(a, api.SetTimer) for _, a in gateway.done) == before
 
-    def test_held_calls_wait_for_the_next_room_not_for_the_clock(self):
+    def test_queued_calls_wait_for_the_next_capacity_not_for_the_clock(self):
         g = Gateway()
         for _ in range(50):
             g.call(expires_ms=10_000)
@@ -218,7 +220,7 @@
 class TestOddInputs:
     """What a gateway of the users' own may bring."""
 
-    def test_a_server_listed_twice_is_one_server_as_last_told(self):
+    def test_a_server_listed_twice_is_one_server_as_last_listed(self):
         g = Gateway()
         g.servers(ready("a", 0), api.Server("a", 0, api.ServerState.DRAINING))
         assert not sent_to(g.call()[1])
--- a/tests/test_policy_large_fleet.py
+++ b/tests/test_policy_large_fleet.py
@@ -20,7 +20,7 @@
 def offer(gateways: list[Gateway], seconds: float, calls_per_s: float, weights=None, does=None):
     """Calls spread over the gateways by weight; gives the times of set-ups to server a.
 
-    ``does`` tells how many calls a second the server can do at a time; it answers in turn.  None: silent.
+    ``does`` gives how many calls a second the server can do at a time; it answers in order.  None: silent.
     """
     sent: list[float] = []
     weights = weights or [1.0] * len(gateways)
@@ -62,7 +62,7 @@
     @pytest.mark.parametrize("instances", [1, 7, 250])
     @pytest.mark.parametrize("uneven", [False, True])
     @pytest.mark.parametrize("known", [False, True])
-    def test_a_restart_is_not_pushed_over(self, instances, uneven, known):
+    def test_a_restarted_server_is_not_overloaded(self, instances, uneven, known):
         """Also with all the calls of a busy fleet, uneven gateways, and a server known from before."""
         gateways = fleet(instances)
         weights = [1 + 9 * (i % 5 == 0) if uneven else 1 for i in range(instances)]
@@ -81,7 +81,7 @@
         assert self.within_limit(sent, born)
 
     @pytest.mark.parametrize("instances", [7, 250])
-    def test_a_return_from_silence_before_the_list_tells(self, instances):
+    def test_a_return_from_silence_before_the_list_shows_it(self, instances):
         """It dies, slowly or not, and is back cold: the trials of all together stay within its budget."""
         gateways = fleet(instances)
         for g in gateways:
@@ -96,8 +96,8 @@
         assert self.within_limit(sent, born)
 
 
-class TestPart:
-    """A gateway's part of the one call a second."""
+class TestFleetFraction:
+    """A gateway's fraction of the one call a second."""
 
     def cut_rate(self, g: Gateway) -> float:
         call_id, _ = g.call()
@@ -105,16 +105,16 @@
         g.full(call_id, "a")
         return g.controller._servers["a"].rate.bucket.rate
 
-    def test_a_small_fleet_keeps_the_call_a_second(self):
-        for told in (False, True):
+    def test_a_small_fleet_has_the_whole_minimum_rate(self):
+        for reported in (False, True):
             g = Gateway(large(4))
             g.servers(ready("a", 0))
-            if told:
+            if reported:
                 g.tell(lines("a", 400))
             assert self.cut_rate(g) == server_module.MIN_RATE_PER_S
 
     @pytest.mark.parametrize("count", [40, 400, 4000])
-    def test_floors_of_a_large_fleet_sum_to_less_than_the_server_carries(self, count):
+    def test_minimum_rates_of_a_large_fleet_sum_to_less_than_the_server_carries(self, count):
         """Found on the first busy day at full size: floors summed to several servers."""
         g = Gateway(large())
         g.servers(ready("a", 0))
@@ -122,13 +122,13 @@
         carries = count / 8.0
         assert 0 < self.cut_rate(g) * 250 <= carries / 2
 
-    def test_without_told_lines_the_second_is_shared_by_count(self):
+    def test_without_reported_circuits_the_minimum_rate_is_divided_by_count(self):
         g = Gateway(large())
         g.servers(ready("a", 0))
         assert self.cut_rate(g) * 250 == pytest.approx(server_module.MIN_RATE_GATEWAYS)
 
     def test_no_bucket_opens_wider_than_some_even_shares(self):
-        """A bucketful of every gateway is seconds of work; it must leak no faster than it is wanted."""
+        """A bucketful of every gateway is seconds of work; it must leak no faster than the demand."""
         g = Gateway(large())
         g.servers(ready("a", 0))
         g.tell(lines("a", 200))
@@ -148,11 +148,11 @@
         g.steady("a", 0, 20, gap_ms=100)
         assert sum("a" in sent_to([a]) for _, a in g.done) >= 18
 
-    @pytest.mark.parametrize("told", [(-1, 5), (3, 0), (0, -4), (1, float("inf")), (1, float("nan"))])
-    def test_absurd_lines_are_no_measure(self, told):
+    @pytest.mark.parametrize("reported", [(-1, 5), (3, 0), (0, -4), (1, float("inf")), (1, float("nan"))])
+    def test_absurd_circuits_are_no_measure(self, reported):
         g = Gateway(large())
         g.servers(ready("a", 0))
-        g.tell(api.CircuitsReported("a", *told))
+        g.tell(api.CircuitsReported("a", *reported))
         g.tell(api.CircuitsReported("no server", 1, 1))
         assert sent_to(g.call()[1]) == ["a"]
 
--- a/tests/test_policy_rate_control.py
+++ b/tests/test_policy_rate_control.py
@@ -47,7 +47,7 @@
             bucket.add()
         assert bucket.fill == leaky_bucket.MAX_FILL
 
-    def test_thresholds_rise_with_worth_and_stay_below_the_cap(self):
+    def test_thresholds_rise_with_weight_and_stay_below_the_cap(self):
         assert leaky_bucket.SPLASH <= leaky_bucket.LOWEST_THRESHOLD
         assert leaky_bucket.LOWEST_THRESHOLD < leaky_bucket.HIGHEST_THRESHOLD < leaky_bucket.MAX_FILL
 
@@ -71,7 +71,7 @@
         assert self.full_after(0).controller._servers["a"].rate.bucket.rate == server_module.MIN_RATE_PER_S
 
     def test_one_unlucky_second_is_no_measure(self):
-        """A second with one answer, after steady ones: the cut looks further back."""
+        """A second with one answer, after steady ones: the cut goes by a longer span."""
         g = Gateway()
         g.servers(ready("a", 0))
         g.steady("a", 0, 8, gap_ms=250)
@@ -127,39 +127,39 @@
             gateway.steady("a", 0, 1, gap_ms=400, waited_ms=waited_ms)
         assert (gateway.controller._servers["a"].rate.bucket.rate < leaky_bucket.NEVER) is cut
 
-    def test_a_lone_overdue_answer_is_no_pressure(self, gateway):
+    def test_a_single_overdue_answer_is_no_congestion(self, gateway):
         gateway.steady("a", 0, 4)
         gateway.call(first=0)
         gateway.until(gateway.now + 450)
         assert gateway.controller._servers["a"].rate.bucket.rate == leaky_bucket.NEVER
 
     @pytest.mark.parametrize(("full", "rate"), [(False, 4.5), (True, 3.0)])
-    def test_a_cut_is_eased_by_quick_answers_unless_a_full_bears_it_out(self, gateway, full, rate):
-        view = gateway.controller._servers["a"]
+    def test_prompt_answers_undo_a_cut_unless_a_full_confirmed_it(self, gateway, full, rate):
+        server = gateway.controller._servers["a"]
         gateway.steady("a", 0, 1)
-        view.rate.bucket.rate, view.rate.rate_before_cut = 3.0, leaky_bucket.NEVER
-        view.rate.quiet_since_ms = leaky_bucket.NEVER
+        server.rate.bucket.rate, server.rate.rate_before_cut = 3.0, leaky_bucket.NEVER
+        server.rate.quiet_since_ms = leaky_bucket.NEVER
         if full:
             gateway.full(gateway.call(first=0)[0], "a")
-            view.rate.bucket.rate, view.rate.quiet_since_ms = 3.0, leaky_bucket.NEVER
+            server.rate.bucket.rate, server.rate.quiet_since_ms = 3.0, leaky_bucket.NEVER
         gateway.steady("a", 0, server_module.MIN_ANSWERS + 1, gap_ms=400)
-        assert view.rate.bucket.rate == rate
+        assert server.rate.bucket.rate == rate
 
     def test_what_is_lost_for_good_does_not_halt_the_bucket(self, gateway):
         """Found on sockets: a server spoke on, its set-ups hung on a dead connection, and none followed."""
         gateway.servers(ready("a", 0))
         gateway.steady("a", 0, 4)
-        view = gateway.controller._servers["a"]
-        view.rate.bucket.rate = 1.0
+        server = gateway.controller._servers["a"]
+        server.rate.bucket.rate = 1.0
         for _ in range(3):
             gateway.call(first=0, expires_ms=gateway.now + 9000)
         for _ in range(50):
             gateway.until(gateway.now + 100)
-            view.last_received_ms = gateway.now
+            server.last_received_ms = gateway.now
         assert sent_to(gateway.call(first=0)[1]) == ["a"]
 
-    def test_more_worth_gets_further(self):
-        """With the bucket filled past what low worth may reach, only the call of high worth leaves."""
+    def test_a_higher_weight_has_a_higher_threshold(self):
+        """With the bucket filled past what low weight may reach, only the call of high weight leaves."""
         g = Gateway()
         g.servers(ready("a", 0))
         bucket = g.controller._servers["a"].rate.bucket
@@ -188,8 +188,8 @@
             g.end(call_id, "a", Outcome.FULL, processor_full=sign == "full")
         assert g.controller._servers["a"].rate.bucket.rate == pytest.approx(rate)
 
-    def test_the_way_there_is_no_pressure(self):
-        """Found on sockets: with half the first resend at 62 ms, a server 60 ms away passed for pressed."""
+    def test_the_round_trip_is_no_congestion(self):
+        """Found on sockets: with half the first resend at 62 ms, a server 60 ms away passed for congested."""
         g = Gateway(settings(resend_ms=125))
         g.servers(ready("a", 0))
         g.steady("a", 0, 20, gap_ms=100, waited_ms=55)
@@ -200,24 +200,24 @@
 
 
 class TestReports:
-    """What servers tell of their load."""
+    """Load reports of servers."""
 
-    @pytest.mark.parametrize("told", [None, report(), report(0.0), report(20.0, wait_ms=900.0)])
-    def test_one_that_tells_nothing_of_what_can_be_taken_changes_nothing(self, gateway, told):
+    @pytest.mark.parametrize("reported", [None, report(), report(0.0), report(20.0, wait_ms=900.0)])
+    def test_a_report_without_a_capacity_changes_nothing(self, gateway, reported):
         call_id, _ = gateway.call()
         gateway.answer(call_id, "a")
-        view = gateway.controller._servers["a"]
-        gateway.end(call_id, "a", Outcome.ENDED, finished=True, report=told)
-        assert view.capacity_per_s is None and view.even_share_per_s() is None
+        server = gateway.controller._servers["a"]
+        gateway.end(call_id, "a", Outcome.ENDED, finished=True, report=reported)
+        assert server.capacity_per_s is None and server.even_share_per_s() is None
 
-    def test_it_sets_the_even_share_where_lines_promise_more(self, gateway):
+    def test_it_sets_the_even_share_where_circuits_promise_more(self, gateway):
         gateway.tell(api.CircuitsReported("a", 200, 200))
         settings_of = gateway.controller._settings
-        view = gateway.controller._servers["a"]
+        server = gateway.controller._servers["a"]
         gateway.tell(api.ProbeAnswered("a", answered=True, report=report(8.0)))
-        assert view.even_share_per_s() == pytest.approx(8.0 / settings_of.instances)
+        assert server.even_share_per_s() == pytest.approx(8.0 / settings_of.instances)
 
-    def test_one_from_before_a_slowdown_does_not_keep_a_rate_open(self, gateway):
+    def test_a_report_from_before_a_slowdown_does_not_leave_a_rate_open(self, gateway):
         gateway.steady("a", 0, 8)
         gateway.tell(api.ProbeAnswered("a", answered=True, report=report(50.0)))
         for _ in range(4):
--- a/tests/test_policy_retries.py
+++ b/tests/test_policy_retries.py
@@ -49,10 +49,10 @@
         assert not sent_to(actions)
         waits = [answers(actions)[0].retry_after_ms]
         waits += [answers(gateway.call(number="thin")[1])[0].retry_after_ms for _ in range(20)]
-        most = SETTINGS.retry_after_max_ms
-        assert most / 2 <= min(waits) < max(waits) <= most and len(set(waits)) > 10
+        max_wait_ms = SETTINGS.retry_after_max_ms
+        assert max_wait_ms / 2 <= min(waits) < max(waits) <= max_wait_ms and len(set(waits)) > 10
 
-    def test_one_call_at_a_time_tries_again_after_gaps_that_double(self, gateway):
+    def test_one_call_at_a_time_tries_again_after_a_doubling_backoff(self, gateway):
         call_id, _ = gateway.call(number="thin")
         busy(gateway, call_id)
         gap_ms = call_queue.INITIAL_BUSY_MS
@@ -64,7 +64,7 @@
             busy(gateway, tries[0][0])
             gap_ms = min(2 * gap_ms, call_queue.MAX_BUSY_MS)
 
-    def test_a_call_that_stands_ends_it(self, gateway):
+    def test_an_established_call_ends_it(self, gateway):
         call_id, _ = gateway.call(number="thin")
         busy(gateway, call_id)
         gateway.until(gateway.now + call_queue.INITIAL_BUSY_MS)
@@ -81,20 +81,20 @@
             gateway.answer(call_id, "a")
         assert answers(busy(gateway, gateway.call(number=None)[0])), "an end all the same"
 
-    def test_they_are_forgotten_past_a_number_of_them(self, gateway):
+    def test_busy_numbers_are_bounded(self, gateway):
         for number in range(call_queue.MAX_BUSY_NUMBERS + 50):
             call_id, actions = gateway.call(number=str(number))
             busy(gateway, call_id, *sent_to(actions))
         assert len(gateway.controller._queue.busy) == call_queue.MAX_BUSY_NUMBERS
 
 
-class TestMembers:
-    """Customers with shares."""
+class TestTenants:
+    """Tenants with quotas."""
 
-    MEMBERS = (api.Tenant("big", 9.0), api.Tenant("small", 1.0))
+    TENANTS = (api.Tenant("big", 9.0), api.Tenant("small", 1.0))
 
     def weights(self, tenants):
-        g = Gateway(settings(tenants=self.MEMBERS, over_quota_weight=0.2))
+        g = Gateway(settings(tenants=self.TENANTS, over_quota_weight=0.2))
         weights = []
         for tenant in tenants:
             call_id, _ = g.call(tenant=tenant)
@@ -102,22 +102,22 @@
             g.until(g.now + 100)
         return weights
 
-    def test_what_goes_past_a_share_is_worth_less(self):
+    def test_calls_over_quota_weigh_less(self):
         weights = self.weights(["big", "small"] * 50)
         assert set(weights[0::2]) == {1.0}, "less than its part of the traffic"
         assert weights[21::2].count(0.2) == pytest.approx(40 * 0.8, abs=2), "a half, where a tenth is its own"
 
-    def test_within_the_shares_all_are_worth_the_whole(self):
+    def test_calls_within_quota_weigh_in_full(self):
         assert set(self.weights((["big"] * 9 + ["small"]) * 10)) == {1.0}
 
     @pytest.mark.parametrize("unknown", [None, "nobody"])
-    def test_a_member_that_the_settings_do_not_know_has_no_share_to_pass(self, unknown):
+    def test_an_unknown_tenant_has_no_quota_to_exceed(self, unknown):
         assert set(self.weights([unknown] * 30)) == {1.0}
 
     def test_a_redial_counts_with_its_first_try(self):
-        g = Gateway(settings(tenants=self.MEMBERS, over_quota_weight=0.2))
+        g = Gateway(settings(tenants=self.TENANTS, over_quota_weight=0.2))
         for _ in range(30):
             call_id, _ = g.call(tenant="small", number="n")
-            part = g.controller._calls[call_id].quota_weight
+            quota_weight = g.controller._calls[call_id].quota_weight
             g.tell(api.CallAbandoned(call_id))
-        assert part == 1.0, "thirty tries of one call"
+        assert quota_weight == 1.0, "thirty tries of one call"
--- a/tests/test_policy_rules.py
+++ b/tests/test_policy_rules.py
@@ -28,8 +28,8 @@
         call_id, actions = gateway.call("no such class")
         assert [a.call_id for a in answers(actions)] == [call_id]
 
-    def test_1_a_cancel_that_crossed_the_answer_leaves_an_answer_owed(self, gateway):
-        """Found by the drill: the call stood, then came back as cancelled and unfinished."""
+    def test_1_after_a_cancel_that_crossed_the_answer_a_final_answer_is_pending(self, gateway):
+        """Found by the drill: the call was established, then came back as cancelled and unfinished."""
         call_id, _ = gateway.call()
         gateway.until(50)
         gateway.answer(call_id, "a")
@@ -48,9 +48,9 @@
             gateway.full(call_id, call.server.entry.id)
         assert gateway.attempts[call_id] + 1 <= SETTINGS.max_attempts
 
-    @pytest.mark.parametrize("told", [draining("a", 0), gone("a", 0)])
-    def test_3_nothing_new_once_told(self, gateway, told):
-        gateway.servers(told, kind=api.ListKind.CHANGES)
+    @pytest.mark.parametrize("reported", [draining("a", 0), gone("a", 0)])
+    def test_3_nothing_new_once_the_list_says_so(self, gateway, reported):
+        gateway.servers(reported, kind=api.ListKind.CHANGES)
         for _ in range(3):
             assert sent_to(gateway.call(first=0)[1]) == ["b"]
             gateway.until(gateway.now + 50)
--- a/tests/test_policy_silence.py
+++ b/tests/test_policy_silence.py
@@ -11,7 +11,7 @@
 
 
 class TestSilence:
-    """Nothing heard of a server for too long."""
+    """Nothing received from a server for too long."""
 
     def test_silence_is_noticed_and_the_server_tried_again(self, gateway):
         gateway.steady("a", 0, 4)
@@ -66,14 +66,14 @@
         assert self.tried(self.silent(4), "low") >= 4
         assert sum(self.tried(self.silent(250), "low", 10) for _ in range(3)) <= 2
 
-    def test_calls_of_more_than_the_least_worth_try_nothing(self):
+    def test_calls_above_the_lowest_weight_make_no_trials(self):
         assert self.tried(self.silent(4), "high") == 0
 
-    def test_a_restart_that_the_list_tells_ends_a_silence(self):
+    def test_a_restart_in_the_list_ends_a_silence(self):
         g = self.silent(250)
         g.servers(ready("a", 0, started_ms=g.now), kind=api.ListKind.CHANGES)
-        view = g.controller._servers["a"]
-        assert not view.silence.silent and view.slow_start.until_ms > g.now
+        server = g.controller._servers["a"]
+        assert not server.silence.silent and server.slow_start.until_ms > g.now
 
 
 def test_trials_do_not_cut_the_rate_of_a_silent_server():
@@ -99,7 +99,7 @@
     assert sent_to(actions) == ["a"]
 
 
-class TestAServerThatLosesSetUps:
+class TestLostSetUps:
     """Some set-ups are never answered while others sent later are, as on a day that was recorded."""
 
     def lossy(self) -> tuple[Gateway, str]:
@@ -116,7 +116,7 @@
         g.until(g.now + 200)
         assert api.Cancel(lost, 0) in [action for _, action in g.done]
 
-    def test_one_or_two_unanswered_are_no_pressure(self):
+    def test_one_or_two_unanswered_are_no_congestion(self):
         g, _ = self.lossy()
         g.call()
         g.until(g.now + 400)
@@ -124,7 +124,7 @@
 
 
 class TestStandstill:
-    """This gateway stood still, and then finds everything at one instant."""
+    """This gateway did not run for a while, and then finds everything at one instant."""
 
     def stall(self, ms: float) -> tuple[Gateway, list[str]]:
         g = Gateway()
@@ -134,16 +134,16 @@
         g.now += ms  # no timer rings meanwhile
         return g, ids
 
-    def test_late_answers_tell_nothing_of_the_server(self):
+    def test_late_answers_prove_nothing_of_the_server(self):
         g, ids = self.stall(1800)
         for call_id in ids:
             g.answer(call_id, "a", waited_ms=1800)
         g.until(g.now + 1000)
-        view = g.controller._servers["a"]
-        assert not view.silence.silent and view.usual_delay_ms < 100 and view.rate.last_cut_ms < 0
+        server = g.controller._servers["a"]
+        assert not server.silence.silent and server.usual_delay_ms < 100 and server.rate.last_cut_ms < 0
         assert not [a for _, a in g.done if isinstance(a, api.Cancel)]
 
-    def test_the_first_event_of_a_batch_is_not_all_the_news(self):
+    def test_the_first_event_of_a_batch_is_not_the_whole_batch(self):
         g, ids = self.stall(1800)
         g.call(first=1)
         assert not g.controller._servers["a"].silence.silent
--- a/tests/test_policy_slow_start.py
+++ b/tests/test_policy_slow_start.py
@@ -14,7 +14,7 @@
 
 
 class TestRule4:
-    """A cold server is spared."""
+    """A cold server has a budget."""
 
     @pytest.mark.parametrize("cause", ["new", "restarted"])
     def test_4_a_cold_server_of_unknown_size_gets_one_call_a_second_from_all(self, cause):
@@ -46,10 +46,10 @@
 
     @pytest.mark.parametrize("late", [True, False])
     def test_4_back_from_silence_is_cold_unless_it_answers_what_came_before(self, gateway, late):
-        view = gateway.controller._servers["a"]
+        server = gateway.controller._servers["a"]
         call_id, _ = gateway.call(first=0)
         gateway.until(1300)
-        assert view.silence.silent
+        assert server.silence.silent
         if late:
             gateway.answer(call_id, "a")
         else:
@@ -58,29 +58,33 @@
             for _ in range(10):
                 gateway.until(gateway.now + 300)
                 gateway.call(first=0)
-        assert not view.silence.silent
-        assert (view.slow_start.until_ms > gateway.now) is not late
+        assert not server.silence.silent
+        assert (server.slow_start.until_ms > gateway.now) is not late
 
 
 class TestBudget:
     """The budget of a cold server, by what measures its capacity."""
 
     @pytest.mark.parametrize(
-        ("told", "most_share"),
+        ("reported", "max_fraction"),
         [(None, server_module.BY_POOL * RULES.cold_share), (30.0, server_module.BY_REPORT)],
-        ids=["by its predecessor's word", "by its own"],
+        ids=["by its predecessor's report", "by its own"],
     )
-    def test_a_cold_successors_budget_over_all_gateways_keeps_the_rule(self, gateway, told, most_share):
+    def test_the_budget_of_a_cold_successor_over_all_gateways_is_within_the_rule(
+        self, gateway, reported, max_fraction
+    ):
         gateway.tell(api.ProbeAnswered("a", answered=True, report=report(100.0)))
         gateway.servers(gone("a", 0), ready("c", 0, started_ms=gateway.now))
-        view = gateway.controller._servers["c"]
-        if told:
-            gateway.tell(api.ProbeAnswered("c", answered=True, report=report(told)))
-        sum_of_all = view.slow_start.rate_per_s() * SETTINGS.instances
-        assert sum_of_all == pytest.approx(most_share * RULES.overload_multiple * (told or 100.0), rel=0.01)
-        assert sum_of_all < RULES.overload_multiple * (told or RULES.cold_share * 100.0)
-
-    def test_what_a_server_told_before_its_restart_is_no_measure_of_the_cold_one(self, gateway):
+        server = gateway.controller._servers["c"]
+        if reported:
+            gateway.tell(api.ProbeAnswered("c", answered=True, report=report(reported)))
+        sum_of_all = server.slow_start.rate_per_s() * SETTINGS.instances
+        assert sum_of_all == pytest.approx(
+            max_fraction * RULES.overload_multiple * (reported or 100.0), rel=0.01
+        )
+        assert sum_of_all < RULES.overload_multiple * (reported or RULES.cold_share * 100.0)
+
+    def test_a_report_from_before_a_restart_is_no_measure_of_the_cold_server(self, gateway):
         gateway.tell(api.ProbeAnswered("a", answered=True, report=report(100.0)))
         gateway.servers(ready("a", 0, started_ms=gateway.now + 1), ready("b", 1))
         rate = gateway.controller._servers["a"].slow_start.rate_per_s()
@@ -90,17 +94,17 @@
         """With a multiple of 2 the budget shrank below what the server had just answered."""
         g = Gateway(settings(rules=replace(RULES, overload_multiple=2.0)))
         g.servers(ready("a", 0, started_ms=0.0))
-        view = g.controller._servers["a"]
-        view.answered_ms.extend(g.now + server_module.ANSWER_WINDOW_MS * i / 40 for i in range(40))
+        server = g.controller._servers["a"]
+        server.answered_ms.extend(g.now + server_module.ANSWER_WINDOW_MS * i / 40 for i in range(40))
         g.now = server_module.ANSWER_WINDOW_MS - 100
         g.controller.handle(g.now, api.CallAbandoned("nobody"))
-        assert view.slow_start.rate_per_s() > view.window_rate_per_s() > 0
+        assert server.slow_start.rate_per_s() > server.window_rate_per_s() > 0
 
 
-class TestASuccessor:
+class TestSuccessor:
     """A server that takes the place of one that is gone, met with calls held for it."""
 
-    def test_has_the_lines_of_its_pool_until_it_tells_its_own(self):
+    def test_has_the_circuits_of_its_pool_until_it_reports_its_own(self):
         g = Gateway(large(instances=3))
         g.servers(ready("a", 0))
         g.tell(lines("a", 176))
@@ -113,7 +117,7 @@
         g.until(g.now + 50)
         assert 1 <= len(sent_to([action for _, action in g.done[mark:]])) <= 4
 
-    def test_remembered_lines_are_bounded(self):
+    def test_remembered_reports_are_bounded(self):
         g = Gateway(large(instances=3))
         for pool in range(server_module.MAX_POOLS + 5):
             g.servers(ready("a", pool))
--- a/tests/test_rules_property.py
+++ b/tests/test_rules_property.py
@@ -1,7 +1,7 @@
 """The five rules over legal event sequences: whatever the servers, callers and the list do, they hold.
 
 The world below answers only what was sent, ends every attempt once, and otherwise does as hypothesis pleases.
-Its checks are its own: they read the actions alone.
+Its checks are its own: they read only the actions.
 """
 
 from __future__ import annotations
@@ -55,7 +55,7 @@
         self.g = Gateway(fleet(classes=classes, instances=60), seed=seed)
         self.states = dict.fromkeys(NAMES, api.ServerState.READY)
         self.started: dict[str, float | None] = dict.fromkeys(NAMES)
-        self.owed: dict[str, float] = {}  # calls without a final answer, and when it is due
+        self.unanswered: dict[str, float] = {}  # calls without a final answer, and when it is due
         self.gives_up: dict[str, float] = {}  # when their callers give up
         self.out: dict[str, str] = {}  # attempts out: call and server
         self.standing: dict[str, str] = {}
@@ -67,27 +67,27 @@
         for when, action in self.g.done[self.seen :]:
             match action:
                 case api.SetUp(call, server, timeout):
-                    assert call in self.owed, "1: nothing is sent for a call that is over"
+                    assert call in self.unanswered, "1: nothing is sent for a call that is over"
                     assert when + timeout <= self.gives_up[call], "1: the attempt ends in the caller's time"
                     assert call not in self.out, "2: one attempt at a time"
                     assert self.states[server] is api.ServerState.READY, "3: nothing to a server not ready"
                     assert when >= self.not_before.get(call, 0), "5: release awaited"
                     self.out[call] = server
                 case api.Refuse(call) | api.Fail(call):
-                    assert call in self.owed, "1: exactly one final answer"
-                    assert when <= self.owed.pop(call) + RULES.answer_slack_ms, "1: in time"
+                    assert call in self.unanswered, "1: exactly one final answer"
+                    assert when <= self.unanswered.pop(call) + RULES.answer_slack_ms, "1: in time"
         self.seen = len(self.g.done)
-        for call, until in self.owed.items():
+        for call, until in self.unanswered.items():
             assert self.g.now <= until + RULES.answer_slack_ms or call in self.standing, "1: overdue"
 
     def finish_attempt(self, call: str, outcome: Outcome) -> None:
         server = self.out.pop(call, None) or self.standing.pop(call)
-        over = call not in self.owed or outcome is Outcome.ENDED
-        if over:
-            self.owed.pop(call, None)
+        finished = call not in self.unanswered or outcome is Outcome.ENDED
+        if finished:
+            self.unanswered.pop(call, None)
         elif outcome in (Outcome.TIMED_OUT, Outcome.RESET, Outcome.CANCELLED):
             self.not_before[call] = self.g.now + RULES.release_ms
-        self.g.end(call, server, outcome, finished=over, processor_full=outcome is Outcome.FULL)
+        self.g.end(call, server, outcome, finished=finished, processor_full=outcome is Outcome.FULL)
 
     def step(self, step: tuple) -> None:
         match step:
@@ -99,17 +99,17 @@
                 self.g.until(target)
             case ("stall", ms):  # no timer rings; what came due meanwhile is answered on waking
                 self.g.now += ms
-                for call, due in self.owed.items():
-                    self.owed[call] = max(due, self.g.now + 2 * SETTINGS.tick_ms)
+                for call, due in self.unanswered.items():
+                    self.unanswered[call] = max(due, self.g.now + 2 * SETTINGS.tick_ms)
             case ("call", name, pool, left, number):
-                due = self.owed[f"call-{self.g.calls + 1}"] = self.g.now + left
+                due = self.unanswered[f"call-{self.g.calls + 1}"] = self.g.now + left
                 self.gives_up[f"call-{self.g.calls + 1}"] = due
                 self.g.call(name, pool, expires_ms=self.g.now + left, number=str(number))
             case ("answer", which, what) if self.out:
                 call = sorted(self.out)[which % len(self.out)]
                 if what == "stand":
                     server = self.out.pop(call)
-                    if self.owed.pop(call, None) is not None:
+                    if self.unanswered.pop(call, None) is not None:
                         self.standing[call] = server
                     self.g.answer(call, server)
                 else:
@@ -117,9 +117,9 @@
             case ("end", which, what) if self.standing:
                 call = sorted(self.standing)[which % len(self.standing)]
                 self.finish_attempt(call, what)
-            case ("leave", which) if self.owed:
-                call = sorted(self.owed)[which % len(self.owed)]
-                del self.owed[call]
+            case ("leave", which) if self.unanswered:
+                call = sorted(self.unanswered)[which % len(self.unanswered)]
+                del self.unanswered[call]
                 self.g.tell(api.CallAbandoned(call))
             case ("lines", name, free, lines):
                 self.g.tell(api.CircuitsReported(name, free, lines))
@@ -142,7 +142,7 @@
     for step in steps:
         world.step(step)
     world.step(("wait", 4000))
-    assert all(call in world.standing for call in world.owed)
+    assert all(call in world.standing for call in world.unanswered)
 
 
 @settings(derandomize=True, deadline=None, max_examples=60, suppress_health_check=list(HealthCheck))
@@ -156,7 +156,7 @@
 def test_rule_4_a_cold_server_is_never_near_its_limit(seed, warm_calls, capacity, gaps, silence):
     """A server that can do `capacity` calls a second for this gateway's part, restarted under any traffic.
 
-    It answers at the pace that it then has; what it is sent in any span stays under the tipping multiple of
+    It answers at the rate that it then has; what it is sent in any span stays under the tipping multiple of
     that, plus one set-up: a single one cannot be divided.
     """
     g = Gateway(seed=seed)
