--- a/tests/test_rules_property.py
+++ b/tests/test_rules_property.py
@@ -33,7 +33,7 @@
     st.tuples(st.just("wait"), st.integers(1, 900)),
     st.tuples(st.just("stall"), st.integers(100, 2500)),
     st.tuples(st.just("call"), CLASS, st.integers(0, 2), st.integers(0, 3500), NUMBER),
-    st.tuples(st.just("answer"), WHICH, st.sampled_from(["stand", *UNFINISHED])),
+    st.tuples(st.just("answer"), WHICH, st.sampled_from(["established", *UNFINISHED])),
     st.tuples(st.just("end"), WHICH, st.sampled_from(ENDS)),
     st.tuples(st.just("leave"), WHICH),
     st.tuples(st.just("list"), st.sampled_from(NAMES), STATE, st.booleans()),
@@ -58,7 +58,7 @@
         self.unanswered: dict[str, float] = {}  # calls without a final answer, and when it is due
         self.gives_up: dict[str, float] = {}  # when their callers give up
         self.out: dict[str, str] = {}  # attempts out: call and server
-        self.standing: dict[str, str] = {}
+        self.established: dict[str, str] = {}
         self.not_before: dict[str, float] = {}
         self.seen = 0
         self.g.servers(*(api.Server(n, i, api.ServerState.READY) for i, n in enumerate(NAMES)))
@@ -78,10 +78,10 @@
                     assert when <= self.unanswered.pop(call) + RULES.answer_slack_ms, "1: in time"
         self.seen = len(self.g.done)
         for call, until in self.unanswered.items():
-            assert self.g.now <= until + RULES.answer_slack_ms or call in self.standing, "1: overdue"
+            assert self.g.now <= until + RULES.answer_slack_ms or call in self.established, "1: overdue"
 
     def finish_attempt(self, call: str, outcome: Outcome) -> None:
-        server = self.out.pop(call, None) or self.standing.pop(call)
+        server = self.out.pop(call, None) or self.established.pop(call)
         finished = call not in self.unanswered or outcome is Outcome.ENDED
         if finished:
             self.unanswered.pop(call, None)
@@ -89,14 +89,26 @@
             self.not_before[call] = self.g.now + RULES.release_ms
         self.g.end(call, server, outcome, finished=finished, processor_full=outcome is Outcome.FULL)
 
+    def wait(self, ms: float) -> None:
+        target = self.g.now + ms
+        while self.g.timers and min(self.g.timers)[0] <= target:
+            self.g.until(max(self.g.now, min(self.g.timers)[0]))
+            self.check()
+        self.g.until(target)
+
+    def answer(self, call: str, what: str | Outcome) -> None:
+        if what == "established":
+            server = self.out.pop(call)
+            if self.unanswered.pop(call, None) is not None:
+                self.established[call] = server
+            self.g.answer(call, server)
+        else:
+            self.finish_attempt(call, what)
+
     def step(self, step: tuple) -> None:
         match step:
             case ("wait", ms):
-                target = self.g.now + ms
-                while self.g.timers and min(self.g.timers)[0] <= target:
-                    self.g.until(max(self.g.now, min(self.g.timers)[0]))
-                    self.check()
-                self.g.until(target)
+                self.wait(ms)
             case ("stall", ms):  # no timer rings; what came due meanwhile is answered on waking
                 self.g.now += ms
                 for call, due in self.unanswered.items():
@@ -106,16 +118,9 @@
                 self.gives_up[f"call-{self.g.calls + 1}"] = due
                 self.g.call(name, pool, expires_ms=self.g.now + left, number=str(number))
             case ("answer", which, what) if self.out:
-                call = sorted(self.out)[which % len(self.out)]
-                if what == "stand":
-                    server = self.out.pop(call)
-                    if self.unanswered.pop(call, None) is not None:
-                        self.standing[call] = server
-                    self.g.answer(call, server)
-                else:
-                    self.finish_attempt(call, what)
-            case ("end", which, what) if self.standing:
-                call = sorted(self.standing)[which % len(self.standing)]
+                self.answer(sorted(self.out)[which % len(self.out)], what)
+            case ("end", which, what) if self.established:
+                call = sorted(self.established)[which % len(self.established)]
                 self.finish_attempt(call, what)
             case ("leave", which) if self.unanswered:
                 call = sorted(self.unanswered)[which % len(self.unanswered)]
@@ -142,7 +147,19 @@
     for step in steps:
         world.step(step)
     world.step(("wait", 4000))
-    assert all(call in world.standing for call in world.unanswered)
+    assert all(call in world.established for call in world.unanswered)
+
+
+def warm_gateway(seed: int, calls: int, capacity: float) -> Gateway:
+    """A gateway whose server has answered so many calls at its capacity."""
+    g = Gateway(seed=seed)
+    g.servers(api.Server("a", 0, api.ServerState.READY))
+    for _ in range(calls):
+        call, actions = g.call(expires_ms=g.now + 2000)
+        g.until(g.now + 1000 / capacity)
+        if sent_to(actions):
+            g.answer(call, "a", 1000 / capacity)
+    return g
 
 
 @settings(derandomize=True, deadline=None, max_examples=60, suppress_health_check=list(HealthCheck))
@@ -159,13 +176,7 @@
     It answers at the rate that it then has; what it is sent in any span stays under the tipping multiple of
     that, plus one set-up: a single one cannot be divided.
     """
-    g = Gateway(seed=seed)
-    g.servers(api.Server("a", 0, api.ServerState.READY))
-    for _ in range(warm_calls):
-        call, actions = g.call(expires_ms=g.now + 2000)
-        g.until(g.now + 1000 / capacity)
-        if sent_to(actions):
-            g.answer(call, "a", 1000 / capacity)
+    g = warm_gateway(seed, warm_calls, capacity)
     born = g.now
     g.servers(api.Server("a", 0, api.ServerState.READY, born), kind=api.ListKind.CHANGES)
     g.done.clear()
