--- a/benchmarks/budgets.py
+++ b/benchmarks/budgets.py
@@ -30,7 +30,7 @@
 from emulators.budgets import BudgetFleet, Plan
 from emulators.callers import Callers
 from emulators.fleet import fleet
-from emulators.postgresql import PostgresqlStandIn
+from emulators.postgresql import PostgresqlEmulator
 from emulators.server import CallServer
 from verification.spending import most_shared, read_trace, used_per_s, worst_window
 
@@ -52,7 +52,7 @@
 async def sharing(plan: Plan, count: int, *, off: bool = False) -> AsyncIterator[tuple[BudgetFleet, Callers]]:
     """This number of proxies on an emulated PostgreSQL in this process; ``off``: without budgets."""
     with tempfile.TemporaryDirectory() as folder:
-        store = PostgresqlStandIn(Path(folder))
+        store = PostgresqlEmulator(Path(folder))
         await store.start()
         server = CallServer("s-0", capacity_per_s=5000.0, hold_ms=50.0, lines=100_000)
         async with fleet(Path(folder), [server], instances=count) as started:
@@ -137,7 +137,7 @@
 async def store_load(count: int) -> list[Measurement]:
     """Transactions a second and processor time, with this number of lease renewers in one process."""
     with tempfile.TemporaryDirectory() as folder:
-        store = PostgresqlStandIn(Path(folder))
+        store = PostgresqlEmulator(Path(folder))
         await store.start()
         settings = Fleet(
             "postgresql", count, [Budget("all", BudgetKind.SET_UPS, 10.0 * count)], dsn=store.dsn
--- a/benchmarks/ownership.py
+++ b/benchmarks/ownership.py
@@ -26,7 +26,7 @@
 from canvasplank.worker import usage_ledger
 from emulators.callers import Callers
 from emulators.fleet import fleet
-from emulators.postgresql import PostgresqlStandIn
+from emulators.postgresql import PostgresqlEmulator
 from emulators.server import CallServer
 
 ROOT = Path(__file__).parent.parent
@@ -55,7 +55,7 @@
     def __init__(self, folder: Path) -> None:
         self.folder, self.out = folder, folder / "out"
         self.out.mkdir()
-        self.store = PostgresqlStandIn(folder)
+        self.store = PostgresqlEmulator(folder)
         self.workers: dict[str, asyncio.subprocess.Process] = {}
 
     async def start(self, dsn: str = "") -> None:
--- a/canvasplank/codecs/isup.py
+++ b/canvasplank/codecs/isup.py
@@ -14,7 +14,6 @@
 _HEAD = struct.Struct(">HB8s")
 _PARAMETER = struct.Struct(">BH")
 _MIN_LENGTH = _HEAD.size - _LENGTH.size  # type and call
-Cause = ReleaseCause  # the name that the emulators import
 
 
 class Kind(enum.IntEnum):
@@ -151,9 +150,6 @@
     return encode(Message(Kind.RELEASE_CONFIRMED, call_id))
 
 
-release_heard = release_confirmed  # the name that the emulators import
-
-
 def progress(call_id: str) -> bytes:
     """Encoded progress of a set-up: it may be sent at any time, and means nothing."""
     return encode(Message(Kind.PROGRESS, call_id))
--- a/canvasplank/codecs/q850.py
+++ b/canvasplank/codecs/q850.py
@@ -15,5 +15,3 @@
     TEMPORARY_FAILURE = 41
     SWITCHING_CONGESTION = 42
     INVALID_INFORMATION = 100  # invalid information element contents
-
-    NORMAL = NORMAL_CLEARING  # an alias, for the emulators
--- a/canvasplank/cold_start/extension.py
+++ b/canvasplank/cold_start/extension.py
@@ -17,7 +17,6 @@
 # The controller is notified again once the fleet's size differs by more than this fraction from the one it
 # has.
 FLEET_SIZE_CHANGE_FRACTION = 0.1
-Starting = ColdStartSettings  # the former name, until its last users have the new one
 
 
 def load(path: str) -> ExtensionFactory:
--- a/canvasplank/cold_start/poll_backoff.py
+++ b/canvasplank/cold_start/poll_backoff.py
@@ -23,7 +23,6 @@
 # less.
 INITIAL_BACKOFF_MS, MAX_BACKOFF_MS = 50.0, 800.0
 BACKOFF_JITTER = (0.5, 1.0)  # of the doubling backoff
-FIRST_MS, MOST_MS = INITIAL_BACKOFF_MS, MAX_BACKOFF_MS  # former names, until their last users change
 
 
 class PollBackoff:
--- a/canvasplank/database/location.py
+++ b/canvasplank/database/location.py
@@ -35,7 +35,3 @@
     with contextlib.suppress(TimeoutError, StoreUnavailableError, StoreRefusedError):
         async with asyncio.timeout(timeout_s):
             await backend.close()
-
-
-# Names under which canvasplank.fleet imports these functions.
-check_where, let_go = check_location, close_within
--- a/canvasplank/database/postgresql.py
+++ b/canvasplank/database/postgresql.py
@@ -42,8 +42,6 @@
         """Run the operation with the connection and return its result."""
         return await self._translate_errors(operation(self._open_connection))
 
-    do = run  # the name that canvasplank.fleet calls
-
     async def open(self) -> None:
         """Connect and migrate the tables."""
         await self._translate_errors(self._open())
--- a/canvasplank/database/sqlite.py
+++ b/canvasplank/database/sqlite.py
@@ -32,8 +32,6 @@
         """Run the operation with the connection, on the worker thread, and return its result."""
         return await self._run_on_thread(lambda: operation(self._open_connection))
 
-    do = run  # the name that canvasplank.fleet calls
-
     async def open(self) -> None:
         """Connect and migrate the tables."""
         await self._run_on_thread(self._open)
@@ -111,6 +109,3 @@
     SQLite has no row locks: ``transaction`` locks the whole file.
     """
     return sql.replace("$", "?").replace(" FOR UPDATE", "")
-
-
-own = to_sqlite  # the name that canvasplank.fleet imports
--- a/canvasplank/endpoint_cache/bootstrap.py
+++ b/canvasplank/endpoint_cache/bootstrap.py
@@ -58,5 +58,5 @@
     if not endpoints:
         return None
     rate_per_s = initial_rate_per_s / max(1, proxies)
-    hints = [api.WarmStartHint(e.instance_id, rate_per_s, shun=False) for e in endpoints] if stale else []
+    hints = [api.WarmStartHint(e.instance_id, rate_per_s, eject=False) for e in endpoints] if stale else []
     return BootstrapPlan(endpoints, max(0.0, age_ms), hints)
--- a/canvasplank/endpoint_cache/config.py
+++ b/canvasplank/endpoint_cache/config.py
@@ -32,9 +32,6 @@
     return load_extension_settings(path, "membership", EndpointCacheSettings, _check)
 
 
-load_membership = load_endpoint_cache_settings  # the former name, until its last users have the new one
-
-
 def _check(settings: EndpointCacheSettings) -> None:
     if settings.max_fresh_age_ms > settings.max_age_ms:
         raise ValueError("trusted_ms is more than most_age_ms")
--- a/canvasplank/fleet/config.py
+++ b/canvasplank/fleet/config.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from canvasplank.config.extension_file import load_extension_settings
-from canvasplank.database.location import check_where
+from canvasplank.database.location import check_location
 from canvasplank.fleet.backend import Backend
 from canvasplank.fleet.budget_limiter import BudgetKind, BudgetScope
 from canvasplank.fleet.lease_holder import BudgetLimits, Lease
@@ -82,7 +82,7 @@
 
 
 def _check(fleet: Fleet) -> None:
-    check_where(fleet.backend, fleet.path, fleet.dsn)
+    check_location(fleet.backend, fleet.path, fleet.dsn)
     if fleet.lease().usable_ms() < 2 * fleet.renew_ms:
         raise ValueError("lease_ms, less drift and margin_ms, is less than two times renew_ms")
     if not fleet.budget:
--- a/canvasplank/fleet/lease_renewer.py
+++ b/canvasplank/fleet/lease_renewer.py
@@ -13,7 +13,7 @@
 
 from canvasplank.counters import Counters
 from canvasplank.database.errors import StoreRefusedError, StoreUnavailableError
-from canvasplank.database.location import let_go
+from canvasplank.database.location import close_within
 from canvasplank.fleet.backend import Backend
 from canvasplank.fleet.budget_limiter import BudgetKind, BudgetLimiter
 from canvasplank.fleet.config import Fleet
@@ -187,4 +187,4 @@
 
     async def _disconnect(self) -> None:
         self._connected = False
-        await let_go(self._backend, CLOSE_S)
+        await close_within(self._backend, CLOSE_S)
--- a/canvasplank/fleet/postgresql.py
+++ b/canvasplank/fleet/postgresql.py
@@ -37,7 +37,7 @@
                     await connection.execute(sql, *parameters)
             return response
 
-        return await self.do(work)
+        return await self.run(work)
 
     async def execute_fenced(self, token: FencingToken, statements: Statements) -> None:
         """See ``Backend``."""
@@ -49,20 +49,20 @@
                 for sql, parameters in statements:
                     await connection.execute(sql, *parameters)
 
-        await self.do(work)
+        await self.run(work)
 
     async def read(self, sql: str, parameters: tuple[object, ...] = ()) -> list[Row]:
         """See ``Backend``."""
-        return [tuple(row) for row in await self.do(lambda connection: connection.fetch(sql, *parameters))]
+        return [tuple(row) for row in await self.run(lambda connection: connection.fetch(sql, *parameters))]
 
     async def read_state(self) -> FleetState:
         """See ``Backend``."""
         unlocked = schema.LOCK_STATE.removesuffix(" FOR UPDATE")
-        return await self.do(lambda connection: self._read(connection, unlocked))
+        return await self.run(lambda connection: self._read(connection, unlocked))
 
     async def remove_member(self, incarnation: int) -> bool:
         """See ``Backend``."""
-        status: str = await self.do(lambda connection: connection.execute(schema.DELETE_MEMBER, incarnation))
+        status: str = await self.run(lambda connection: connection.execute(schema.DELETE_MEMBER, incarnation))
         return status != "DELETE 0"
 
     async def _read(self, connection: asyncpg.Connection, select_next_incarnation: str) -> FleetState:
--- a/canvasplank/fleet/sqlite.py
+++ b/canvasplank/fleet/sqlite.py
@@ -4,7 +4,7 @@
 
 import sqlite3
 
-from canvasplank.database.sqlite import SqliteEngine, own, transaction
+from canvasplank.database.sqlite import SqliteEngine, to_sqlite, transaction
 from canvasplank.fleet import lease_transaction, schema
 from canvasplank.fleet.backend import FencingToken, Row, StaleTermError, Statements
 from canvasplank.fleet.lease_messages import LeaseRequest, LeaseResponse
@@ -26,39 +26,41 @@
                 before = self._read(connection)
                 after, response = lease_transaction.apply(before, request)
                 for sql, parameters in schema.changes(before, after):
-                    connection.execute(own(sql), parameters)
+                    connection.execute(to_sqlite(sql), parameters)
             return response
 
-        return await self.do(work)
+        return await self.run(work)
 
     async def execute_fenced(self, token: FencingToken, statements: Statements) -> None:
         """See ``Backend``."""
 
         def work(connection: sqlite3.Connection) -> None:
             with transaction(connection):
-                if connection.execute(own(schema.FENCE), token).rowcount != 1:
+                if connection.execute(to_sqlite(schema.FENCE), token).rowcount != 1:
                     raise StaleTermError(token)
                 for sql, parameters in statements:
-                    connection.execute(own(sql), parameters)
+                    connection.execute(to_sqlite(sql), parameters)
 
-        await self.do(work)
+        await self.run(work)
 
     async def read(self, sql: str, parameters: tuple[object, ...] = ()) -> list[Row]:
         """See ``Backend``."""
-        return await self.do(lambda connection: connection.execute(own(sql), parameters).fetchall())
+        return await self.run(lambda connection: connection.execute(to_sqlite(sql), parameters).fetchall())
 
     async def read_state(self) -> FleetState:
         """See ``Backend``."""
-        return await self.do(self._read)
+        return await self.run(self._read)
 
     async def remove_member(self, incarnation: int) -> bool:
         """See ``Backend``."""
-        return await self.do(
-            lambda connection: connection.execute(own(schema.DELETE_MEMBER), (incarnation,)).rowcount > 0
+        return await self.run(
+            lambda connection: (
+                connection.execute(to_sqlite(schema.DELETE_MEMBER), (incarnation,)).rowcount > 0
+            )
         )
 
     def _read(self, connection: sqlite3.Connection) -> FleetState:
-        [next_incarnation] = connection.execute(own(schema.LOCK_STATE)).fetchone()
+        [next_incarnation] = connection.execute(to_sqlite(schema.LOCK_STATE)).fetchone()
         return self._reader.read(
             next_incarnation,
             connection.execute(schema.SELECT_MEMBERS).fetchall(),
--- a/canvasplank/interface.py
+++ b/canvasplank/interface.py
@@ -274,13 +274,13 @@
 class WarmStartHint:
     """What a running peer has learned of one server, weighted by age, for a new instance's start.
 
-    A rate that is ``None`` was not learned, or is too old to count; ``shun``: the peer has found the server
+    A rate that is ``None`` was not learned, or is too old to count; ``eject``: the peer has found the server
     slow or silent in the last seconds.  See ``canvasplank.warm_start``.
     """
 
     server_id: str
     rate_per_s: float | None
-    shun: bool
+    eject: bool
 
 
 @dataclass(frozen=True, slots=True)
--- a/canvasplank/policy/server.py
+++ b/canvasplank/policy/server.py
@@ -70,7 +70,7 @@
         if not self.answered_ms and not self.pending:  # Exception (learned start): only before any of our own
             if hint.rate_per_s is not None:
                 self.rate.limit(hint.rate_per_s)
-            if hint.shun:
+            if hint.eject:
                 self.silence.enter("a running peer saw it so")
 
     def on_capacity(self, circuits: float | None, capacity_per_s: float | None) -> None:
--- a/canvasplank/warm_start/config.py
+++ b/canvasplank/warm_start/config.py
@@ -37,9 +37,6 @@
     return load_extension_settings(path, "learning", WarmStartSettings, _check)
 
 
-load_learning = load_warm_start_settings  # the former name, until its last users have the new one
-
-
 def _check(settings: WarmStartSettings) -> None:
     for address in (*settings.peer_addresses(), *filter(None, [settings.listen])):
         parse_address(address)
--- a/emulators/callers.py
+++ b/emulators/callers.py
@@ -13,6 +13,7 @@
 from dataclasses import dataclass
 
 from canvasplank.codecs import isup
+from canvasplank.codecs.q850 import ReleaseCause
 from canvasplank.config.addresses import parse_address
 from emulators.tasks import Tasks
 
@@ -111,7 +112,7 @@
     def _on_deadline(self, attempt: Try) -> None:
         if attempt.outcome == "open":
             attempt.outcome, attempt.answered_s = "given_up", time.time()
-            self._write(attempt.proxy, isup.release(attempt.id, isup.Cause.NORMAL))
+            self._write(attempt.proxy, isup.release(attempt.id, ReleaseCause.NORMAL_CLEARING))
 
     def _write(self, address: str, data: bytes) -> None:
         """Send to a proxy where its connection is open; what cannot be sent stays unanswered."""
@@ -138,7 +139,7 @@
         if attempt is None or message.kind not in (isup.Kind.ANSWER, isup.Kind.RELEASE):
             return
         if message.kind == isup.Kind.RELEASE:
-            self._write(address, isup.release_heard(message.call_id))
+            self._write(address, isup.release_confirmed(message.call_id))
             if attempt.outcome == "served":
                 attempt.released_s = time.time()
                 return
--- a/emulators/postgresql/__init__.py
+++ b/emulators/postgresql/__init__.py
@@ -14,6 +14,6 @@
 """
 
 from emulators.postgresql.faults import Faults
-from emulators.postgresql.server import PostgresqlStandIn
+from emulators.postgresql.server import PostgresqlEmulator
 
-__all__ = ["Faults", "PostgresqlStandIn"]
+__all__ = ["Faults", "PostgresqlEmulator"]
--- a/emulators/postgresql/__main__.py
+++ b/emulators/postgresql/__main__.py
@@ -10,12 +10,12 @@
 import sys
 from pathlib import Path
 
-from emulators.postgresql.server import PostgresqlStandIn
+from emulators.postgresql.server import PostgresqlEmulator
 
 
 async def main(folder: str) -> None:
     """Serve until standard input ends."""
-    server = PostgresqlStandIn(Path(folder))
+    server = PostgresqlEmulator(Path(folder))
     await server.start()
     print(server.dsn, flush=True)
     commands = asyncio.StreamReader()
--- a/emulators/postgresql/server.py
+++ b/emulators/postgresql/server.py
@@ -12,7 +12,7 @@
 from emulators.postgresql.shared_data import SharedData
 
 
-class PostgresqlStandIn:
+class PostgresqlEmulator:
     """The server; its data outlives its restarts."""
 
     def __init__(self, folder: Path) -> None:
--- a/experiments/simulated_proxy.py
+++ b/experiments/simulated_proxy.py
@@ -7,8 +7,8 @@
 from typing import Protocol
 
 from canvasplank import interface as api
-from canvasplank.cold_start.extension import Starting
-from canvasplank.cold_start.poll_backoff import FIRST_MS, MOST_MS, PollBackoff
+from canvasplank.cold_start.extension import ColdStartSettings
+from canvasplank.cold_start.poll_backoff import INITIAL_BACKOFF_MS, MAX_BACKOFF_MS, PollBackoff
 from canvasplank.cold_start.rendezvous_subset import RendezvousSubset
 from canvasplank.config.discovery_events import Endpoint, to_server
 from canvasplank.policy import Controller
@@ -47,7 +47,7 @@
     """The poll backoff of a program without cold-start settings: delays that double, without jitter."""
 
     def __init__(self) -> None:
-        self._next_ms = FIRST_MS
+        self._next_ms = INITIAL_BACKOFF_MS
 
     def initial_delay(self) -> float:
         """See ``PollBackoff``."""
@@ -55,7 +55,7 @@
 
     def retry_delay(self, now_ms: float = 0.0, retry_after_ms: float = 0.0) -> float:
         """See ``PollBackoff``."""
-        delay_ms, self._next_ms = self._next_ms, min(MOST_MS, 2 * self._next_ms)
+        delay_ms, self._next_ms = self._next_ms, min(MAX_BACKOFF_MS, 2 * self._next_ms)
         return delay_ms
 
 
@@ -67,7 +67,7 @@
         fleet: SimulatedFleet,
         number: int,
         settings: api.Settings,
-        starting: Starting | None,
+        starting: ColdStartSettings | None,
         seed: int,
     ) -> None:
         self._fleet, self._clock = fleet, fleet.clock
--- a/experiments/simulation.py
+++ b/experiments/simulation.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from canvasplank import interface as api
-from canvasplank.cold_start.extension import Starting
+from canvasplank.cold_start.extension import ColdStartSettings
 from canvasplank.config.discovery_events import Endpoint
 from canvasplank.config.platform_settings import read_settings
 from emulators.fleet import service_settings
@@ -40,7 +40,9 @@
         options = service_settings(size, plan.count, plan.hold_ms)
         self._restart_cold(options["rules"])
         settings = read_settings(options)
-        starting = None if variant.cold_start is None else msgspec.convert(variant.cold_start, Starting)
+        starting = (
+            None if variant.cold_start is None else msgspec.convert(variant.cold_start, ColdStartSettings)
+        )
         self._ready_proxies: list[SimulatedProxy] = []  # those that callers may be sent to
         self._proxies = [SimulatedProxy(self, number, settings, starting, seed) for number in range(size)]
         self._classes = [each.name for each in settings.classes]
--- a/tests/test_budgets_processes.py
+++ b/tests/test_budgets_processes.py
@@ -12,7 +12,7 @@
 from emulators.budgets import BudgetFleet, Plan
 from emulators.callers import Callers
 from emulators.fleet import fleet
-from emulators.postgresql import PostgresqlStandIn
+from emulators.postgresql import PostgresqlEmulator
 from emulators.server import CallServer
 from emulators.tasks import Tasks
 from verification.spending import Trace, most_shared, read_trace, used_per_s, worst_window
@@ -29,7 +29,7 @@
 async def sharing(folder, on_postgresql: bool):
     """Eight proxies under twice the load that their budget allows."""
     server = CallServer("s-0", capacity_per_s=5000.0, hold_ms=50.0, lines=100_000)
-    store = PostgresqlStandIn(folder) if on_postgresql else None
+    store = PostgresqlEmulator(folder) if on_postgresql else None
     if store is not None:
         await store.start()
     async with fleet(folder, [server], instances=len(NAMES)) as started:
--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -8,23 +8,23 @@
 
 import pytest
 
-from canvasplank.cold_start.extension import Starting
+from canvasplank.cold_start.extension import ColdStartSettings
 from canvasplank.config.extension_file import load_extension_settings
-from canvasplank.endpoint_cache.config import load_membership
+from canvasplank.endpoint_cache.config import load_endpoint_cache_settings
 from canvasplank.extensions.registry import REGISTRY, load_enabled_extensions
 from canvasplank.fleet.config import load_fleet
 from canvasplank.store.config import load_store
-from canvasplank.warm_start.config import load_learning
+from canvasplank.warm_start.config import load_warm_start_settings
 from canvasplank.worker.config import load_work
 
 ROOT = Path(__file__).parent.parent
 LOADS = {
     "fleet": load_fleet,
-    "learning": load_learning,
-    "membership": load_membership,
+    "learning": load_warm_start_settings,
+    "membership": load_endpoint_cache_settings,
     "store": load_store,
     "work": load_work,
-    "starting": lambda path: load_extension_settings(path, "starting", Starting, lambda _: None),
+    "starting": lambda path: load_extension_settings(path, "starting", ColdStartSettings, lambda _: None),
 }
 
 
@@ -41,7 +41,7 @@
     assert set(named) <= {entry.variable for entry in REGISTRY}
     assert len(load_enabled_extensions({name: str(ROOT / path) for name, path in named.items()})) == 1
     starting = LOADS["starting"](str(ROOT / "deploy" / "subset.toml"))
-    assert starting == Starting(
+    assert starting == ColdStartSettings(
         servers_per_proxy=starting.servers_per_proxy, proxies_per_server=starting.proxies_per_server
     ), "the subset alone"
     assert run.rpartition(";")[2].startswith(" exec "), "one process, which starts no program"
--- a/tests/test_endpoint_cache.py
+++ b/tests/test_endpoint_cache.py
@@ -84,7 +84,7 @@
     plan = plan_bootstrap(cached(age_ms), NOW, proxies=6)
     assert [i.instance_id for i in plan.endpoints] == names
     assert plan.stale is stale
-    assert plan.hints == [api.WarmStartHint(name, 1.0, shun=False) for name in names if stale]
+    assert plan.hints == [api.WarmStartHint(name, 1.0, eject=False) for name in names if stale]
     assert plan.endpoints[0].started_at_ms == A.started_at_ms, "a server is its process"
 
 
--- a/tests/test_fleet_store.py
+++ b/tests/test_fleet_store.py
@@ -20,7 +20,7 @@
 from canvasplank.fleet.postgresql import IDLE_MS, Postgresql
 from canvasplank.fleet.sqlite import Sqlite
 from canvasplank.runtime import structured_logging
-from emulators.postgresql import PostgresqlStandIn
+from emulators.postgresql import PostgresqlEmulator
 
 WAIT_S = 20.0
 BUDGETS = [Budget("all", BudgetKind.SET_UPS, 80.0, reserve_fraction=0.2)]
@@ -48,7 +48,7 @@
         backends = [Sqlite(str(folder / "fleet.db")) for _ in range(2)]
         store = None
     else:
-        store = PostgresqlStandIn(folder)
+        store = PostgresqlEmulator(folder)
         await store.start()
         backends = [Postgresql(store.dsn, 2.0) for _ in range(2)]
     for backend in backends:
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -26,7 +26,7 @@
 from canvasplank.store.writer import LOG_INTERVAL_S, Writer
 from emulators.callers import Callers
 from emulators.fleet import fleet, free_port
-from emulators.postgresql import PostgresqlStandIn
+from emulators.postgresql import PostgresqlEmulator
 from emulators.server import CallServer
 
 WAIT_S = 20.0  # bounds every wait; none depends on speed
@@ -70,7 +70,7 @@
     """The emulated server, and a backend connected to it."""
 
     def __init__(self, folder):
-        self.server = PostgresqlStandIn(folder)
+        self.server = PostgresqlEmulator(folder)
 
     async def __aenter__(self):
         await self.server.start()
@@ -338,7 +338,7 @@
 
 def test_every_call_has_one_record_through_a_stall_and_a_restart_of_the_store(tmp_path):
     async def run():
-        server = PostgresqlStandIn(tmp_path)
+        server = PostgresqlEmulator(tmp_path)
         await server.start()
 
         async def inject_faults():
--- a/tests/test_warm_start.py
+++ b/tests/test_warm_start.py
@@ -199,7 +199,7 @@
 
         new = Gateway()
         new.servers(ready("a", 0), ready("b", 1))
-        new.tell(api.WarmStartHint("a", 50.0, shun=False))
+        new.tell(api.WarmStartHint("a", 50.0, eject=False))
         new.full(new.call(first=0)[0], "a")
         rates = {each.server_id: each.rate_per_s for each in new.controller.learned_servers()}
         assert rates["a"] < 50.0
@@ -210,5 +210,5 @@
         new = Gateway()
         new.servers(ready("a", 0))
         new.steady("a", first=0, count=3)
-        new.tell(api.WarmStartHint("a", None, shun=True))
+        new.tell(api.WarmStartHint("a", None, eject=True))
         assert sent_to(new.call(first=0)[1]) == ["a"]
--- a/tests/worker_fixtures.py
+++ b/tests/worker_fixtures.py
@@ -17,7 +17,7 @@
 from canvasplank.store.sqlite import Sqlite
 from canvasplank.worker import usage_ledger
 from canvasplank.worker.usage_ledger import UsageSum
-from emulators.postgresql import PostgresqlStandIn
+from emulators.postgresql import PostgresqlEmulator
 
 LEASE = Lease(3000.0, 100.0, 0.001)
 FLEET = """backend = "{backend}"
@@ -69,7 +69,7 @@
         path, dsn = folder / "shared.db", ""
         fleet, store = FleetSqlite(str(path)), Sqlite(str(path))
     else:
-        server = PostgresqlStandIn(folder)
+        server = PostgresqlEmulator(folder)
         await server.start()
         path, dsn = "", server.dsn
         fleet, store = FleetPostgresql(dsn, 2.0), Postgresql(dsn, 2.0)
