--- a/canvasplank/warm_start/config.py
+++ b/canvasplank/warm_start/config.py
@@ -18,7 +18,8 @@
 
 class WarmStartSettings(msgspec.Struct, forbid_unknown_fields=True):
     """From which peers to fetch a snapshot, where to serve our own, and how age counts; times in
-    milliseconds."""
+    milliseconds.
+    """
 
     peer: str = ""  # host:port
     peers: list[str] = []  # more of them
--- a/canvasplank/warm_start/extension.py
+++ b/canvasplank/warm_start/extension.py
@@ -23,7 +23,8 @@
 
 class WarmStartExtension(Extension):
     """Serves what this instance learns to new ones, and fetches a running one's snapshot once, at the
-    start."""
+    start.
+    """
 
     def __init__(self, context: ExtensionContext, settings: WarmStartSettings) -> None:
         self._context, self._settings = context, settings
@@ -45,7 +46,8 @@
 
     async def _start_from_peer(self, peers: list[str]) -> None:
         """Fetch a snapshot and apply it; in random order, so that not all new instances request the same
-        peer's."""
+        peer's.
+        """
         context = self._context
         context.counters.add("learning.views_asked")
         random.Random(int(context.configuration.seed, 16)).shuffle(peers)
--- a/tests/test_endpoint_cache.py
+++ b/tests/test_endpoint_cache.py
@@ -174,7 +174,8 @@
 @pytest.mark.parametrize("age_ms", [0.0, HOUR_MS])
 def test_calls_are_served_from_the_cached_list_until_discovery_replaces_it(tmp_path, age_ms):
     """A first process caches the list and is killed; a second starts while discovery is unreachable and one
-    server has gone; then discovery is back, with a new server in place of that one."""
+    server has gone; then discovery is back, with a new server in place of that one.
+    """
 
     async def run():
         a, b, gone, new = (CallServer(f"s-{n}", 200.0, hold_ms=3000.0) for n in ("a", "b", "gone", "new"))
--- a/tests/test_warm_start.py
+++ b/tests/test_warm_start.py
@@ -131,7 +131,8 @@
     @staticmethod
     def joining(seen: PeerSnapshot, now_ms: float) -> int:
         """A new gateway applies the snapshot, then gets 20 calls for pool 0 over 2 s while a is still silent
-        and b answers; how many set-ups went to a."""
+        and b answers; how many set-ups went to a.
+        """
         from conftest import Gateway, ready
 
         new = Gateway(seed=2)
