--- a/emulators/budgets.py
+++ b/emulators/budgets.py
@@ -11,7 +11,7 @@
 from emulators.callers import Callers
 from emulators.fleet import Fleet, Proxy
 from emulators.link import Link
-from emulators.postgresql import PostgresqlStandIn
+from emulators.postgresql import PostgresqlEmulator
 
 CONFIGURATION = """
 backend = "{backend}"
@@ -47,7 +47,7 @@
     """A fleet whose proxies share a budget; in SQLite where it is given no PostgreSQL."""
 
     def __init__(
-        self, fleet: Fleet, plan: Plan, callers: Callers, store: PostgresqlStandIn | None = None
+        self, fleet: Fleet, plan: Plan, callers: Callers, store: PostgresqlEmulator | None = None
     ) -> None:
         self.fleet, self.plan, self.callers, self.store = fleet, plan, callers, store
         self.links: dict[str, Link] = {}
--- a/experiments/proxy_processes.py
+++ b/experiments/proxy_processes.py
@@ -15,7 +15,7 @@
 from emulators.fleet import Fleet, Proxy
 from emulators.front import until_passed
 from emulators.link import Link
-from emulators.postgresql import PostgresqlStandIn
+from emulators.postgresql import PostgresqlEmulator
 from experiments.plan import Variant
 
 PROXY_NICENESS = 10
@@ -35,7 +35,7 @@
         self.names = names
         self.proxies: dict[str, Proxy] = {}  # those that run, by name
         self.discovery_link = Link(fleet.discovery.address)
-        self.store: PostgresqlStandIn | None = None
+        self.store: PostgresqlEmulator | None = None
         self._fleet, self._variant, self._callers = fleet, variant, callers
         self._behind_link = behind_link
         self._store_links: dict[str, Link] = {}  # from each proxy to the store
@@ -51,7 +51,7 @@
         """Start the link to service discovery, and the emulated store where the variant has one."""
         await self.discovery_link.start()
         if (self._variant.fleet or {}).get("backend") == "postgresql":
-            self.store = PostgresqlStandIn(self._fleet.folder)
+            self.store = PostgresqlEmulator(self._fleet.folder)
             await self.store.start()
 
     async def stop_surroundings(self) -> None:
