--- a/canvasplank/cold_start/rendezvous_subset.py
+++ b/canvasplank/cold_start/rendezvous_subset.py
@@ -9,9 +9,14 @@
 import msgspec
 
 from canvasplank.cold_start.rendezvous_hashing import Pools, choose, max_sharers
-from canvasplank.config.discovery_events import DiscoveryEvent, Endpoint, EndpointListUpdate, apply_event
-
-READY, DRAINING = "ready", "draining"
+from canvasplank.config.discovery_events import (
+    DRAINING,
+    READY,
+    DiscoveryEvent,
+    Endpoint,
+    EndpointListUpdate,
+    apply_event,
+)
 
 
 class RendezvousSubset:
--- a/canvasplank/endpoint_cache/bootstrap.py
+++ b/canvasplank/endpoint_cache/bootstrap.py
@@ -8,10 +8,9 @@
 from dataclasses import dataclass
 
 from canvasplank import interface as api
-from canvasplank.config.discovery_events import Endpoint
+from canvasplank.config.discovery_events import READY, Endpoint
 from canvasplank.endpoint_cache.cached_list import CachedEndpointList
 
-READY = "ready"
 MAX_FRESH_AGE_MS = 10_000.0  # events of discovery itself may arrive as late as this
 MAX_AGE_MS = 7 * 24 * 3_600_000.0  # a week
 # The first rate at an endpoint of a stale list, of all proxies together: within the cold rule's budget
--- a/experiments/report.py
+++ b/experiments/report.py
@@ -16,26 +16,24 @@
 
 FIGURES, SERIES = "figures", "series"
 POLLS, CONNECTIONS, SET_UPS, SERVED = "polls", "first connections", "set-ups", "served share"
+RESULT_COLUMNS = [  # of both tables: the run, and what the row is about
+    ("experiment", pa.string()),
+    ("way", pa.string()),
+    ("size", pa.int32()),
+    ("variant", pa.string()),
+    ("seed", pa.int32()),
+    ("what", pa.string()),
+]
 FIGURE_SCHEMA = pa.schema(
     [
-        ("experiment", pa.string()),
-        ("way", pa.string()),
-        ("size", pa.int32()),
-        ("variant", pa.string()),
-        ("seed", pa.int32()),
-        ("what", pa.string()),
+        *RESULT_COLUMNS,
         ("unit", pa.string()),
         ("value", pa.float64()),
     ]
 )
 SERIES_SCHEMA = pa.schema(
     [
-        ("experiment", pa.string()),
-        ("way", pa.string()),
-        ("size", pa.int32()),
-        ("variant", pa.string()),
-        ("seed", pa.int32()),
-        ("what", pa.string()),
+        *RESULT_COLUMNS,
         ("second", pa.int32()),
         ("value", pa.float64()),
     ]
