--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -65,7 +65,7 @@
         self.alive: dict[str, float] = {}  # servers that answer by themselves, and after how long
         self.due: list[tuple[float, str, str]] = []
 
-    def tell(self, event: api.Event) -> list[api.Action]:
+    def handle(self, event: api.Event) -> list[api.Action]:
         actions = self.controller.handle(self.now, event)
         for action in actions:
             self.done.append((self.now, action))
@@ -86,7 +86,7 @@
             self.now = max(self.now, due[0])
             if due in self.timers:
                 self.timers.remove(due)
-                out += self.tell(api.TimerFired(due[1]))
+                out += self.handle(api.TimerFired(due[1]))
             else:
                 self.due.remove(due)
                 out += self.answer(due[1], due[2], self.alive.get(due[2], 40))
@@ -94,20 +94,20 @@
         return out
 
     def servers(self, *servers: api.Server, kind: api.ListKind = api.ListKind.COMPLETE) -> list[api.Action]:
-        return self.tell(api.ServerList(kind, servers))
+        return self.handle(api.ServerList(kind, servers))
 
     def call(self, class_name: str = "low", first: int = 0, **more) -> tuple[str, list[api.Action]]:
         self.calls += 1
         call_id = more.pop("id", f"call-{self.calls}")
         more.setdefault("expires_ms", self.now + 3000)
-        return call_id, self.tell(api.Call(call_id, class_name, preferred_pool=first, **more))
+        return call_id, self.handle(api.Call(call_id, class_name, preferred_pool=first, **more))
 
     def answer(self, call_id: str, server: str, waited_ms: float = 40) -> list[api.Action]:
-        return self.tell(api.Established(call_id, self.attempts[call_id], server, waited_ms))
+        return self.handle(api.Established(call_id, self.attempts[call_id], server, waited_ms))
 
     def end(self, call_id: str, server: str, outcome: api.Outcome, **more) -> list[api.Action]:
         more.setdefault("finished", False)
-        return self.tell(api.AttemptEnded(call_id, self.attempts[call_id], server, outcome, **more))
+        return self.handle(api.AttemptEnded(call_id, self.attempts[call_id], server, outcome, **more))
 
     def full(self, call_id: str, server: str) -> list[api.Action]:
         return self.end(call_id, server, api.Outcome.FULL, processor_full=True)
--- a/tests/test_endpoint_cache.py
+++ b/tests/test_endpoint_cache.py
@@ -103,7 +103,7 @@
             gateway = Gateway(settings(instances=4), seed)
             gateway.servers(ready("s-a", 0))
             for hint in hints:
-                gateway.tell(hint)
+                gateway.handle(hint)
             gateway.alive["s-a"] = 40
             for _ in range(30):
                 gateway.call(first=0)
--- a/tests/test_policy_calls.py
+++ b/tests/test_policy_calls.py
@@ -101,14 +101,14 @@
             api.TimerFired("no timer"),
             api.ProbeAnswered("no server", answered=True),
         ):
-            assert not [a for a in gateway.tell(event) if not isinstance(a, api.SetTimer)]
+            assert not [a for a in gateway.handle(event) if not isinstance(a, api.SetTimer)]
 
     def test_an_outcome_reported_twice_frees_no_call_for_a_second_attempt(self, gateway):
         call_id, _ = gateway.call(first=0)
         first = api.AttemptEnded(call_id, 0, "a", Outcome.ERROR, finished=False)
-        assert sent_to(gateway.tell(first)) == ["b"]
-        assert not sent_to(gateway.tell(first))
-        gateway.tell(api.Established(call_id, 0, "a", 10))
+        assert sent_to(gateway.handle(first)) == ["b"]
+        assert not sent_to(gateway.handle(first))
+        gateway.handle(api.Established(call_id, 0, "a", 10))
         assert call_id in gateway.controller._calls, "an answer to an attempt that ended is no answer"
 
     def test_a_served_call_is_not_remembered_as_unserved(self, gateway):
@@ -191,7 +191,7 @@
         gateway.until(gateway.now + 2000)
         before = sum(isinstance(a, api.SetTimer) for _, a in gateway.done)
         gateway.until(gateway.now + 60_000)
-        gateway.tell(lines("a", 100))
+        gateway.handle(lines("a", 100))
         assert not gateway.timers
         assert sum(isinstance(a, api.SetTimer) for _, a in gateway.done) == before
 
--- a/tests/test_policy_rate_control.py
+++ b/tests/test_policy_rate_control.py
@@ -179,7 +179,7 @@
         classes = tuple(replace(c, hold_ms=2000.0) for c in SETTINGS.classes)
         g = Gateway(settings(classes=classes))
         g.servers(ready("a", 0))
-        g.tell(api.CircuitsReported("a", 80, 80))
+        g.handle(api.CircuitsReported("a", 80, 80))
         call_id, _ = g.call(first=0)
         g.until(400 if sign == "late" else 100)
         if sign == "late":  # the first of all, so that no answer in time speaks for chance
@@ -211,15 +211,15 @@
         assert server.capacity_per_s is None and server.even_share_per_s() is None
 
     def test_it_sets_the_even_share_where_circuits_promise_more(self, gateway):
-        gateway.tell(api.CircuitsReported("a", 200, 200))
+        gateway.handle(api.CircuitsReported("a", 200, 200))
         settings_of = gateway.controller._settings
         server = gateway.controller._servers["a"]
-        gateway.tell(api.ProbeAnswered("a", answered=True, report=report(8.0)))
+        gateway.handle(api.ProbeAnswered("a", answered=True, report=report(8.0)))
         assert server.even_share_per_s() == pytest.approx(8.0 / settings_of.instances)
 
     def test_a_report_from_before_a_slowdown_does_not_leave_a_rate_open(self, gateway):
         gateway.steady("a", 0, 8)
-        gateway.tell(api.ProbeAnswered("a", answered=True, report=report(50.0)))
+        gateway.handle(api.ProbeAnswered("a", answered=True, report=report(50.0)))
         for _ in range(4):
             gateway.call(first=0)
             gateway.until(gateway.now + 100)
--- a/tests/test_policy_retries.py
+++ b/tests/test_policy_retries.py
@@ -119,5 +119,5 @@
         for _ in range(30):
             call_id, _ = g.call(tenant="small", number="n")
             quota_weight = g.controller._calls[call_id].quota_weight
-            g.tell(api.CallAbandoned(call_id))
+            g.handle(api.CallAbandoned(call_id))
         assert quota_weight == 1.0, "thirty tries of one call"
--- a/tests/test_policy_silence.py
+++ b/tests/test_policy_silence.py
@@ -47,7 +47,7 @@
         g = Gateway(large(instances))
         g.servers(ready("a", 0), ready("b", 1))
         for name in ("a", "b"):
-            g.tell(lines(name, 400))
+            g.handle(lines(name, 400))
         g.alive = {"b": 40}
         g.call(first=0)
         g.until(g.now + 1500)
--- a/tests/test_policy_slow_start.py
+++ b/tests/test_policy_slow_start.py
@@ -32,7 +32,7 @@
     def test_4_a_cold_server_gets_more_as_it_answers(self):
         g = Gateway(settings(classes=(replace(LOW, hold_ms=8000.0),)))
         g.servers(ready("a", 0))
-        g.tell(api.CircuitsReported("a", 500, 500))
+        g.handle(api.CircuitsReported("a", 500, 500))
         g.steady("a", 0, 40, gap_ms=100)
         g.servers(ready("a", 0, started_ms=g.now), kind=api.ListKind.CHANGES)
         g.done.clear()
@@ -73,11 +73,11 @@
     def test_the_budget_of_a_cold_successor_over_all_gateways_is_within_the_rule(
         self, gateway, reported, max_fraction
     ):
-        gateway.tell(api.ProbeAnswered("a", answered=True, report=report(100.0)))
+        gateway.handle(api.ProbeAnswered("a", answered=True, report=report(100.0)))
         gateway.servers(gone("a", 0), ready("c", 0, started_ms=gateway.now))
         server = gateway.controller._servers["c"]
         if reported:
-            gateway.tell(api.ProbeAnswered("c", answered=True, report=report(reported)))
+            gateway.handle(api.ProbeAnswered("c", answered=True, report=report(reported)))
         sum_of_all = server.slow_start.rate_per_s() * SETTINGS.instances
         assert sum_of_all == pytest.approx(
             max_fraction * RULES.overload_multiple * (reported or 100.0), rel=0.01
@@ -85,7 +85,7 @@
         assert sum_of_all < RULES.overload_multiple * (reported or RULES.cold_share * 100.0)
 
     def test_a_report_from_before_a_restart_is_no_measure_of_the_cold_server(self, gateway):
-        gateway.tell(api.ProbeAnswered("a", answered=True, report=report(100.0)))
+        gateway.handle(api.ProbeAnswered("a", answered=True, report=report(100.0)))
         gateway.servers(ready("a", 0, started_ms=gateway.now + 1), ready("b", 1))
         rate = gateway.controller._servers["a"].slow_start.rate_per_s()
         assert rate * SETTINGS.instances < RULES.overload_multiple * RULES.cold_share * 100.0
@@ -107,7 +107,7 @@
     def test_has_the_circuits_of_its_pool_until_it_reports_its_own(self):
         g = Gateway(large(instances=3))
         g.servers(ready("a", 0))
-        g.tell(lines("a", 176))
+        g.handle(lines("a", 176))
         g.servers(gone("a", 0), kind=api.ListKind.CHANGES)
         for _ in range(30):
             g.call()
@@ -121,6 +121,6 @@
         g = Gateway(large(instances=3))
         for pool in range(server_module.MAX_POOLS + 5):
             g.servers(ready("a", pool))
-            g.tell(lines("a", 10))
+            g.handle(lines("a", 10))
             g.servers(gone("a", pool))
         assert len(g.controller._context.pool_reports) == server_module.MAX_POOLS
--- a/tests/test_rendezvous_subset.py
+++ b/tests/test_rendezvous_subset.py
@@ -187,7 +187,7 @@
                 settings(instances=12, classes=(api.CallClass("low", 1600, 9000, 1, 0.1, hold_ms=1000.0),))
             )
             gateway.servers(api.Server("a", 0, api.ServerState.READY, 0.0, senders))
-            gateway.tell(api.CircuitsReported("a", 60.0, 60.0))
+            gateway.handle(api.CircuitsReported("a", 60.0, 60.0))
             gateway.alive["a"] = 40
             for _ in range(100):
                 gateway.call()
--- a/tests/test_rules_property.py
+++ b/tests/test_rules_property.py
@@ -125,12 +125,12 @@
             case ("leave", which) if self.unanswered:
                 call = sorted(self.unanswered)[which % len(self.unanswered)]
                 del self.unanswered[call]
-                self.g.tell(api.CallAbandoned(call))
+                self.g.handle(api.CallAbandoned(call))
             case ("lines", name, free, lines):
-                self.g.tell(api.CircuitsReported(name, free, lines))
+                self.g.handle(api.CircuitsReported(name, free, lines))
             case ("report", name, figure):
                 report = api.Report(figure, figure, figure, figure, figure)
-                self.g.tell(api.ProbeAnswered(name, answered=figure > 0, report=report))
+                self.g.handle(api.ProbeAnswered(name, answered=figure > 0, report=report))
             case ("list", name, state, restarted):
                 self.states[name] = state
                 if restarted:
--- a/tests/test_warm_start.py
+++ b/tests/test_warm_start.py
@@ -142,7 +142,7 @@
         for event in start_hints.to_warm_start_hints(
             start_hints.derive_start_hints(seen, now_ms, listed, fresh_rate_per_s=None)
         ):
-            new.tell(event)
+            new.handle(event)
         new.alive["b"] = 40
         for _ in range(20):
             new.call(first=0)
@@ -200,7 +200,7 @@
 
         new = Gateway()
         new.servers(ready("a", 0), ready("b", 1))
-        new.tell(api.WarmStartHint("a", 50.0, eject=False))
+        new.handle(api.WarmStartHint("a", 50.0, eject=False))
         new.full(new.call(first=0)[0], "a")
         rates = {each.server_id: each.rate_per_s for each in new.controller.learned_servers()}
         assert rates["a"] < 50.0
@@ -211,5 +211,5 @@
         new = Gateway()
         new.servers(ready("a", 0))
         new.steady("a", first=0, count=3)
-        new.tell(api.WarmStartHint("a", None, eject=True))
+        new.handle(api.WarmStartHint("a", None, eject=True))
         assert sent_to(new.call(first=0)[1]) == ["a"]
