--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -78,7 +78,7 @@
                     self.due.append((self.now + self.alive[server], action.call_id, server))
         return actions
 
-    def until(self, when: float) -> list[api.Action]:
+    def advance_to(self, when: float) -> list[api.Action]:
         """Let time pass, with the timers and the answers of live servers that come due."""
         out: list[api.Action] = []
         while (pending := [*self.timers, *self.due]) and min(pending)[0] <= when:
@@ -117,7 +117,7 @@
         self.alive[server] = waited_ms
         for _ in range(count):
             self.call(first=first)
-            self.until(self.now + gap_ms)
+            self.advance_to(self.now + gap_ms)
         del self.alive[server]
 
 
@@ -146,5 +146,5 @@
     """A gateway with two warm servers, a for pool 0 and b for pool 1."""
     g = Gateway()
     g.servers(ready("a", 0), ready("b", 1))
-    g.until(10)
+    g.advance_to(10)
     return g
--- a/tests/test_budget_limiter.py
+++ b/tests/test_budget_limiter.py
@@ -101,7 +101,7 @@
         other_id, others = g.call(tenant="beta")
         assert not sent_to(actions) and sent_to(others) == ["a"]
         timers = len(g.timers)
-        g.until(900)
+        g.advance_to(900)
         assert len(g.timers) - timers < 12, "it tries again when the budget may admit it, not each tick"
-        assert sent_to(g.until(1400)) == ["a"]
+        assert sent_to(g.advance_to(1400)) == ["a"]
         assert spent == [(other_id, 0, "a"), (held_id, 0, "a")]
--- a/tests/test_endpoint_cache.py
+++ b/tests/test_endpoint_cache.py
@@ -107,7 +107,7 @@
             gateway.alive["s-a"] = 40
             for _ in range(30):
                 gateway.call(first=0)
-                gateway.until(gateway.now + 100)
+                gateway.advance_to(gateway.now + 100)
             sent += sum(isinstance(action, api.SetUp) for _, action in gateway.done)
         return sent
 
--- a/tests/test_policy_large_fleet.py
+++ b/tests/test_policy_large_fleet.py
@@ -30,7 +30,7 @@
         now = start + step * 50
         for index, g in enumerate(gateways):
             mark = len(g.done)
-            g.until(now)
+            g.advance_to(now)
             credit[index] += calls_per_s / 20 * weights[index] / total
             while credit[index] >= 1:
                 credit[index] -= 1
@@ -101,7 +101,7 @@
 
     def cut_rate(self, g: Gateway) -> float:
         call_id, _ = g.call()
-        g.until(g.now + 20)
+        g.advance_to(g.now + 20)
         g.full(call_id, "a")
         return g.controller._servers["a"].rate.bucket.rate
 
@@ -132,11 +132,11 @@
         g = Gateway(large())
         g.servers(ready("a", 0))
         g.handle(lines("a", 200))
-        g.until(1000)
+        g.advance_to(1000)
         sent = []
         for _ in range(20):
             sent += sent_to(g.call()[1])
-            g.until(g.now + 20)
+            g.advance_to(g.now + 20)
         assert 1 <= len(sent) <= 2
 
     def test_a_gateway_that_gets_many_calls_earns_a_wider_bucket(self):
@@ -165,6 +165,6 @@
                 g.servers(ready("a", 0), ready("b", 1), ready("c", 2))
                 for name, count in (("a", 100), ("b", 2000), ("c", 2000)):
                     g.handle(lines(name, count if instances > 4 else 2000))
-                g.until(50)
+                g.advance_to(50)
                 small += sent_to(g.call(first=9)[1]) == ["a"]
             assert low <= small <= high
--- a/tests/test_policy_rate_control.py
+++ b/tests/test_policy_rate_control.py
@@ -60,7 +60,7 @@
         g.servers(ready("a", 0))
         g.steady("a", 0, count, gap_ms=100)
         call_id, _ = g.call(first=0)
-        g.until(g.now + 50)
+        g.advance_to(g.now + 50)
         g.full(call_id, "a")
         return g
 
@@ -75,34 +75,34 @@
         g = Gateway()
         g.servers(ready("a", 0))
         g.steady("a", 0, 8, gap_ms=250)
-        g.until(g.now + 950)
+        g.advance_to(g.now + 950)
         call_id, _ = g.call(first=0)
-        g.until(g.now + 40)
+        g.advance_to(g.now + 40)
         g.full(call_id, "a")
         assert g.controller._servers["a"].rate.bucket.rate > 1.5
 
     def test_one_jam_cuts_once(self, gateway):
         ids = [gateway.call(first=0)[0] for _ in range(3)]
-        gateway.until(60)
+        gateway.advance_to(60)
         gateway.full(ids[0], "a")
         first = gateway.controller._servers["a"].rate.bucket.rate
-        gateway.until(120)
+        gateway.advance_to(120)
         gateway.full(ids[1], "a")
         assert gateway.controller._servers["a"].rate.bucket.rate == first
 
     def test_grows_in_quiet_seconds(self):
         g = self.full_after(0)
         g.call(first=0, expires_ms=g.now + 20_000)
-        g.until(g.now + 100)
+        g.advance_to(g.now + 100)
         before = g.controller._servers["a"].rate.bucket.rate
         g.servers(ready("a", 0), kind=api.ListKind.CHANGES)
-        g.until(g.now + 3000)
+        g.advance_to(g.now + 3000)
         g.servers(ready("a", 0), kind=api.ListKind.CHANGES)
         assert g.controller._servers["a"].rate.bucket.rate >= before
 
     def test_slow_answers_count_as_an_early_full(self, gateway):
         call_id, _ = gateway.call(first=0)
-        gateway.until(400)
+        gateway.advance_to(400)
         gateway.answer(call_id, "a", waited_ms=390)
         assert gateway.controller._servers["a"].rate.bucket.rate < leaky_bucket.NEVER
 
@@ -114,7 +114,7 @@
         """A jammed or silent server is fed a bucketful at most, and the rest goes elsewhere."""
         for _ in range(12):
             gateway.call(first=0)
-            gateway.until(gateway.now + 60)
+            gateway.advance_to(gateway.now + 60)
         to_a = sum("a" in sent_to([a]) for _, a in gateway.done)
         assert to_a <= leaky_bucket.MAX_FILL + 5
 
@@ -130,7 +130,7 @@
     def test_a_single_overdue_answer_is_no_congestion(self, gateway):
         gateway.steady("a", 0, 4)
         gateway.call(first=0)
-        gateway.until(gateway.now + 450)
+        gateway.advance_to(gateway.now + 450)
         assert gateway.controller._servers["a"].rate.bucket.rate == leaky_bucket.NEVER
 
     @pytest.mark.parametrize(("full", "rate"), [(False, 4.5), (True, 3.0)])
@@ -154,7 +154,7 @@
         for _ in range(3):
             gateway.call(first=0, expires_ms=gateway.now + 9000)
         for _ in range(50):
-            gateway.until(gateway.now + 100)
+            gateway.advance_to(gateway.now + 100)
             server.last_received_ms = gateway.now
         assert sent_to(gateway.call(first=0)[1]) == ["a"]
 
@@ -181,7 +181,7 @@
         g.servers(ready("a", 0))
         g.handle(api.CircuitsReported("a", 80, 80))
         call_id, _ = g.call(first=0)
-        g.until(400 if sign == "late" else 100)
+        g.advance_to(400 if sign == "late" else 100)
         if sign == "late":  # the first of all, so that no answer in time speaks for chance
             g.answer(call_id, "a", waited_ms=400)
         else:
@@ -194,7 +194,7 @@
         g.servers(ready("a", 0))
         g.steady("a", 0, 20, gap_ms=100, waited_ms=55)
         call_id, _ = g.call(first=0)
-        g.until(g.now + 70)
+        g.advance_to(g.now + 70)
         g.answer(call_id, "a", waited_ms=70)
         assert g.controller._servers["a"].rate.bucket.rate == leaky_bucket.NEVER
 
@@ -222,6 +222,6 @@
         gateway.handle(api.ProbeAnswered("a", answered=True, report=report(50.0)))
         for _ in range(4):
             gateway.call(first=0)
-            gateway.until(gateway.now + 100)
-        gateway.until(gateway.now + 1000)
+            gateway.advance_to(gateway.now + 100)
+        gateway.advance_to(gateway.now + 1000)
         assert gateway.controller._servers["a"].rate.bucket.rate < 50.0
--- a/tests/test_policy_slow_start.py
+++ b/tests/test_policy_slow_start.py
@@ -21,11 +21,11 @@
         """Found on a busy day: one call a second from every gateway tipped a small server."""
         g = Gateway()
         g.servers(ready("a", 0) if cause == "restarted" else ready("b", 1))
-        g.until(5000)
+        g.advance_to(5000)
         g.servers(ready("a", 0, started_ms=4000), kind=api.ListKind.CHANGES)
         for _ in range(80):
             g.call(first=0)
-            g.until(g.now + 50)
+            g.advance_to(g.now + 50)
         sent = sum("a" in sent_to([a]) for _, a in g.done)
         assert 1 <= sent <= 4000 / 1000 / SETTINGS.instances + 1
 
@@ -39,7 +39,7 @@
         g.steady("a", 0, 40, gap_ms=100)
         sent = sum("a" in sent_to([a]) for _, a in g.done)
         assert 8 <= sent <= 30
-        g.until(g.now + RULES.warm_within_ms)
+        g.advance_to(g.now + RULES.warm_within_ms)
         g.done.clear()
         g.steady("a", 0, 40, gap_ms=100)
         assert sum("a" in sent_to([a]) for _, a in g.done) >= 38
@@ -48,7 +48,7 @@
     def test_4_back_from_silence_is_cold_unless_it_answers_what_came_before(self, gateway, late):
         server = gateway.controller._servers["a"]
         call_id, _ = gateway.call(first=0)
-        gateway.until(1300)
+        gateway.advance_to(1300)
         assert server.silence.silent
         if late:
             gateway.answer(call_id, "a")
@@ -56,7 +56,7 @@
             gateway.alive = {"a": 40, "b": 40}
             gateway.end(call_id, "a", Outcome.CANCELLED)
             for _ in range(10):
-                gateway.until(gateway.now + 300)
+                gateway.advance_to(gateway.now + 300)
                 gateway.call(first=0)
         assert not server.silence.silent
         assert (server.slow_start.until_ms > gateway.now) is not late
@@ -111,10 +111,10 @@
         g.servers(gone("a", 0), kind=api.ListKind.CHANGES)
         for _ in range(30):
             g.call()
-        g.until(g.now + 1000)
+        g.advance_to(g.now + 1000)
         mark = len(g.done)
         g.servers(ready("b", 0), kind=api.ListKind.CHANGES)
-        g.until(g.now + 50)
+        g.advance_to(g.now + 50)
         assert 1 <= len(sent_to([action for _, action in g.done[mark:]])) <= 4
 
     def test_remembered_reports_are_bounded(self):
--- a/tests/test_rendezvous_subset.py
+++ b/tests/test_rendezvous_subset.py
@@ -191,7 +191,7 @@
             gateway.alive["a"] = 40
             for _ in range(100):
                 gateway.call()
-                gateway.until(gateway.now + 20)
+                gateway.advance_to(gateway.now + 20)
             return sum(isinstance(action, api.SetUp) for _, action in gateway.done)
 
         assert sent(3) > 1.5 * sent(None)
@@ -207,7 +207,7 @@
             gateway.alive["a"] = 40
             for _ in range(3):
                 gateway.call(expires_ms=9000, class_name=class_name)
-            gateway.until(8000)
+            gateway.advance_to(8000)
             sent += [at for at, action in gateway.done if isinstance(action, api.SetUp)]
         first = sum(at < 1000 for at in sent)
         if initial_rate_per_s is None:
--- a/tests/test_rules_property.py
+++ b/tests/test_rules_property.py
@@ -77,8 +77,8 @@
                     assert call in self.unanswered, "1: exactly one final answer"
                     assert when <= self.unanswered.pop(call) + RULES.answer_slack_ms, "1: in time"
         self.seen = len(self.g.done)
-        for call, until in self.unanswered.items():
-            assert self.g.now <= until + RULES.answer_slack_ms or call in self.established, "1: overdue"
+        for call, advance_to in self.unanswered.items():
+            assert self.g.now <= advance_to + RULES.answer_slack_ms or call in self.established, "1: overdue"
 
     def finish_attempt(self, call: str, outcome: Outcome) -> None:
         server = self.out.pop(call, None) or self.established.pop(call)
@@ -92,9 +92,9 @@
     def wait(self, ms: float) -> None:
         target = self.g.now + ms
         while self.g.timers and min(self.g.timers)[0] <= target:
-            self.g.until(max(self.g.now, min(self.g.timers)[0]))
+            self.g.advance_to(max(self.g.now, min(self.g.timers)[0]))
             self.check()
-        self.g.until(target)
+        self.g.advance_to(target)
 
     def answer(self, call: str, what: str | Outcome) -> None:
         if what == "established":
@@ -156,7 +156,7 @@
     g.servers(api.Server("a", 0, api.ServerState.READY))
     for _ in range(calls):
         call, actions = g.call(expires_ms=g.now + 2000)
-        g.until(g.now + 1000 / capacity)
+        g.advance_to(g.now + 1000 / capacity)
         if sent_to(actions):
             g.answer(call, "a", 1000 / capacity)
     return g
@@ -196,12 +196,12 @@
             due = min([target, *(at for at, _ in waiting), *(at for at, _ in g.timers)])
             if due >= target:
                 break
-            g.until(due)
+            g.advance_to(due)
             for at, call in [w for w in waiting if w[0] <= due]:
                 waiting.remove((at, call))
                 if call in g.controller._calls and silence:
                     g.answer(call, "a", 50)
-        g.until(target)
+        g.advance_to(target)
     span = RULES.overload_span_ms
     for index, at in enumerate(sends):
         count = sum(at - span < s <= at for s in sends[: index + 1])
--- a/tests/test_warm_start.py
+++ b/tests/test_warm_start.py
@@ -121,7 +121,7 @@
         peer.alive["b"] = 40  # b goes on responding; a never does
         for _ in range(6):
             peer.call(first=0)
-            peer.until(peer.now + 300)
+            peer.advance_to(peer.now + 300)
         return peer_snapshot.decode(
             peer_snapshot.encode(
                 peer_snapshot.make_snapshot("n1", peer.controller.learned_servers(), peer.now)
@@ -146,7 +146,7 @@
         new.alive["b"] = 40
         for _ in range(20):
             new.call(first=0)
-            new.until(new.now + 100)
+            new.advance_to(new.now + 100)
         return sum(isinstance(a, api.SetUp) and a.server_id == "a" for _, a in new.done)
 
     def test_a_running_gateway_exports_what_it_saw(self):
@@ -167,7 +167,7 @@
         peer.alive["b"] = 40
         while peer.now < 30_000:
             peer.call(first=0)
-            peer.until(peer.now + 250)
+            peer.advance_to(peer.now + 250)
         [seen] = [
             s
             for s in peer_snapshot.make_snapshot("n1", peer.controller.learned_servers(), peer.now).servers
