--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -62,7 +62,7 @@
         self.done: list[tuple[float, api.Action]] = []
         self.calls = 0
         self.attempts: dict[str, int] = {}
-        self.alive: dict[str, float] = {}  # servers that answer by themselves, and after how long
+        self.answer_delays_ms: dict[str, float] = {}  # servers that answer by themselves, and after how long
         self.due: list[tuple[float, str, str]] = []
 
     def handle(self, event: api.Event) -> list[api.Action]:
@@ -74,8 +74,8 @@
             if isinstance(action, api.SetUp):
                 self.attempts[action.call_id] = self.attempts.get(action.call_id, -1) + 1
                 server = action.server_id
-                if server in self.alive:
-                    self.due.append((self.now + self.alive[server], action.call_id, server))
+                if server in self.answer_delays_ms:
+                    self.due.append((self.now + self.answer_delays_ms[server], action.call_id, server))
         return actions
 
     def advance_to(self, when: float) -> list[api.Action]:
@@ -89,7 +89,7 @@
                 out += self.handle(api.TimerFired(due[1]))
             else:
                 self.due.remove(due)
-                out += self.answer(due[1], due[2], self.alive.get(due[2], 40))
+                out += self.answer(due[1], due[2], self.answer_delays_ms.get(due[2], 40))
         self.now = when
         return out
 
@@ -114,11 +114,11 @@
 
     def steady(self, server: str, first: int, count: int, gap_ms: float = 250, waited_ms: float = 40) -> None:
         """Calls that a server answers as it should."""
-        self.alive[server] = waited_ms
+        self.answer_delays_ms[server] = waited_ms
         for _ in range(count):
             self.call(first=first)
             self.advance_to(self.now + gap_ms)
-        del self.alive[server]
+        del self.answer_delays_ms[server]
 
 
 def ready(name: str, pool: int, started_ms: float | None = None) -> api.Server:
--- a/tests/test_budget_limiter.py
+++ b/tests/test_budget_limiter.py
@@ -96,7 +96,7 @@
 
         g = Gateway(budgets=delay)
         g.servers(ready("a", 0))
-        g.alive["a"] = 40
+        g.answer_delays_ms["a"] = 40
         held_id, actions = g.call(tenant="acme")
         other_id, others = g.call(tenant="beta")
         assert not sent_to(actions) and sent_to(others) == ["a"]
--- a/tests/test_endpoint_cache.py
+++ b/tests/test_endpoint_cache.py
@@ -104,7 +104,7 @@
             gateway.servers(ready("s-a", 0))
             for hint in hints:
                 gateway.handle(hint)
-            gateway.alive["s-a"] = 40
+            gateway.answer_delays_ms["s-a"] = 40
             for _ in range(30):
                 gateway.call(first=0)
                 gateway.advance_to(gateway.now + 100)
--- a/tests/test_policy_silence.py
+++ b/tests/test_policy_silence.py
@@ -48,7 +48,7 @@
         g.servers(ready("a", 0), ready("b", 1))
         for name in ("a", "b"):
             g.handle(lines(name, 400))
-        g.alive = {"b": 40}
+        g.answer_delays_ms = {"b": 40}
         g.call(first=0)
         g.advance_to(g.now + 1500)
         assert g.controller._servers["a"].silence.silent
--- a/tests/test_policy_slow_start.py
+++ b/tests/test_policy_slow_start.py
@@ -53,7 +53,7 @@
         if late:
             gateway.answer(call_id, "a")
         else:
-            gateway.alive = {"a": 40, "b": 40}
+            gateway.answer_delays_ms = {"a": 40, "b": 40}
             gateway.end(call_id, "a", Outcome.CANCELLED)
             for _ in range(10):
                 gateway.advance_to(gateway.now + 300)
--- a/tests/test_rendezvous_subset.py
+++ b/tests/test_rendezvous_subset.py
@@ -188,7 +188,7 @@
             )
             gateway.servers(api.Server("a", 0, api.ServerState.READY, 0.0, senders))
             gateway.handle(api.CircuitsReported("a", 60.0, 60.0))
-            gateway.alive["a"] = 40
+            gateway.answer_delays_ms["a"] = 40
             for _ in range(100):
                 gateway.call()
                 gateway.advance_to(gateway.now + 20)
@@ -204,7 +204,7 @@
         for seed in range(300):
             gateway = Gateway(settings(instances=300), seed)
             gateway.servers(api.Server("a", 0, api.ServerState.READY, None, None, initial_rate_per_s))
-            gateway.alive["a"] = 40
+            gateway.answer_delays_ms["a"] = 40
             for _ in range(3):
                 gateway.call(expires_ms=9000, class_name=class_name)
             gateway.advance_to(8000)
--- a/tests/test_warm_start.py
+++ b/tests/test_warm_start.py
@@ -118,7 +118,7 @@
         peer.now = slowdown_at_ms
         peer.servers(ready("a", 0), ready("b", 1))
         peer.steady("b", first=1, count=10)
-        peer.alive["b"] = 40  # b goes on responding; a never does
+        peer.answer_delays_ms["b"] = 40  # b goes on responding; a never does
         for _ in range(6):
             peer.call(first=0)
             peer.advance_to(peer.now + 300)
@@ -143,7 +143,7 @@
             start_hints.derive_start_hints(seen, now_ms, listed, fresh_rate_per_s=None)
         ):
             new.handle(event)
-        new.alive["b"] = 40
+        new.answer_delays_ms["b"] = 40
         for _ in range(20):
             new.call(first=0)
             new.advance_to(new.now + 100)
@@ -164,7 +164,7 @@
 
         peer = Gateway()
         peer.servers(ready("a", 0), ready("b", 1))
-        peer.alive["b"] = 40
+        peer.answer_delays_ms["b"] = 40
         while peer.now < 30_000:
             peer.call(first=0)
             peer.advance_to(peer.now + 250)
