--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -59,7 +59,7 @@
         self.controller = Controller(settings, seed, budgets)
         self.now = 0.0
         self.timers: list[tuple[float, str]] = []
-        self.done: list[tuple[float, api.Action]] = []
+        self.action_log: list[tuple[float, api.Action]] = []
         self.calls = 0
         self.attempts: dict[str, int] = {}
         self.answer_delays_ms: dict[str, float] = {}  # servers that answer by themselves, and after how long
@@ -68,7 +68,7 @@
     def handle(self, event: api.Event) -> list[api.Action]:
         actions = self.controller.handle(self.now, event)
         for action in actions:
-            self.done.append((self.now, action))
+            self.action_log.append((self.now, action))
             if isinstance(action, api.SetTimer):
                 self.timers.append((self.now + action.after_ms, action.token))
             if isinstance(action, api.SetUp):
--- a/tests/test_policy_calls.py
+++ b/tests/test_policy_calls.py
@@ -164,7 +164,7 @@
             for _ in range(50):
                 g.call(first=0)
                 g.advance_to(g.now + 30)
-            return g.done
+            return g.action_log
 
         assert run(3) == run(3)
         assert run(3) != run(4)
@@ -178,7 +178,7 @@
         started_at_ms = gateway.now
         gateway.call(first=0, expires_ms=started_at_ms + wait_ms)
         gateway.advance_to(started_at_ms + wait_ms)
-        assert [at - started_at_ms for at, action in gateway.done if isinstance(action, api.Fail)] == [
+        assert [at - started_at_ms for at, action in gateway.action_log if isinstance(action, api.Fail)] == [
             fails_ms
         ]
 
@@ -189,18 +189,18 @@
     def test_an_idle_gateway_sets_no_timer(self, gateway):
         gateway.steady("a", 0, 3)
         gateway.advance_to(gateway.now + 2000)
-        before = sum(isinstance(a, api.SetTimer) for _, a in gateway.done)
+        before = sum(isinstance(a, api.SetTimer) for _, a in gateway.action_log)
         gateway.advance_to(gateway.now + 60_000)
         gateway.handle(lines("a", 100))
         assert not gateway.timers
-        assert sum(isinstance(a, api.SetTimer) for _, a in gateway.done) == before
+        assert sum(isinstance(a, api.SetTimer) for _, a in gateway.action_log) == before
 
     def test_queued_calls_wait_for_the_next_capacity_not_for_the_clock(self):
         g = Gateway()
         for _ in range(50):
             g.call(expires_ms=10_000)
         g.advance_to(9000)
-        assert sum(isinstance(a, api.SetTimer) for _, a in g.done) <= 12
+        assert sum(isinstance(a, api.SetTimer) for _, a in g.action_log) <= 12
 
     def test_the_memory_of_redials_is_in_the_order_of_the_notes(self):
         """A redial is noted anew with its old first try; what was noted first still goes first."""
@@ -246,4 +246,4 @@
         gateway.now += 3_600_000
         gateway.call(first=1)
         gateway.advance_to(gateway.now + 100)
-        assert [a.call_id for _, a in gateway.done if isinstance(a, api.Fail)] == [call_id]
+        assert [a.call_id for _, a in gateway.action_log if isinstance(a, api.Fail)] == [call_id]
--- a/tests/test_policy_large_fleet.py
+++ b/tests/test_policy_large_fleet.py
@@ -29,13 +29,13 @@
     for step in range(int(seconds * 20)):
         now = start + step * 50
         for index, g in enumerate(gateways):
-            mark = len(g.done)
+            mark = len(g.action_log)
             g.advance_to(now)
             credit[index] += calls_per_s / 20 * weights[index] / total
             while credit[index] >= 1:
                 credit[index] -= 1
                 g.call(expires_ms=now + 3000)
-            for when, action in g.done[mark:]:
+            for when, action in g.action_log[mark:]:
                 if isinstance(action, api.SetUp) and action.server_id == "a":
                     sent.append(when)
                     if does:
@@ -144,9 +144,9 @@
         g.servers(ready("a", 0))
         g.handle(lines("a", 800))
         g.steady("a", 0, 60, gap_ms=100)
-        g.done.clear()
+        g.action_log.clear()
         g.steady("a", 0, 20, gap_ms=100)
-        assert sum("a" in sent_to([a]) for _, a in g.done) >= 18
+        assert sum("a" in sent_to([a]) for _, a in g.action_log) >= 18
 
     @pytest.mark.parametrize("reported", [(-1, 5), (3, 0), (0, -4), (1, float("inf")), (1, float("nan"))])
     def test_absurd_circuits_are_no_measure(self, reported):
--- a/tests/test_policy_rate_control.py
+++ b/tests/test_policy_rate_control.py
@@ -115,7 +115,7 @@
         for _ in range(12):
             gateway.call(first=0)
             gateway.advance_to(gateway.now + 60)
-        to_a = sum("a" in sent_to([a]) for _, a in gateway.done)
+        to_a = sum("a" in sent_to([a]) for _, a in gateway.action_log)
         assert to_a <= leaky_bucket.MAX_FILL + 5
 
     @pytest.mark.parametrize(
--- a/tests/test_policy_retries.py
+++ b/tests/test_policy_retries.py
@@ -20,7 +20,7 @@
         g.call(number="77", id="redial")
         g.call(number="78", id="fresh")
         g.servers(ready("a", 0))
-        assert [a.call_id for _, a in g.done if isinstance(a, api.SetUp)][:1] == ["fresh"]
+        assert [a.call_id for _, a in g.action_log if isinstance(a, api.SetUp)][:1] == ["fresh"]
 
     @pytest.mark.parametrize("second", [{"number": "78"}, {"number": "77", "was_cut": True}, {}])
     def test_others_do_not(self, second):
--- a/tests/test_policy_rules.py
+++ b/tests/test_policy_rules.py
@@ -20,7 +20,7 @@
             call_id, _ = g.call(expires_ms=g.now + 1000)
             due = g.now + 1000
             g.advance_to(due + 500)
-            final = [(when, a) for when, a in g.done if isinstance(a, api.Refuse | api.Fail)]
+            final = [(when, a) for when, a in g.action_log if isinstance(a, api.Refuse | api.Fail)]
             assert [a.call_id for _, a in final] == [call_id]
             assert final[0][0] <= due
 
@@ -36,7 +36,7 @@
         gateway.end(call_id, "a", Outcome.CANCELLED)
         seen = gateway.advance_to(4000)
         assert sent_to(seen)[:1] or answers(seen)
-        assert [a.call_id for _, a in gateway.done if isinstance(a, api.Fail | api.Refuse)] == [call_id]
+        assert [a.call_id for _, a in gateway.action_log if isinstance(a, api.Fail | api.Refuse)] == [call_id]
 
     def test_2_one_attempt_at_a_time_and_no_more_than_allowed(self, gateway):
         call_id, _ = gateway.call()
--- a/tests/test_policy_silence.py
+++ b/tests/test_policy_silence.py
@@ -36,7 +36,7 @@
         for _ in range(60):
             g.call(first=0)
             g.advance_to(g.now + 200)
-        late = [a for when, a in g.done if when > 4000 and isinstance(a, api.SetUp)]
+        late = [a for when, a in g.action_log if when > 4000 and isinstance(a, api.SetUp)]
         assert late
 
 
@@ -55,11 +55,11 @@
         return g
 
     def tried(self, g: Gateway, class_name: str, seconds: int = 20) -> int:
-        mark = len(g.done)
+        mark = len(g.action_log)
         for _ in range(seconds * 2):
             g.call(class_name, first=1)
             g.advance_to(g.now + 500)
-        return sum("a" in sent_to([a]) for _, a in g.done[mark:])
+        return sum("a" in sent_to([a]) for _, a in g.action_log[mark:])
 
     def test_all_gateways_together_try_as_a_few_would(self):
         """Found on grown days: 200 gateways tried a jammed server more often than it could answer."""
@@ -114,7 +114,7 @@
     def test_an_overtaken_set_up_moves(self):
         g, lost = self.lossy()
         g.advance_to(g.now + 200)
-        assert api.Cancel(lost, 0) in [action for _, action in g.done]
+        assert api.Cancel(lost, 0) in [action for _, action in g.action_log]
 
     def test_one_or_two_unanswered_are_no_congestion(self):
         g, _ = self.lossy()
@@ -141,7 +141,7 @@
         g.advance_to(g.now + 1000)
         server = g.controller._servers["a"]
         assert not server.silence.silent and server.usual_delay_ms < 100 and server.rate.last_cut_ms < 0
-        assert not [a for _, a in g.done if isinstance(a, api.Cancel)]
+        assert not [a for _, a in g.action_log if isinstance(a, api.Cancel)]
 
     def test_the_first_event_of_a_batch_is_not_the_whole_batch(self):
         g, ids = self.stall(1800)
@@ -160,6 +160,6 @@
 
     def test_what_is_past_its_time_is_not_sent(self):
         g, _ = self.stall(1800)
-        g.done.clear()
+        g.action_log.clear()
         _, actions = g.call(first=1, expires_ms=g.now - 300)
         assert [type(a) for a in actions if not isinstance(a, api.SetTimer)] == [api.Fail]
--- a/tests/test_policy_slow_start.py
+++ b/tests/test_policy_slow_start.py
@@ -26,7 +26,7 @@
         for _ in range(80):
             g.call(first=0)
             g.advance_to(g.now + 50)
-        sent = sum("a" in sent_to([a]) for _, a in g.done)
+        sent = sum("a" in sent_to([a]) for _, a in g.action_log)
         assert 1 <= sent <= 4000 / 1000 / SETTINGS.instances + 1
 
     def test_4_a_cold_server_gets_more_as_it_answers(self):
@@ -35,14 +35,14 @@
         g.handle(api.CircuitsReported("a", 500, 500))
         g.steady("a", 0, 40, gap_ms=100)
         g.servers(ready("a", 0, started_ms=g.now), kind=api.ListKind.CHANGES)
-        g.done.clear()
+        g.action_log.clear()
         g.steady("a", 0, 40, gap_ms=100)
-        sent = sum("a" in sent_to([a]) for _, a in g.done)
+        sent = sum("a" in sent_to([a]) for _, a in g.action_log)
         assert 8 <= sent <= 30
         g.advance_to(g.now + RULES.warm_within_ms)
-        g.done.clear()
+        g.action_log.clear()
         g.steady("a", 0, 40, gap_ms=100)
-        assert sum("a" in sent_to([a]) for _, a in g.done) >= 38
+        assert sum("a" in sent_to([a]) for _, a in g.action_log) >= 38
 
     @pytest.mark.parametrize("late", [True, False])
     def test_4_back_from_silence_is_cold_unless_it_answers_what_came_before(self, gateway, late):
@@ -112,10 +112,10 @@
         for _ in range(30):
             g.call()
         g.advance_to(g.now + 1000)
-        mark = len(g.done)
+        mark = len(g.action_log)
         g.servers(ready("b", 0), kind=api.ListKind.CHANGES)
         g.advance_to(g.now + 50)
-        assert 1 <= len(sent_to([action for _, action in g.done[mark:]])) <= 4
+        assert 1 <= len(sent_to([action for _, action in g.action_log[mark:]])) <= 4
 
     def test_remembered_reports_are_bounded(self):
         g = Gateway(large(instances=3))
--- a/tests/test_rendezvous_subset.py
+++ b/tests/test_rendezvous_subset.py
@@ -192,7 +192,7 @@
             for _ in range(100):
                 gateway.call()
                 gateway.advance_to(gateway.now + 20)
-            return sum(isinstance(action, api.SetUp) for _, action in gateway.done)
+            return sum(isinstance(action, api.SetUp) for _, action in gateway.action_log)
 
         assert sent(3) > 1.5 * sent(None)
 
@@ -208,7 +208,7 @@
             for _ in range(3):
                 gateway.call(expires_ms=9000, class_name=class_name)
             gateway.advance_to(8000)
-            sent += [at for at, action in gateway.done if isinstance(action, api.SetUp)]
+            sent += [at for at, action in gateway.action_log if isinstance(action, api.SetUp)]
         first = sum(at < 1000 for at in sent)
         if initial_rate_per_s is None:
             assert first > 300, "what this guards against"
--- a/tests/test_rules_property.py
+++ b/tests/test_rules_property.py
@@ -64,7 +64,7 @@
         self.g.servers(*(api.Server(n, i, api.ServerState.READY) for i, n in enumerate(NAMES)))
 
     def check(self) -> None:
-        for when, action in self.g.done[self.seen :]:
+        for when, action in self.g.action_log[self.seen :]:
             match action:
                 case api.SetUp(call, server, timeout):
                     assert call in self.unanswered, "1: nothing is sent for a call that is over"
@@ -76,7 +76,7 @@
                 case api.Refuse(call) | api.Fail(call):
                     assert call in self.unanswered, "1: exactly one final answer"
                     assert when <= self.unanswered.pop(call) + RULES.answer_slack_ms, "1: in time"
-        self.seen = len(self.g.done)
+        self.seen = len(self.g.action_log)
         for call, advance_to in self.unanswered.items():
             assert self.g.now <= advance_to + RULES.answer_slack_ms or call in self.established, "1: overdue"
 
@@ -179,7 +179,7 @@
     g = warm_gateway(seed, warm_calls, capacity)
     born = g.now
     g.servers(api.Server("a", 0, api.ServerState.READY, born), kind=api.ListKind.CHANGES)
-    g.done.clear()
+    g.action_log.clear()
     sends: list[float] = []
     seen, free_at = 0, born
     waiting: list[tuple[float, str]] = []
@@ -187,12 +187,12 @@
         g.call(expires_ms=g.now + 3000)
         target = g.now + gap
         while True:
-            for when, action in g.done[seen:]:
+            for when, action in g.action_log[seen:]:
                 if isinstance(action, api.SetUp):
                     sends.append(when)
                     free_at = max(free_at, when) + 1000 / (capacity * cold_share(when - born))
                     waiting.append((free_at, action.call_id))
-            seen = len(g.done)
+            seen = len(g.action_log)
             due = min([target, *(at for at, _ in waiting), *(at for at, _ in g.timers)])
             if due >= target:
                 break
--- a/tests/test_warm_start.py
+++ b/tests/test_warm_start.py
@@ -147,7 +147,7 @@
         for _ in range(20):
             new.call(first=0)
             new.advance_to(new.now + 100)
-        return sum(isinstance(a, api.SetUp) and a.server_id == "a" for _, a in new.done)
+        return sum(isinstance(a, api.SetUp) and a.server_id == "a" for _, a in new.action_log)
 
     def test_a_running_gateway_exports_what_it_saw(self):
         seen = self.running(0.0)
