--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -112,7 +112,9 @@
     def full(self, call_id: str, server: str) -> list[api.Action]:
         return self.end(call_id, server, api.Outcome.FULL, processor_full=True)
 
-    def steady(self, server: str, first: int, count: int, gap_ms: float = 250, waited_ms: float = 40) -> None:
+    def serve_calls(
+        self, server: str, first: int, count: int, gap_ms: float = 250, waited_ms: float = 40
+    ) -> None:
         """Calls that a server answers as it should."""
         self.answer_delays_ms[server] = waited_ms
         for _ in range(count):
--- a/tests/test_policy_calls.py
+++ b/tests/test_policy_calls.py
@@ -187,7 +187,7 @@
     """What a gateway does when nothing is due: nothing."""
 
     def test_an_idle_gateway_sets_no_timer(self, gateway):
-        gateway.steady("a", 0, 3)
+        gateway.serve_calls("a", 0, 3)
         gateway.advance_to(gateway.now + 2000)
         before = sum(isinstance(a, api.SetTimer) for _, a in gateway.action_log)
         gateway.advance_to(gateway.now + 60_000)
--- a/tests/test_policy_large_fleet.py
+++ b/tests/test_policy_large_fleet.py
@@ -143,9 +143,9 @@
         g = Gateway(large())
         g.servers(ready("a", 0))
         g.handle(lines("a", 800))
-        g.steady("a", 0, 60, gap_ms=100)
+        g.serve_calls("a", 0, 60, gap_ms=100)
         g.action_log.clear()
-        g.steady("a", 0, 20, gap_ms=100)
+        g.serve_calls("a", 0, 20, gap_ms=100)
         assert sum("a" in sent_to([a]) for _, a in g.action_log) >= 18
 
     @pytest.mark.parametrize("reported", [(-1, 5), (3, 0), (0, -4), (1, float("inf")), (1, float("nan"))])
--- a/tests/test_policy_rate_control.py
+++ b/tests/test_policy_rate_control.py
@@ -58,7 +58,7 @@
     def full_after(self, count):
         g = Gateway()
         g.servers(ready("a", 0))
-        g.steady("a", 0, count, gap_ms=100)
+        g.serve_calls("a", 0, count, gap_ms=100)
         call_id, _ = g.call(first=0)
         g.advance_to(g.now + 50)
         g.full(call_id, "a")
@@ -74,7 +74,7 @@
         """A second with one answer, after steady ones: the cut goes by a longer span."""
         g = Gateway()
         g.servers(ready("a", 0))
-        g.steady("a", 0, 8, gap_ms=250)
+        g.serve_calls("a", 0, 8, gap_ms=250)
         g.advance_to(g.now + 950)
         call_id, _ = g.call(first=0)
         g.advance_to(g.now + 40)
@@ -124,11 +124,11 @@
     def test_it_takes_two_slow_answers_in_a_row(self, gateway, waits, cut):
         """Found on sockets: cut at each chance wait, a busy gateway held calls from servers at rest."""
         for waited_ms in waits:
-            gateway.steady("a", 0, 1, gap_ms=400, waited_ms=waited_ms)
+            gateway.serve_calls("a", 0, 1, gap_ms=400, waited_ms=waited_ms)
         assert (gateway.controller._servers["a"].rate.bucket.rate < leaky_bucket.NEVER) is cut
 
     def test_a_single_overdue_answer_is_no_congestion(self, gateway):
-        gateway.steady("a", 0, 4)
+        gateway.serve_calls("a", 0, 4)
         gateway.call(first=0)
         gateway.advance_to(gateway.now + 450)
         assert gateway.controller._servers["a"].rate.bucket.rate == leaky_bucket.NEVER
@@ -136,19 +136,19 @@
     @pytest.mark.parametrize(("full", "rate"), [(False, 4.5), (True, 3.0)])
     def test_prompt_answers_undo_a_cut_unless_a_full_confirmed_it(self, gateway, full, rate):
         server = gateway.controller._servers["a"]
-        gateway.steady("a", 0, 1)
+        gateway.serve_calls("a", 0, 1)
         server.rate.bucket.rate, server.rate.rate_before_cut = 3.0, leaky_bucket.NEVER
         server.rate.quiet_since_ms = leaky_bucket.NEVER
         if full:
             gateway.full(gateway.call(first=0)[0], "a")
             server.rate.bucket.rate, server.rate.quiet_since_ms = 3.0, leaky_bucket.NEVER
-        gateway.steady("a", 0, server_module.MIN_ANSWERS + 1, gap_ms=400)
+        gateway.serve_calls("a", 0, server_module.MIN_ANSWERS + 1, gap_ms=400)
         assert server.rate.bucket.rate == rate
 
     def test_what_is_lost_for_good_does_not_halt_the_bucket(self, gateway):
         """Found on sockets: a server spoke on, its set-ups hung on a dead connection, and none followed."""
         gateway.servers(ready("a", 0))
-        gateway.steady("a", 0, 4)
+        gateway.serve_calls("a", 0, 4)
         server = gateway.controller._servers["a"]
         server.rate.bucket.rate = 1.0
         for _ in range(3):
@@ -192,7 +192,7 @@
         """Found on sockets: with half the first resend at 62 ms, a server 60 ms away passed for congested."""
         g = Gateway(settings(resend_ms=125))
         g.servers(ready("a", 0))
-        g.steady("a", 0, 20, gap_ms=100, waited_ms=55)
+        g.serve_calls("a", 0, 20, gap_ms=100, waited_ms=55)
         call_id, _ = g.call(first=0)
         g.advance_to(g.now + 70)
         g.answer(call_id, "a", waited_ms=70)
@@ -218,7 +218,7 @@
         assert server.even_share_per_s() == pytest.approx(8.0 / settings_of.instances)
 
     def test_a_report_from_before_a_slowdown_does_not_leave_a_rate_open(self, gateway):
-        gateway.steady("a", 0, 8)
+        gateway.serve_calls("a", 0, 8)
         gateway.handle(api.ProbeAnswered("a", answered=True, report=report(50.0)))
         for _ in range(4):
             gateway.call(first=0)
--- a/tests/test_policy_silence.py
+++ b/tests/test_policy_silence.py
@@ -14,7 +14,7 @@
     """Nothing received from a server for too long."""
 
     def test_silence_is_noticed_and_the_server_tried_again(self, gateway):
-        gateway.steady("a", 0, 4)
+        gateway.serve_calls("a", 0, 4)
         lost = [gateway.call(first=0)[0] for _ in range(2)]
         start = gateway.now
         seen = gateway.advance_to(start + 900)
@@ -79,7 +79,7 @@
 def test_trials_do_not_cut_the_rate_of_a_silent_server():
     g = Gateway()
     g.servers(ready("a", 0))
-    g.steady("a", 0, 24, gap_ms=100)
+    g.serve_calls("a", 0, 24, gap_ms=100)
     g.call(expires_ms=g.now + 1000)
     g.advance_to(g.now + 900)
     rate = g.controller._servers["a"].rate.bucket.rate
@@ -105,10 +105,10 @@
     def lossy(self) -> tuple[Gateway, str]:
         g = Gateway()
         g.servers(ready("a", 0), ready("b", 1))
-        g.steady("a", 0, 8)
+        g.serve_calls("a", 0, 8)
         lost, _ = g.call(expires_ms=g.now + 8000)
         g.advance_to(g.now + 200)
-        g.steady("a", 0, 2)
+        g.serve_calls("a", 0, 2)
         return g, lost
 
     def test_an_overtaken_set_up_moves(self):
@@ -129,7 +129,7 @@
     def stall(self, ms: float) -> tuple[Gateway, list[str]]:
         g = Gateway()
         g.servers(ready("a", 0), ready("b", 1))
-        g.steady("a", 0, 4)
+        g.serve_calls("a", 0, 4)
         ids = [g.call(first=0)[0] for _ in range(2)]
         g.now += ms  # no timer rings meanwhile
         return g, ids
--- a/tests/test_policy_slow_start.py
+++ b/tests/test_policy_slow_start.py
@@ -33,15 +33,15 @@
         g = Gateway(settings(classes=(replace(LOW, hold_ms=8000.0),)))
         g.servers(ready("a", 0))
         g.handle(api.CircuitsReported("a", 500, 500))
-        g.steady("a", 0, 40, gap_ms=100)
+        g.serve_calls("a", 0, 40, gap_ms=100)
         g.servers(ready("a", 0, started_ms=g.now), kind=api.ListKind.CHANGES)
         g.action_log.clear()
-        g.steady("a", 0, 40, gap_ms=100)
+        g.serve_calls("a", 0, 40, gap_ms=100)
         sent = sum("a" in sent_to([a]) for _, a in g.action_log)
         assert 8 <= sent <= 30
         g.advance_to(g.now + RULES.warm_within_ms)
         g.action_log.clear()
-        g.steady("a", 0, 40, gap_ms=100)
+        g.serve_calls("a", 0, 40, gap_ms=100)
         assert sum("a" in sent_to([a]) for _, a in g.action_log) >= 38
 
     @pytest.mark.parametrize("late", [True, False])
--- a/tests/test_warm_start.py
+++ b/tests/test_warm_start.py
@@ -117,7 +117,7 @@
         peer = Gateway()
         peer.now = slowdown_at_ms
         peer.servers(ready("a", 0), ready("b", 1))
-        peer.steady("b", first=1, count=10)
+        peer.serve_calls("b", first=1, count=10)
         peer.answer_delays_ms["b"] = 40  # b goes on responding; a never does
         for _ in range(6):
             peer.call(first=0)
@@ -189,8 +189,8 @@
 
         peer = Gateway()
         peer.servers(ready("a", 0))
-        peer.steady("a", first=0, count=10)
-        peer.steady("a", first=0, count=late, gap_ms=1500, waited_ms=900)
+        peer.serve_calls("a", first=0, count=10)
+        peer.serve_calls("a", first=0, count=late, gap_ms=1500, waited_ms=900)
         [exported] = peer_snapshot.make_snapshot("n1", peer.controller.learned_servers(), peer.now).servers
         assert exported.slow is slow
 
@@ -210,6 +210,6 @@
 
         new = Gateway()
         new.servers(ready("a", 0))
-        new.steady("a", first=0, count=3)
+        new.serve_calls("a", first=0, count=3)
         new.handle(api.WarmStartHint("a", None, eject=True))
         assert sent_to(new.call(first=0)[1]) == ["a"]
