--- a/canvasplank/simulator_adapter.py
+++ b/canvasplank/simulator_adapter.py
@@ -147,7 +147,7 @@
             tenant=tenant or None,
             number=number,
             redialled=bool(flags & _REDIALLED),
-            was_cut=bool(flags & _WAS_CUT),
+            replaces_cut_call=bool(flags & _WAS_CUT),
         )
 
     def _settled(self, message: list[Any]) -> api.Event:
--- a/tests/test_policy_retries.py
+++ b/tests/test_policy_retries.py
@@ -22,7 +22,7 @@
         g.servers(ready("a", 0))
         assert [a.call_id for _, a in g.action_log if isinstance(a, api.SetUp)][:1] == ["fresh"]
 
-    @pytest.mark.parametrize("second", [{"number": "78"}, {"number": "77", "was_cut": True}, {}])
+    @pytest.mark.parametrize("second", [{"number": "78"}, {"number": "77", "replaces_cut_call": True}, {}])
     def test_others_do_not(self, second):
         g = Gateway()
         g.call(number="77", expires_ms=500)
