--- a/canvasplank/network/servers.py
+++ b/canvasplank/network/servers.py
@@ -233,7 +233,7 @@
         attempt = stream.open_set_ups.get(call_id)
         stream.write(sip.request("ACK", "call", call_id, max(1, message.sequence)))
         refused = message.status >= MULTIPLE_CHOICES
-        if refused and attempt is not None and message.is_of_other_set_up(attempt + 1):
+        if refused and attempt is not None and message.answers_other_invite(attempt + 1):
             return  # the refusal of an earlier attempt, sent again or late
         stream.open_set_ups.pop(call_id, None)
         stream.cancelled.pop(call_id, None)
