--- a/canvasplank/counters.py
+++ b/canvasplank/counters.py
@@ -22,7 +22,7 @@
         """Set a count that another component maintains."""
         self._counts[name] = value
 
-    def by_class(self, figure: str, class_name: str) -> None:
+    def count_for_class(self, figure: str, class_name: str) -> None:
         """Count a call's answer, or an attempt, for its class; ``figure`` is one of ``CLASS_FIGURES``."""
         self._by_class[figure, class_name] += 1
 
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -48,7 +48,7 @@
 def test_counters_by_class():
     counters = Counters()
     for figure, name in [("served", "voice"), ("served", "voice"), ("attempts", "voice"), ("failed", 'a"b')]:
-        counters.by_class(figure, name)
+        counters.count_for_class(figure, name)
     lines = counters.figures(2, 5, 1)
     assert 'edge_served{class="voice"} 2' in lines
     assert 'edge_refused{class="voice"} 0' in lines, "a class seen has all its figures"
