--- a/canvasplank/program.py
+++ b/canvasplank/program.py
@@ -16,7 +16,7 @@
 from canvasplank.admin import Admin
 from canvasplank.config.addresses import parse_address
 from canvasplank.config.configuration import Configuration, ConfigurationError, load_configuration
-from canvasplank.config.discovery_events import DiscoveryEvent, endpoints_after
+from canvasplank.config.discovery_events import DiscoveryEvent, apply_events
 from canvasplank.config.platform_settings import (
     read_connection_limits,
     read_load_report_reader,
@@ -110,7 +110,7 @@
         loop.add_signal_handler(signal.SIGHUP, self._reload)
         signals.unblock()
         self.scheduler.begin_iteration()
-        self.servers.listed(True, endpoints_after(self.configuration.known.events))
+        self.servers.listed(True, apply_events(self.configuration.known.events))
         for extension in self._extensions:
             await extension.start()
         self.discovery.start()
