--- a/canvasplank/endpoint_cache/extension.py
+++ b/canvasplank/endpoint_cache/extension.py
@@ -41,7 +41,7 @@
         self._writer.start()
         if not self._is_configured and (plan := self._plan()) is not None:
             self._context.counters.add("membership.starts_from_disk")
-            self._context.servers.listed(True, plan.endpoints)
+            self._context.servers.update_endpoints(True, plan.endpoints)
             self._context.exchange.apply_hints(plan.hints)
 
     def _plan(self) -> BootstrapPlan | None:
--- a/canvasplank/network/servers.py
+++ b/canvasplank/network/servers.py
@@ -57,7 +57,7 @@
         """Connect only to the servers that the filter selects; before the first list."""
         self._table.use_endpoint_filter(endpoint_filter)
 
-    def listed(self, complete: bool, instances: list[Endpoint]) -> None:
+    def update_endpoints(self, complete: bool, instances: list[Endpoint]) -> None:
         """Take an update of the endpoint list: all of it where ``complete``, else what has changed."""
         self._table.on_list_updated(complete, instances)
 
--- a/canvasplank/program.py
+++ b/canvasplank/program.py
@@ -110,7 +110,7 @@
         loop.add_signal_handler(signal.SIGHUP, self._reload)
         signals.unblock()
         self.scheduler.begin_iteration()
-        self.servers.listed(True, apply_events(self.configuration.known.events))
+        self.servers.update_endpoints(True, apply_events(self.configuration.known.events))
         for extension in self._extensions:
             await extension.start()
         self.discovery.start()
@@ -198,7 +198,7 @@
 
     def _on_discovery_event(self, event: DiscoveryEvent) -> None:
         if event.pool is not None:
-            self.servers.listed(event.pool.reset, event.pool.instances)
+            self.servers.update_endpoints(event.pool.reset, event.pool.instances)
         for extension in self._extensions:
             extension.on_discovery_event(event)
 
--- a/tests/test_ended_connections.py
+++ b/tests/test_ended_connections.py
@@ -446,7 +446,7 @@
         stream.write(b"x" * (MAX_UNSENT_BYTES // 2))
         if draining:
             address = f"127.0.0.1:{rig.listeners[SERVER].getsockname()[1]}"
-            rig.servers.listed(False, [Endpoint(SERVER, address, lifecycle="draining")])
+            rig.servers.update_endpoints(False, [Endpoint(SERVER, address, lifecycle="draining")])
         else:
             stream.write(b"x" * (MAX_UNSENT_BYTES + MAX_UNSENT_BYTES // 2))
         assert not stream.is_open
