--- a/canvasplank/cli.py
+++ b/canvasplank/cli.py
@@ -16,7 +16,7 @@
 from canvasplank.database.errors import StoreRefusedError, StoreUnavailableError
 from canvasplank.fleet.backend import Backend
 from canvasplank.fleet.config import Fleet, load_fleet
-from canvasplank.fleet.lease_transaction import leased
+from canvasplank.fleet.lease_transaction import leasable_total
 from canvasplank.fleet.state import FleetState
 from canvasplank.store.__main__ import cli as store_cli
 
@@ -167,7 +167,7 @@
     state = query_fleet(path, _read_state)
     for budget in sorted({name for member in state.members.values() for name in member.allocations}):
         members = [member for _, member in sorted(state.members.items()) if budget in member.allocations]
-        total = leased([member.allocations[budget] for member in members])
+        total = leasable_total([member.allocations[budget] for member in members])
         held = sum(member.allocations[budget].held for member in members)
         click.echo(f"{budget}\tleased {_units(held)} of {_units(total)}/s\tfree {_units(total - held)}/s")
         for member in members:
