--- a/canvasplank/cli.py
+++ b/canvasplank/cli.py
@@ -142,11 +142,11 @@
 def worker(path: str, work_path: str, name: str) -> None:
     """Run the fleet's tasks: close periods of the usage ledger, export them, delete old records."""
     from canvasplank.runtime import structured_logging
-    from canvasplank.worker.config import load_work
+    from canvasplank.worker.config import load_worker_settings
     from canvasplank.worker.task_runner import TaskRunner
 
     async def run() -> None:
-        await TaskRunner(load_fleet(path), load_work(work_path), name, secrets.randbits(32)).run()
+        await TaskRunner(load_fleet(path), load_worker_settings(work_path), name, secrets.randbits(32)).run()
 
     try:
         structured_logging.configure(os.environ.get("CANVASPLANK_LOG", "human"))
