--- a/canvasplank/admin.py
+++ b/canvasplank/admin.py
@@ -27,7 +27,7 @@
     def ready(self) -> bool:
         """Whether new callers are accepted now."""
 
-    def figures(self) -> list[str]:
+    def metric_lines(self) -> list[str]:
         """The figures in the exposition format, a line each."""
 
     def quiesce(self) -> None:
@@ -63,7 +63,7 @@
             case "health":
                 return f"{OK} ready\n" if self._operated.ready() else f"{BAD} not ready\n"
             case "counters":
-                lines = [f"{OK} counters", *self._operated.figures(), "EOF"]
+                lines = [f"{OK} counters", *self._operated.metric_lines(), "EOF"]
                 return "".join(f"{line}\n" for line in lines)
             case "quiesce":
                 LOG.info("told to quiesce: callers are sent away")
--- a/canvasplank/counters.py
+++ b/canvasplank/counters.py
@@ -26,7 +26,7 @@
         """Count a call's answer, or an attempt, for its class; ``figure`` is one of ``CLASS_FIGURES``."""
         self._by_class[figure, class_name] += 1
 
-    def figures(self, in_flight: int, servers_known: int, servers_excluded: int) -> list[str]:
+    def metric_lines(self, in_flight: int, servers_known: int, servers_excluded: int) -> list[str]:
         """The figures in the exposition format that the front reads, a line each.
 
         Every class seen has all four figures, so that a 0 reads as 0 and not as missing.
--- a/canvasplank/program.py
+++ b/canvasplank/program.py
@@ -174,10 +174,10 @@
         """See ``Operated``."""
         return self._listening and self._callers.takes_callers
 
-    def figures(self) -> list[str]:
+    def metric_lines(self) -> list[str]:
         """See ``Operated``; a call is in flight from its set-up until it is rejected or has ended."""
         in_flight = self.exchange.open_calls + self.exchange.established_calls
-        return self.counters.figures(in_flight, *self.servers.known_and_excluded())
+        return self.counters.metric_lines(in_flight, *self.servers.known_and_excluded())
 
     def quiesce(self) -> None:
         """See ``Operated``."""
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -17,7 +17,7 @@
     def ready(self) -> bool:
         return self.is_ready
 
-    def figures(self) -> list[str]:
+    def metric_lines(self) -> list[str]:
         return ["edge_in_flight 3"]
 
     def quiesce(self) -> None:
@@ -49,7 +49,7 @@
     counters = Counters()
     for figure, name in [("served", "voice"), ("served", "voice"), ("attempts", "voice"), ("failed", 'a"b')]:
         counters.count_for_class(figure, name)
-    lines = counters.figures(2, 5, 1)
+    lines = counters.metric_lines(2, 5, 1)
     assert 'edge_served{class="voice"} 2' in lines
     assert 'edge_refused{class="voice"} 0' in lines, "a class seen has all its figures"
     assert 'edge_failed{class="a\\"b"} 1' in lines
