--- a/tests/race_conditions.py
+++ b/tests/race_conditions.py
@@ -93,7 +93,7 @@
         self.scheduler.now_ms = self.now_ms
         self.callers._pool.close_idle_connections()
 
-    async def let_pass(self, span_ms: float) -> None:
+    async def advance_time(self, span_ms: float) -> None:
         """Let this time pass, and run the timers that are due then."""
         self.now_ms += span_ms
         timers_ran = asyncio.Event()
