--- a/tests/race_conditions.py
+++ b/tests/race_conditions.py
@@ -44,7 +44,7 @@
     )
 
 
-def read_to_the_end(peer: socket.socket) -> bytes:
+def read_until_eof(peer: socket.socket) -> bytes:
     """All that comes; a reset is an error."""
     received = b""
     while chunk := peer.recv(65536):
