--- a/canvasplank/cli.py
+++ b/canvasplank/cli.py
@@ -15,7 +15,7 @@
 from canvasplank.config.configuration import ConfigurationError
 from canvasplank.database.errors import StoreRefusedError, StoreUnavailableError
 from canvasplank.fleet.backend import Backend
-from canvasplank.fleet.config import Fleet, load_fleet
+from canvasplank.fleet.config import FleetSettings, load_fleet
 from canvasplank.fleet.lease_transaction import leasable_total
 from canvasplank.fleet.state import FleetState
 from canvasplank.store.__main__ import cli as store_cli
@@ -35,7 +35,7 @@
 )
 
 
-def query_fleet(path: str, query: Callable[[Fleet, Backend], Awaitable[Result]]) -> Result:
+def query_fleet(path: str, query: Callable[[FleetSettings, Backend], Awaitable[Result]]) -> Result:
     """The query's result from the fleet's store.
 
     Raises ``ClickException`` (one line, exit status 1) if the settings or the store cannot be used.
@@ -57,7 +57,7 @@
         raise click.ClickException(str(error) or "the store gave no answer in time") from None
 
 
-async def _read_state(_: Fleet, backend: Backend) -> FleetState:
+async def _read_state(_: FleetSettings, backend: Backend) -> FleetState:
     return await backend.read_state()
 
 
@@ -87,7 +87,7 @@
     Takes two and a half renewal intervals: only a renewal within that time shows that a member is alive.
     """
 
-    async def read_twice(settings: Fleet, backend: Backend) -> tuple[FleetState, FleetState]:
+    async def read_twice(settings: FleetSettings, backend: Backend) -> tuple[FleetState, FleetState]:
         before = await backend.read_state()
         await asyncio.sleep(QUIET_AFTER_RENEWALS * settings.renew_ms / MS_PER_S)
         return before, await backend.read_state()
@@ -109,7 +109,7 @@
 def remove_member(path: str, incarnation: int) -> None:
     """Remove a member's row that this version cannot read, of a process that certainly does not run."""
 
-    async def remove(_: Fleet, backend: Backend) -> bool:
+    async def remove(_: FleetSettings, backend: Backend) -> bool:
         return await backend.remove_member(incarnation)
 
     if not query_fleet(path, remove):
--- a/canvasplank/fleet/extension.py
+++ b/canvasplank/fleet/extension.py
@@ -4,7 +4,7 @@
 
 from canvasplank import interface as api
 from canvasplank.extensions.extension import Extension, ExtensionContext, ExtensionFactory
-from canvasplank.fleet.config import Fleet, load_fleet
+from canvasplank.fleet.config import FleetSettings, load_fleet
 from canvasplank.fleet.lease_renewer import LeaseRenewer
 
 
@@ -17,7 +17,7 @@
 class FleetExtension(Extension):
     """Renews this proxy's leases and provides the module's gate with the budgets' delays."""
 
-    def __init__(self, context: ExtensionContext, settings: Fleet) -> None:
+    def __init__(self, context: ExtensionContext, settings: FleetSettings) -> None:
         configuration = context.configuration
         self._renewer = LeaseRenewer(
             settings,
--- a/canvasplank/fleet/lease_renewer.py
+++ b/canvasplank/fleet/lease_renewer.py
@@ -16,7 +16,7 @@
 from canvasplank.database.location import close_within
 from canvasplank.fleet.backend import Backend
 from canvasplank.fleet.budget_limiter import BudgetKind, BudgetLimiter
-from canvasplank.fleet.config import Fleet
+from canvasplank.fleet.config import FleetSettings
 from canvasplank.fleet.failure_detector import FailureDetector
 from canvasplank.fleet.lease_holder import LeaseHolder
 from canvasplank.fleet.lease_messages import LeaseRequest, LeaseResponse
@@ -40,7 +40,7 @@
 
     def __init__(
         self,
-        fleet: Fleet,
+        fleet: FleetSettings,
         name: str,
         seed: int,
         counters: Counters,
--- a/experiments/experiment_run.py
+++ b/experiments/experiment_run.py
@@ -9,7 +9,7 @@
 import time
 from pathlib import Path
 
-from canvasplank.fleet.config import Fleet as BudgetSettings
+from canvasplank.fleet.config import FleetSettings as BudgetSettings
 from canvasplank.fleet.config import load_fleet
 from canvasplank.fleet.lease_renewer import steady_ms
 from emulators.callers import Callers
