--- a/canvasplank/cli.py
+++ b/canvasplank/cli.py
@@ -15,7 +15,7 @@
 from canvasplank.config.configuration import ConfigurationError
 from canvasplank.database.errors import StoreRefusedError, StoreUnavailableError
 from canvasplank.fleet.backend import Backend
-from canvasplank.fleet.config import FleetSettings, load_fleet
+from canvasplank.fleet.config import FleetSettings, load_fleet_settings
 from canvasplank.fleet.lease_transaction import leasable_total
 from canvasplank.fleet.state import FleetState
 from canvasplank.store.__main__ import cli as store_cli
@@ -42,7 +42,7 @@
     """
 
     async def run() -> Result:
-        fleet = load_fleet(path)
+        fleet = load_fleet_settings(path)
         backend = fleet.create_backend()
         async with asyncio.timeout(fleet.request_ms / MS_PER_S):
             await backend.open()
@@ -146,7 +146,9 @@
     from canvasplank.worker.task_runner import TaskRunner
 
     async def run() -> None:
-        await TaskRunner(load_fleet(path), load_worker_settings(work_path), name, secrets.randbits(32)).run()
+        await TaskRunner(
+            load_fleet_settings(path), load_worker_settings(work_path), name, secrets.randbits(32)
+        ).run()
 
     try:
         structured_logging.configure(os.environ.get("CANVASPLANK_LOG", "human"))
--- a/canvasplank/fleet/config.py
+++ b/canvasplank/fleet/config.py
@@ -76,7 +76,7 @@
         return Postgresql(self.dsn, self.request_ms / 1000)
 
 
-def load_fleet(path: str) -> FleetSettings:
+def load_fleet_settings(path: str) -> FleetSettings:
     """Read and check the file; raises ``ConfigurationError`` with one line where it cannot be used."""
     return load_extension_settings(path, "fleet", FleetSettings, _check)
 
--- a/canvasplank/fleet/extension.py
+++ b/canvasplank/fleet/extension.py
@@ -4,13 +4,13 @@
 
 from canvasplank import interface as api
 from canvasplank.extensions.extension import Extension, ExtensionContext, ExtensionFactory
-from canvasplank.fleet.config import FleetSettings, load_fleet
+from canvasplank.fleet.config import FleetSettings, load_fleet_settings
 from canvasplank.fleet.lease_renewer import LeaseRenewer
 
 
 def load(path: str) -> ExtensionFactory:
-    """Read the fleet's configuration file; see ``load_fleet``."""
-    settings = load_fleet(path)
+    """Read the fleet's configuration file; see ``load_fleet_settings``."""
+    settings = load_fleet_settings(path)
     return lambda context: FleetExtension(context, settings)
 
 
--- a/experiments/experiment_run.py
+++ b/experiments/experiment_run.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 
 from canvasplank.fleet.config import FleetSettings as BudgetSettings
-from canvasplank.fleet.config import load_fleet
+from canvasplank.fleet.config import load_fleet_settings
 from canvasplank.fleet.lease_renewer import steady_ms
 from emulators.callers import Callers
 from emulators.fleet import Fleet, fleet
@@ -106,7 +106,7 @@
             for each in self._callers.tries.values()
         ]
         if (self._variant.fleet or {}).get("trace"):
-            self._collect_budgets(load_fleet(str(next(self._fleet.folder.glob("fleet-*.toml")))))
+            self._collect_budgets(load_fleet_settings(str(next(self._fleet.folder.glob("fleet-*.toml")))))
         for proxy in self._processes.proxies.values():
             with contextlib.suppress(OSError):
                 observations.memory_mb.append(resident_mb(proxy.process.pid))
