--- a/canvasplank/fleet/lease_renewer.py
+++ b/canvasplank/fleet/lease_renewer.py
@@ -30,7 +30,7 @@
 MAX_WAIT_MS = 1000.0  # a set-up without any allowance tries again after this time
 
 
-def steady_ms() -> float:
+def boottime_ms() -> float:
     """Milliseconds on a clock that is never set and that goes on while the machine sleeps."""
     return time.clock_gettime(time.CLOCK_BOOTTIME) * MS
 
@@ -44,7 +44,7 @@
         name: str,
         seed: int,
         counters: Counters,
-        clock: Callable[[], float] = steady_ms,
+        clock: Callable[[], float] = boottime_ms,
         *,
         works: Iterable[str] = (),
         sees_discovery: Callable[[], bool] = lambda: False,
--- a/experiments/experiment_run.py
+++ b/experiments/experiment_run.py
@@ -11,7 +11,7 @@
 
 from canvasplank.fleet.config import FleetSettings as BudgetSettings
 from canvasplank.fleet.config import load_fleet_settings
-from canvasplank.fleet.lease_renewer import steady_ms
+from canvasplank.fleet.lease_renewer import boottime_ms
 from emulators.callers import Callers
 from emulators.fleet import Fleet, fleet
 from emulators.server import CallServer
@@ -114,7 +114,7 @@
 
     def _collect_budgets(self, settings: BudgetSettings) -> None:
         """Read the traces of the budgets from the logs of every process that ever ran."""
-        start_ms = steady_ms() - self._now_s() * MS
+        start_ms = boottime_ms() - self._now_s() * MS
         for each in settings.budget:
             traces = [read_trace(proxy.log, each.name) for proxy in self._fleet.proxies]
             leased_per_s = each.total_per_s * (1 - each.reserve_fraction)
