--- a/canvasplank/network/server_stream.py
+++ b/canvasplank/network/server_stream.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 from functools import partial
-from typing import NamedTuple, Protocol
+from typing import NamedTuple
 
 from canvasplank import interface as api
 from canvasplank.codecs import sip
@@ -16,7 +16,6 @@
 from canvasplank.codecs.q850 import ReleaseCause
 from canvasplank.codecs.sip_recovery import MessageFinder
 from canvasplank.exchange.call_records import CallRecord
-from canvasplank.exchange.exchange import Exchange
 from canvasplank.network.connection_attempt import ConnectionAttempt
 from canvasplank.network.ended_connection import EndedStream, duplicate, reset_if_delivered
 from canvasplank.network.reconnect_backoff import ReconnectBackoff
@@ -25,7 +24,8 @@
     PendingRelease,
     UnconfirmedReleases,
 )
-from canvasplank.network.stream import BufferBudget, Stream
+from canvasplank.network.server_stream_owner import ServerStreamOwner
+from canvasplank.network.stream import Stream
 
 SILENCE_TIMEOUT_MS = 2500.0  # a server that reports its circuits and is silent for so long may be cut off
 MAX_SILENCE_TIMEOUT_MS = 20_000.0  # the timeout of one that reports less often: it doubles up to this
@@ -41,29 +41,6 @@
     until_ms: float  # the deadline of its attempt
 
 
-class ServerStreamOwner(Protocol):
-    """What holds the connections and acts on their events: see ``ServerConnections``."""
-
-    exchange: Exchange
-    budget: BufferBudget
-    disconnecting: bool  # the program is shutting down: messages are not acted on any more
-    on_message: Callable[[ServerStream, sip.Message], None]  # raises ``BadMessageError``
-
-    def on_connected(self, stream: ServerStream) -> None:
-        """It is established."""
-
-    def on_disconnected(self, stream: ServerStream) -> None:
-        """It has ended."""
-
-    def read_on(self, ended: EndedStream) -> None:
-        """It was ended by us, and may carry more."""
-
-    def on_message_after_end(
-        self, stream: ServerStream, message: sip.Message, write: Callable[[bytes], None]
-    ) -> None:
-        """A release or a positive answer was found behind its end; ``write`` responds if that is possible."""
-
-
 @dataclass(slots=True)
 class Peer:
     """One server: its entry in the endpoint list, and the connections to it."""
@@ -170,7 +147,7 @@
 class ServerStream(Stream[sip.Message]):
     """One connection to a server, with the set-ups and calls that it carries."""
 
-    def __init__(self, owner: ServerStreamOwner, peer: Peer) -> None:
+    def __init__(self, owner: ServerStreamOwner[ServerStream], peer: Peer) -> None:
         label = f"server {peer.server_id} {peer.address}"
         self._sip_parser = sip.Parser()
         super().__init__(owner.exchange.scheduler, label, self._sip_parser, owner.budget)
--- a/tests/test_project_rules.py
+++ b/tests/test_project_rules.py
@@ -180,6 +180,7 @@
     "network.callers",
     "network.server_messages",
     "network.ended_connection",
+    "network.server_stream_owner",
     "network.server_stream",
     "network.server_connections",
     "network.peer_table",
@@ -247,6 +248,7 @@
         "server_connections",
         "server_messages",
         "server_stream",
+        "server_stream_owner",
         "servers",
     )
 }
