--- a/canvasplank/network/ended_connection.py
+++ b/canvasplank/network/ended_connection.py
@@ -61,7 +61,7 @@
         self._on_message = stream.on_message
         self._on_stream_closed = stream.on_closed
         self._on_closed = on_closed
-        self._finder = MessageFinder()
+        self._message_finder = MessageFinder()
         self._read_bytes = 0
         # By the clock, as below: an iteration may have begun long ago, and our pause is not the server's.
         self._started_ms = self._last_read_ms = scheduler.read_clock()
@@ -71,7 +71,7 @@
         asyncio.get_running_loop().add_reader(self._connection, self._read)
         if not stream.defer_half_close:
             self._close_writing()
-        for message in self._finder.feed(stream.unread):
+        for message in self._message_finder.feed(stream.unread):
             if message.method == "BYE":  # an answer may be the very message that could not be read
                 self._on_message(message, self._write)
 
@@ -85,7 +85,7 @@
             count = 0
         self._last_read_ms = self._scheduler.read_clock()
         self._read_bytes += count
-        for message in self._finder.feed(memoryview(self._buffer)[:count]):
+        for message in self._message_finder.feed(memoryview(self._buffer)[:count]):
             self._found_message = True
             self._on_message(message, self._write)
         if not count or self._read_bytes > MAX_READ_BYTES:
@@ -138,15 +138,17 @@
 
     def add(self, stream: EndedStream) -> None:
         """Read on; past the limit the oldest is closed."""
-        connection = EndedConnection(self._scheduler, stream, lambda each: self._connections.pop(each, None))
+        connection = EndedConnection(
+            self._scheduler, stream, lambda connection: self._connections.pop(connection, None)
+        )
         self._connections[connection] = None
         while len(self._connections) > self._max_connections:
             next(iter(self._connections)).close()
 
     def close(self) -> None:
         """Close all."""
-        for each in list(self._connections):
-            each.close()
+        for connection in list(self._connections):
+            connection.close()
 
 
 def duplicate(connection: socket.socket) -> socket.socket | None:
--- a/canvasplank/network/peer_table.py
+++ b/canvasplank/network/peer_table.py
@@ -68,7 +68,7 @@
         missing = [p for p in self._peers.values() if complete and p.server_id not in entries]
         for entry in entries.values():
             self._add_or_update(entry)
-        self._exchange.endpoints_changed(kind, tuple(self._describe(entry) for entry in entries.values()))
+        self._exchange.endpoints_changed(kind, tuple(self._to_server(entry) for entry in entries.values()))
         for peer in missing:
             if self._endpoint_filter is not None and self._endpoint_filter.is_still_listed(peer.server_id):
                 self._deselect(peer)
@@ -77,7 +77,7 @@
         for entry in entries.values():
             self._apply_state(entry)
 
-    def _describe(self, entry: Endpoint) -> api.Server:
+    def _to_server(self, entry: Endpoint) -> api.Server:
         """The entry as the decision module is given it."""
         server = to_server(entry)
         return server if self._endpoint_filter is None else self._endpoint_filter.annotate(server)
--- a/canvasplank/network/server_connections.py
+++ b/canvasplank/network/server_connections.py
@@ -57,7 +57,7 @@
         """Take a new limit of the program's sockets."""
         self._ended.limit(sockets)
 
-    def read_on(self, ended: EndedStream) -> None:
+    def keep_reading(self, ended: EndedStream) -> None:
         """See ``ServerStreamOwner``."""
         self._ended.add(ended)
 
@@ -71,7 +71,7 @@
         self.disconnecting = True
         self._ended.close()
         for peer in self.peers.values():
-            peer.release_cancelled()
+            peer.release_recently_cancelled()
         for stream in [s for peer in self.peers.values() for s in peer.streams]:
             stream.close_writing()
 
@@ -161,7 +161,7 @@
         peer.streams.remove(stream)
         if peer.current is stream:
             peer.current = None
-        peer.release_lost(stream)
+        peer.release_cancelled_after_disconnect(stream)
         peer.resend_unconfirmed(stream)
         for call_id, attempt in stream.take_open_set_ups():
             self._on_set_up_reset(stream, call_id, attempt)
@@ -179,18 +179,18 @@
         def report_reset() -> None:
             self._end_attempt(peer, call_id, attempt, api.Outcome.RESET)
 
-        def end_when_given_up() -> None:
-            stream.call_when_given_up(lambda: peer.end_attempt(call_id))
+        def report_when_abandoned() -> None:
+            stream.call_when_set_ups_abandoned(lambda: peer.report_attempt_end(call_id))
 
         if not stream.ended_unreadably:
             report_reset()
             return
-        peer.ending.setdefault(call_id, report_reset)  # or it was cancelled just before
+        peer.pending_end_reports.setdefault(call_id, report_reset)  # or it was cancelled just before
         if self.is_listed(peer):
-            peer.send_release(call_id, ReleaseCause.NORMAL_UNSPECIFIED, end_when_given_up)
+            peer.send_release(call_id, ReleaseCause.NORMAL_UNSPECIFIED, report_when_abandoned)
         else:
             peer.send_release(call_id, ReleaseCause.NORMAL_UNSPECIFIED)
-            end_when_given_up()
+            report_when_abandoned()
 
     def _on_connection_failed(self, stream: ServerStream, reason: str) -> None:
         """It did not come up: the set-ups that waited for it were never sent."""
--- a/canvasplank/network/server_stream.py
+++ b/canvasplank/network/server_stream.py
@@ -29,7 +29,9 @@
 
 SILENCE_TIMEOUT_MS = 2500.0  # a server that reports its circuits and is silent for so long may be cut off
 MAX_SILENCE_TIMEOUT_MS = 20_000.0  # the timeout of one that reports less often: it doubles up to this
-UNTIMED_REPORTS = 2  # the first ones on a connection: the interval between them is no measure of the others
+IGNORED_INITIAL_REPORTS = (
+    2  # the first ones on a connection: the interval between them is no measure of the others
+)
 MAX_PENDING_RELEASES = 10_000  # for a server that cannot be reached
 
 
@@ -57,7 +59,7 @@
     streams: list[ServerStream] = field(default_factory=list)  # all that are established
     pending_releases: dict[str, PendingRelease] = field(default_factory=dict)  # for the next connection
     # What reports the end of an attempt, by call, once the server is known to have given its set-up up.
-    ending: dict[str, Callable[[], None]] = field(default_factory=dict)
+    pending_end_reports: dict[str, Callable[[], None]] = field(default_factory=dict)
     connect_after_ms: float = 0.0  # its first connection is made no sooner, unless a set-up needs it
 
     def send_release(self, call_id: str, cause: int, on_sent: Callable[[], None] | None = None) -> None:
@@ -71,11 +73,11 @@
         elif on_sent is not None:
             on_sent()
 
-    def end_attempt(self, call_id: str) -> None:
+    def report_attempt_end(self, call_id: str) -> None:
         """The server has given the set-up of this call up: report it, unless that was done."""
-        report_end = self.ending.pop(call_id, None)
-        if report_end is not None:
-            report_end()
+        report = self.pending_end_reports.pop(call_id, None)
+        if report is not None:
+            report()
 
     def stop_waiting_for_releases(self) -> None:
         """No connection comes up for now: nothing waits for the pending releases any more."""
@@ -91,7 +93,7 @@
         self.pending_releases.clear()
         return pending
 
-    def release_cancelled(self) -> None:
+    def release_recently_cancelled(self) -> None:
         """Release the attempts whose answer may cross their cancellation, with nobody to read it any more."""
         for stream in self.streams:
             since_ms = stream.last_received_ms - CONFIRMATION_WINDOW_MS
@@ -99,7 +101,7 @@
                 carrier = self.current if self.current is not None and self.current.is_open else stream
                 carrier.send_release(call_id, cause)
 
-    def settle(self, call_id: str) -> None:
+    def mark_settled(self, call_id: str) -> None:
         """The server has released this call, or confirmed its release: it has nothing more to send of it."""
         for stream in self.streams:
             stream.cancelled.pop(call_id, None)
@@ -115,7 +117,7 @@
                 unsettled[call_id] = stream.cancelled[call_id].cause
         return unsettled
 
-    def release_lost(self, stream: ServerStream) -> None:
+    def release_cancelled_after_disconnect(self, stream: ServerStream) -> None:
         """Release what was cancelled on a connection that has ended, if nothing was read there since."""
         for call_id, cause in stream.cancelled.take_sent_after(stream.last_received_ms):
             if self.current is not None and self.current.is_open:
@@ -140,7 +142,7 @@
             stream.established.discard(call_id)
 
 
-def _write_nowhere(data: bytes) -> None:
+def _discard_response(data: bytes) -> None:
     """Respond on a connection that has ended."""
 
 
@@ -168,10 +170,10 @@
         self._used_since_replaced = False  # whether anything was read since another became the current one
         self._unanswered_since_ms: float | None = None  # the first set-up sent since anything was last read
         self._bad_body = b""  # of a message that stopped short: what came after it is in there
-        self._is_read_on = False  # whether it is read on after its end: see ``ended_connection``
+        self._keeps_reading = False  # whether it is read on after its end: see ``ended_connection``
         self._awaits_servers_end = False  # while it is read on
-        self._when_given_up: list[Callable[[], None]] = []  # see ``call_when_given_up``
-        self._finder = MessageFinder()  # for what follows a bad message, where it is not
+        self._when_set_ups_abandoned: list[Callable[[], None]] = []  # see ``call_when_set_ups_abandoned``
+        self._message_finder = MessageFinder()  # for what follows a bad message, where it is not
         self.set_ups_at_end: frozenset[str] = frozenset()  # calls whose set-ups were open then
 
     def connect(self, timeout_ms: float, on_failed: Callable[[str], None]) -> None:
@@ -209,35 +211,35 @@
 
     def on_unread(self, data: memoryview | bytes) -> None:
         """See ``Stream``."""
-        for message in self._finder.feed(data):
+        for message in self._message_finder.feed(data):
             if message.method == "BYE" and not self._owner.disconnecting:
-                self._owner.on_message_after_end(self, message, _write_nowhere)
+                self._owner.on_message_after_end(self, message, _discard_response)
 
     def on_disconnected(self, error: Exception | None) -> None:
         """See ``Stream``."""
-        if not self._is_read_on:  # its server has ended it, perhaps within a message
+        if not self._keeps_reading:  # its server has ended it, perhaps within a message
             self.on_unread(self._sip_parser.unread)
         self._owner.on_disconnected(self)
 
     def abort_unreadable(self, reason: str) -> None:
         """See ``Stream``."""
         abort = partial(super().abort_unreadable, reason)
-        self._abort_and_read_on(abort, defer_half_close=self.is_open and not self.unsent)
+        self._abort_and_keep_reading(abort, defer_half_close=self.is_open and not self.unsent)
 
     def abort_unsent(self) -> None:
         """See ``Stream``."""
-        self._abort_and_read_on(super().abort_unsent)
+        self._abort_and_keep_reading(super().abort_unsent)
 
     def abort_unread_set_ups(self) -> None:
         """End it at once, since its server has not read the set-ups that were sent to it."""
-        self._abort_and_read_on(self.abort)
+        self._abort_and_keep_reading(self.abort)
 
-    def _abort_and_read_on(self, abort: Callable[[], None], *, defer_half_close: bool = False) -> None:
+    def _abort_and_keep_reading(self, abort: Callable[[], None], *, defer_half_close: bool = False) -> None:
         unread = self._bad_body + self._sip_parser.unread
-        ended = self._prepare_to_read_on(unread, defer_half_close=defer_half_close)
+        ended = self._prepare_to_keep_reading(unread, defer_half_close=defer_half_close)
         abort()
         if ended is not None:
-            self._owner.read_on(ended)
+            self._owner.keep_reading(ended)
         elif self.unreadable:  # or what is unread is searched once it is disconnected
             self.on_unread(unread)
 
@@ -247,7 +249,7 @@
             reset_if_delivered(self.transport.get_extra_info("socket"))
         super().abort_lingering()
 
-    def _prepare_to_read_on(self, unread: bytes, *, defer_half_close: bool) -> EndedStream | None:
+    def _prepare_to_keep_reading(self, unread: bytes, *, defer_half_close: bool) -> EndedStream | None:
         """What is needed to read on after an end of ours that is about to come; None: it has ended already.
 
         ``defer_half_close``: it is not closed for writing at once, so that its server writes on what it has
@@ -258,7 +260,7 @@
         connection = duplicate(self.transport.get_extra_info("socket"))
         if connection is None:
             return None
-        self._is_read_on = self._awaits_servers_end = True
+        self._keeps_reading = self._awaits_servers_end = True
         self.set_ups_at_end = frozenset(self.open_set_ups)
         if defer_half_close:
             for call_id, attempt in self.open_set_ups.items():
@@ -268,28 +270,28 @@
             unread,
             defer_half_close,
             lambda message, write: self._owner.on_message_after_end(self, message, write),
-            self._on_given_up,
+            self._on_set_ups_abandoned,
         )
 
-    def call_when_given_up(self, action: Callable[[], None]) -> None:
+    def call_when_set_ups_abandoned(self, action: Callable[[], None]) -> None:
         """Call it once its server has ended it, too, and so given up the set-ups that were open on it.
 
         It may read a cancellation late where it has sent what cannot be read, and need not answer it.  Called
         at once where the server ended the connection itself, and after a bounded time where it never does.
         """
         if self._awaits_servers_end:
-            self._when_given_up.append(action)
+            self._when_set_ups_abandoned.append(action)
         else:
             action()
 
-    def _on_given_up(self) -> None:
+    def _on_set_ups_abandoned(self) -> None:
         self._awaits_servers_end = False
-        actions, self._when_given_up = self._when_given_up, []
+        actions, self._when_set_ups_abandoned = self._when_set_ups_abandoned, []
         for action in actions:
             action()
 
     def _shut_down_socket(self) -> None:
-        if not self._is_read_on:
+        if not self._keeps_reading:
             super()._shut_down_socket()
 
     def send_set_up(self, waiting: WaitingSetUp) -> None:
@@ -348,7 +350,7 @@
         self.peer.reports_circuits = True
         self._report_count += 1
         frequent = self.scheduler.now_ms - self._reported_ms < SILENCE_TIMEOUT_MS
-        if self._report_count > UNTIMED_REPORTS and frequent:
+        if self._report_count > IGNORED_INITIAL_REPORTS and frequent:
             self.peer.silence_timeout_ms = SILENCE_TIMEOUT_MS
         self._reported_ms = self.scheduler.now_ms
 
--- a/canvasplank/network/server_stream_owner.py
+++ b/canvasplank/network/server_stream_owner.py
@@ -28,7 +28,7 @@
     def on_disconnected(self, stream: ServerStreamT) -> None:
         """It has ended."""
 
-    def read_on(self, ended: EndedStream) -> None:
+    def keep_reading(self, ended: EndedStream) -> None:
         """It was ended by us, and may carry more."""
 
     def on_message_after_end(
--- a/canvasplank/network/servers.py
+++ b/canvasplank/network/servers.py
@@ -135,8 +135,8 @@
         if peer.current is not None:
             peer.current.waiting.pop(call_id, None)
         stream = next((stream for stream in peer.streams if call_id in stream.open_set_ups), None)
-        if call_id in peer.ending or (stream is not None and stream.unreadable):
-            peer.ending[call_id] = on_sent
+        if call_id in peer.pending_end_reports or (stream is not None and stream.unreadable):
+            peer.pending_end_reports[call_id] = on_sent
         elif stream is not None:
             stream.send_cancel(call_id, stream.open_set_ups.pop(call_id), on_sent)
         else:
@@ -213,7 +213,7 @@
             # An id that is no call's must reach neither the callers nor the exchange's memory of ended calls.
             confirm()
             return
-        stream.peer.settle(message.call_id)
+        stream.peer.mark_settled(message.call_id)
         cause = ReleaseCause.NORMAL_CLEARING if message.cause is None else message.cause
         report = self._load_reports.report(parse_gauges(message))
         self.exchange.on_released_by_server(stream.peer.server_id, message.call_id, cause, report, confirm)
@@ -221,7 +221,7 @@
     def _on_response(self, stream: ServerStream, message: sip.Message) -> None:
         if message.method == "BYE":
             stream.unconfirmed.pop(message.call_id, None)
-            stream.peer.settle(message.call_id)
+            stream.peer.mark_settled(message.call_id)
         if message.method == "OPTIONS":
             report = self._load_reports.report(parse_gauges(message))
             self._on_probe_ended(message.call_id, message.status == OK, report)
