--- a/canvasplank/network/connection_attempt.py
+++ b/canvasplank/network/connection_attempt.py
@@ -1,4 +1,4 @@
-"""An attempt to connect, with its deadline in the scheduler's timer queue."""
+"""Connection attempts with a deadline in the scheduler's timer queue."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 
 
 class ConnectionAttempt:
-    """One attempt to connect a stream; exactly one of ``stream.on_connected`` and ``on_failed`` follows."""
+    """Connects a stream; ends with exactly one of ``stream.on_connected`` and ``on_failed``."""
 
     def __init__(
         self, stream: Stream[object], address: str, timeout_ms: float, on_failed: Callable[[str], None]
     ) -> None:
-        """Start to connect; ``on_failed`` is given the reason, for the log."""
+        """Start to connect; ``on_failed`` receives the reason of a failure, for the log."""
         self._stream = stream
         self._address = address
         self._timeout_ms = timeout_ms
@@ -26,17 +26,17 @@
         self._task: asyncio.Task[None] | None = asyncio.get_running_loop().create_task(self._run())
 
     def cancel(self) -> None:
-        """Give it up; neither of the two follows."""
+        """Cancel the attempt; neither callback is called."""
         self._scheduler.timers.cancel(self._timer)
         if self._task is not None:
             self._task.cancel()
             self._task = None
 
     def _on_timeout(self) -> None:
-        self._fail(f"not up within {self._timeout_ms:.0f} ms")
+        self._fail(f"not established within {self._timeout_ms:.0f} ms")
 
     def _fail(self, reason: str) -> None:
-        # A connection that came up at the last moment, before this task was resumed, has not failed.
+        # The connection may have been established just before this task resumed: that is no failure.
         if self._task is not None and self._stream.transport is None:
             self.cancel()
             self._on_failed(reason)
@@ -55,13 +55,13 @@
         loop = asyncio.get_running_loop()
         host, port = parse_address(self._address)
         family = socket.AF_INET6 if ":" in host else socket.AF_INET
-        # With its protocol named: asyncio turns Nagle's algorithm off for no other.
+        # asyncio disables Nagle's algorithm only if the protocol is given explicitly.
         new_socket = socket.socket(family, socket.SOCK_STREAM, socket.IPPROTO_TCP)
         try:
             new_socket.setblocking(False)
             await loop.sock_connect(new_socket, (host, port))
             await loop.create_connection(lambda: self._stream, sock=new_socket)
-        except ConnectionResetError:  # it came up, was written to and was reset before this task was resumed
+        except ConnectionResetError:  # established, written to and reset before this task resumed
             read_remaining(self._stream, new_socket)
             raise
         finally:
--- a/canvasplank/network/ended_connection.py
+++ b/canvasplank/network/ended_connection.py
@@ -1,7 +1,7 @@
-"""Connections to call servers that the proxy has ended, read on for releases of the calls on them.
+"""Reads connections to call servers after the proxy has ended them, for releases of their calls.
 
-A server writes the release of a call once, on the connection of the call's set-up, for as long as it takes
-that for open.  It may be behind a message that cannot be read, or written before the server notices our end.
+A server writes the release of a call once, on the connection of the call's set-up if it considers that open.
+The release may follow an unreadable message, or be written before the server notices our end.
 """
 
 from __future__ import annotations
@@ -21,41 +21,41 @@
 from canvasplank.network.stream import LINGER_MS
 from canvasplank.runtime.scheduler import Scheduler
 
-QUIET_MS = 100.0  # a server that writes nothing for so long has written what it had queued
-MAX_OPEN_MS = 400.0  # until it is closed for writing, where the server has got past what cannot be read
-# While it still writes that: it may drop what it has queued behind it once it sees our end.
+QUIET_MS = 100.0  # a server that writes nothing for so long has no more messages queued
+MAX_OPEN_MS = 400.0  # until a connection is closed for writing if a message was found behind the bad one
+# The same if none was found yet: a server that sees our end may drop messages queued behind unreadable data.
 MAX_UNREADABLE_MS = 2000.0
 CHECK_INTERVAL_MS = 20.0
-MAX_READ_BYTES = 4 * 1024 * 1024  # of one connection
+MAX_READ_BYTES = 4 * 1024 * 1024  # per connection
 READ_BYTES = 64 * 1024
-SOCKETS_FRACTION = 1 / 16  # of the configured sockets: how many may be read on at once
-DEFAULT_MAX_CONNECTIONS = 16  # until the number of sockets is given
-RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # the value of SO_LINGER: on, for no time
+SOCKETS_FRACTION = 1 / 16  # share of the configured sockets that may be read after their end
+DEFAULT_MAX_CONNECTIONS = 16  # until the limit on sockets is known
+RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # value of SO_LINGER: enabled, zero timeout
 
 
 class EndedStream(NamedTuple):
-    """A connection at its end: its socket, and what it leaves."""
+    """An ended connection that is to be read: its socket, unread data and callbacks."""
 
     connection: socket.socket
-    unread: bytes  # what was received and not understood
-    defer_half_close: bool  # whether it is first read on without being closed for writing
-    # Given each message that is found, and what writes a response as long as that is possible.
+    unread: bytes  # received data that could not be parsed
+    defer_half_close: bool  # whether the connection stays open for writing at first
+    # Receives each message found, and a function that writes a response while that is possible.
     on_message: Callable[[sip.Message, Callable[[bytes], None]], None]
-    on_closed: Callable[[], None]  # once its server has ended it too, or it is read on no longer
+    on_closed: Callable[[], None]  # called once the server has ended it too, or reading has stopped
 
 
 class EndedConnection:
     """Reads an ended connection until its server has ended it too, or for a bounded time.
 
-    All that is found behind its end are releases and positive answers: see ``MessageFinder``.
+    Only releases and positive answers are found: see ``MessageFinder``.
     """
 
-    _buffer = bytearray(READ_BYTES)  # shared, since nothing stays in it between two reads
+    _buffer = bytearray(READ_BYTES)  # shared, since it is empty between reads
 
     def __init__(
         self, scheduler: Scheduler, stream: EndedStream, on_closed: Callable[[EndedConnection], None]
     ) -> None:
-        """``on_closed`` is called once, when it has ended."""
+        """``on_closed`` is called once, when the connection is closed."""
         self._scheduler = scheduler
         self._connection = stream.connection
         self._on_message = stream.on_message
@@ -63,7 +63,7 @@
         self._on_closed = on_closed
         self._message_finder = MessageFinder()
         self._read_bytes = 0
-        # By the clock, as below: an iteration may have begun long ago, and our pause is not the server's.
+        # The iteration may have begun long ago, and our pause must not count as the server's: read the clock.
         self._started_ms = self._last_read_ms = scheduler.read_clock()
         self._found_message = False
         self._writing_closed_ms: float | None = None
@@ -72,7 +72,7 @@
         if not stream.defer_half_close:
             self._close_writing()
         for message in self._message_finder.feed(stream.unread):
-            if message.method == "BYE":  # an answer may be the very message that could not be read
+            if message.method == "BYE":  # not answers: one may itself be the unreadable message
                 self._on_message(message, self._write)
 
     def _read(self) -> None:
@@ -105,18 +105,18 @@
         self._timer = self._scheduler.call_later(CHECK_INTERVAL_MS, self._check)
 
     def _write(self, data: bytes) -> None:
-        """Respond; what does not fit into the kernel's buffer is not sent."""
+        """Send a response, except for bytes that do not fit into the kernel's buffer."""
         if self._writing_closed_ms is None:
             with contextlib.suppress(OSError):
                 self._connection.send(data)
 
     def _close_writing(self) -> None:
         self._writing_closed_ms = self._scheduler.now_ms
-        with contextlib.suppress(OSError):  # the server has ended it already, which is read next
+        with contextlib.suppress(OSError):  # the server has ended it already: the next read shows that
             self._connection.shutdown(socket.SHUT_WR)
 
     def close(self) -> None:
-        """Close it, whatever may still come."""
+        """Close the connection without reading further data."""
         asyncio.get_running_loop().remove_reader(self._connection)
         self._scheduler.timers.cancel(self._timer)
         self._connection.close()
@@ -125,7 +125,7 @@
 
 
 class EndedConnections:
-    """Those that are read on, bounded in number."""
+    """The ended connections that are still read, limited in number."""
 
     def __init__(self, scheduler: Scheduler) -> None:
         self._scheduler = scheduler
@@ -133,26 +133,26 @@
         self._connections: dict[EndedConnection, None] = {}  # the oldest first
 
     def limit(self, sockets: int) -> None:
-        """Take a new limit of the program's sockets."""
+        """Apply a new limit on the program's sockets."""
         self._max_connections = max(1, int(SOCKETS_FRACTION * sockets))
 
     def add(self, stream: EndedStream) -> None:
-        """Read on; past the limit the oldest is closed."""
+        """Start to read an ended connection; above the limit, close the oldest ones."""
         connection = EndedConnection(
-            self._scheduler, stream, lambda connection: self._connections.pop(connection, None)
+            self._scheduler, stream, lambda closed: self._connections.pop(closed, None)
         )
         self._connections[connection] = None
         while len(self._connections) > self._max_connections:
             next(iter(self._connections)).close()
 
     def close(self) -> None:
-        """Close all."""
+        """Close all connections."""
         for connection in list(self._connections):
             connection.close()
 
 
 def duplicate(connection: socket.socket) -> socket.socket | None:
-    """The same connection under another descriptor; None: there is none left, or it is closed."""
+    """Duplicate the socket's descriptor; None if no descriptor is left or the socket is closed."""
     try:
         return socket.socket(fileno=os.dup(connection.fileno()))
     except OSError:
@@ -160,7 +160,7 @@
 
 
 def reset_if_delivered(connection: socket.socket) -> None:
-    """Have its close reset it, so that its server learns of it, unless bytes of ours would be lost."""
+    """Make closing reset the connection, to notify the server, unless unacknowledged bytes would be lost."""
     with contextlib.suppress(OSError):
         unacknowledged = fcntl.ioctl(connection, termios.TIOCOUTQ, bytes(4))
         if unacknowledged == bytes(4):
--- a/canvasplank/network/peer_table.py
+++ b/canvasplank/network/peer_table.py
@@ -1,6 +1,6 @@
-"""The call servers of the endpoint list: those that are added, drain, restart, move or go.
+"""Applies endpoint list updates to the table of call servers: new, draining, restarted, moved and gone ones.
 
-A server is known by the ``instanceId`` of service discovery; its address may be another's later.
+Servers are identified by the ``instanceId`` of service discovery, since addresses may be reused.
 """
 
 from __future__ import annotations
@@ -15,51 +15,51 @@
 from canvasplank.network.server_stream import SILENCE_TIMEOUT_MS, Peer, ServerStream
 
 MIN_RECONNECT_DELAY_MS, MAX_RECONNECT_DELAY_MS = 50.0, 800.0
-GONE_CHECK_INTERVAL_MS = 250.0  # between two checks of a server that is gone and still sends
+GONE_CHECK_INTERVAL_MS = 250.0  # between checks of a gone server that still sends
 
 
 class EndpointFilter(Protocol):
-    """Which servers one of many proxies connects to, and when: see ``cold_start``."""
+    """Selects the servers that one of many proxies connects to, and when: see ``cold_start``."""
 
     def select(self, complete: bool, instances: list[Endpoint]) -> list[Endpoint]:
-        """The complete list of this proxy's servers after this update of the endpoint list."""
+        """Return the complete list of this proxy's servers after an update of the endpoint list."""
 
     def annotate(self, server: api.Server) -> api.Server:
-        """An entry with what else the decision module is to know of it."""
+        """Return the entry with further data for the decision module."""
 
     def initial_delay_ms(self) -> float:
-        """The delay of the first connection to a server."""
+        """Return the delay before the first connection to a server, in milliseconds."""
 
     def is_still_listed(self, server_id: str) -> bool:
-        """Whether a server no longer selected is still in the endpoint list, with no call of ours there."""
+        """Whether a server that is no longer selected is still listed and holds no call of this proxy."""
 
 
 class PeerTable:
-    """Maintains the table of servers by the endpoint list, and notifies the exchange of what has changed."""
+    """Keeps the table of servers up to date with the endpoint list and notifies the exchange of changes."""
 
     def __init__(self, exchange: Exchange, connections: ServerConnections) -> None:
         self._exchange = exchange
         self._scheduler = exchange.scheduler
         self._connections = connections
         self._peers = connections.peers
-        self._endpoint_filter: EndpointFilter | None = None  # None: all servers, connected to at once
+        self._endpoint_filter: EndpointFilter | None = None  # None: connect to all servers at once
 
     def use_endpoint_filter(self, endpoint_filter: EndpointFilter) -> None:
-        """Connect only to the servers that the filter selects; before the first list."""
+        """Connect only to the servers that the filter selects; to be called before the first list."""
         self._endpoint_filter = endpoint_filter
 
     def known_and_excluded(self) -> tuple[int, int]:
-        """How many servers are listed, and how many of them are draining or cannot be reached now."""
+        """Return the number of listed servers, and of those of them that are draining or unreachable."""
         listed = [p for p in self._peers.values() if p.state is not api.ServerState.GONE]
         excluded = [p for p in listed if p.state is not api.ServerState.READY or p.backoff.failures > 0]
         return len(listed), len(excluded)
 
     def on_list_updated(self, complete: bool, instances: list[Endpoint]) -> None:
-        """Take an update of the endpoint list: all of it where ``complete``, else the entries that changed.
+        """Apply an endpoint list update; ``complete``: the list is whole, and not only the changed entries.
 
-        Servers that are ready are added before the decision module is notified, since it may send there at
-        once; a new server must not seem unreachable to it.  All else follows after, and so meets the module's
-        new view of the list.
+        Ready servers are added before the decision module is notified, since it may send there at once and a
+        new server must not seem unreachable.  Other changes follow the notification, so that the module
+        already knows the new list when it learns of their effects.
         """
         if self._endpoint_filter is not None:
             complete, instances = True, self._endpoint_filter.select(complete, instances)
@@ -78,12 +78,12 @@
             self._apply_state(entry)
 
     def _to_server(self, entry: Endpoint) -> api.Server:
-        """The entry as the decision module is given it."""
+        """Return the entry as passed to the decision module."""
         server = to_server(entry)
         return server if self._endpoint_filter is None else self._endpoint_filter.annotate(server)
 
     def _add_or_update(self, entry: Endpoint) -> None:
-        """What is needed before the decision module is notified: the server, its address and a connection."""
+        """Before the decision module is notified: add a server or update its address, and connect."""
         server = to_server(entry)
         if server.state is api.ServerState.GONE:
             return
@@ -92,11 +92,11 @@
             peer = self._add(server, entry.host_port)
         elif entry.host_port != peer.address:
             peer.address = entry.host_port
-            self._connections.replace_current(peer, "its address has changed")
+            self._connections.replace_current(peer, "the server's address has changed")
         elif server.started_ms != peer.started_ms and peer.current in self._connections_before(
             peer, server.started_ms
         ):
-            # What the module sends on this notification must not go out on the old process's connection.
+            # Set-ups sent on this notification must not use a connection to the old process.
             peer.current = None
         if server.state is api.ServerState.READY:
             peer.state = server.state
@@ -112,7 +112,7 @@
         return peer
 
     def _apply_state(self, entry: Endpoint) -> None:
-        """What follows once the decision module is notified: the server is gone, restarted, or draining."""
+        """After the decision module was notified: handle a server that is gone, restarted or draining."""
         server = to_server(entry)
         peer = self._peers.get(server.id)
         if peer is None:
@@ -129,24 +129,24 @@
         self._connections.connect(peer)
 
     def _connections_before(self, peer: Peer, started_ms: float | None) -> list[ServerStream]:
-        """Connections to a process before the one that started then, or now where that is not known."""
+        """Return connections made before a process start; before now if its time is unknown."""
         return [s for s in peer.streams if s.connected_ms < (started_ms or self._scheduler.now_ms)]
 
     def _on_restarted(self, peer: Peer) -> None:
-        """A new process under the same id: the old one's calls have ended, its connections are dead."""
+        """Handle a new process under the same id: the old calls have ended, the old connections are dead."""
         self._connections.abort(self._connections_before(peer, peer.started_ms))
         self._exchange.process_ended(peer.server_id, peer.started_ms or self._scheduler.now_ms)
 
     def _deselect(self, peer: Peer) -> None:
-        """It goes on without this proxy, which has nothing there: end its connections."""
+        """End the connections to a server that is no longer selected and holds no call of this proxy."""
         del self._peers[peer.server_id]
-        self._connections.fail_connecting(peer, "left to others")
+        self._connections.fail_connecting(peer, "no longer selected for this proxy")
         peer.stop_waiting_for_releases()
         for stream in list(peer.streams):
             stream.close_writing()
 
     def _on_gone(self, peer: Peer) -> None:
-        """It has stopped; while it still sends to us it can release its calls itself."""
+        """Remove a server that has stopped; while it still sends, it can release its calls itself."""
         peer.state = api.ServerState.GONE
         self._connections.withdraw_set_ups(peer)
         now_ms = self._scheduler.now_ms
@@ -154,7 +154,7 @@
             self._scheduler.call_later(GONE_CHECK_INTERVAL_MS, lambda: self._check_gone(peer))
             return
         self._peers.pop(peer.server_id, None)
-        self._connections.fail_connecting(peer, "gone")
+        self._connections.fail_connecting(peer, "the server is gone")
         self._connections.abort(list(peer.streams))
         peer.stop_waiting_for_releases()
         self._exchange.process_ended(peer.server_id, float("inf"))
--- a/canvasplank/network/predecessor.py
+++ b/canvasplank/network/predecessor.py
@@ -1,7 +1,7 @@
-"""The process that served this address before, such as the old version beside this one on an upgrade.
+"""Detects the end of the process that served this address before, such as the old version on an upgrade.
 
-It is watched as a caller would: by a connection that is opened before this process listens there itself, and
-that carries nothing but tests.  That connection ends together with those that it has to call servers.
+This process connects to its predecessor as a caller, before it listens at the address itself, and sends only
+tests.  The predecessor ends this connection together with its connections to call servers.
 """
 
 from __future__ import annotations
@@ -14,23 +14,23 @@
 from canvasplank.network.stream import BufferBudget, Stream
 from canvasplank.runtime.scheduler import Scheduler
 
-CONNECT_TIMEOUT_S = 0.2  # this process does not listen meanwhile
-TEST_INTERVAL_MS = 500.0  # so that the connection never counts as idle there
+CONNECT_TIMEOUT_S = 0.2  # short, since this process does not listen meanwhile
+TEST_INTERVAL_MS = 500.0  # keeps the predecessor from closing the connection as idle
 NO_CALL_ID = "0" * 16
 
 
 class PredecessorStream(Stream[isup.Message]):
-    """A connection to the predecessor, until that ends it."""
+    """A connection to the predecessor, which stays open until the predecessor ends it."""
 
     def __init__(self, scheduler: Scheduler, budget: BufferBudget, on_ended: Callable[[], None]) -> None:
-        """``on_ended`` is called when the connection has ended, and not where it never came up."""
+        """``on_ended`` is called when the connection has ended, but not if it was never established."""
         super().__init__(scheduler, "predecessor", isup.Parser(), budget)
         self._on_ended = on_ended
 
     async def connect(self, host: str, port: int) -> None:
-        """Connect, before this process listens there; one that is busy for too long is not watched."""
+        """Connect before this process listens; ignore failures and a predecessor that is too slow."""
         loop = asyncio.get_running_loop()
-        with contextlib.suppress(OSError):  # a time-out is one, too
+        with contextlib.suppress(OSError):  # includes TimeoutError
             async with asyncio.timeout(CONNECT_TIMEOUT_S):
                 await loop.create_connection(lambda: self, host, port)
 
@@ -44,7 +44,7 @@
             self.scheduler.call_later(TEST_INTERVAL_MS, self._send_test)
 
     def on_received(self, data: memoryview) -> None:
-        """See ``Stream``: results of tests, which are discarded."""
+        """See ``Stream``; discards the test results."""
         for _ in self.messages(data):
             pass
 
--- a/canvasplank/network/reconnect_backoff.py
+++ b/canvasplank/network/reconnect_backoff.py
@@ -8,28 +8,28 @@
 
 
 class ReconnectBackoff:
-    """Doubling delays in milliseconds between attempts, from the shortest again after a success."""
+    """Schedules attempts with doubling delays, which restart from the minimum after a success."""
 
     def __init__(self, scheduler: Scheduler, min_delay_ms: float, max_delay_ms: float) -> None:
         self._scheduler = scheduler
         self._min_delay_ms, self._max_delay_ms = min_delay_ms, max_delay_ms
         self._next_delay_ms = min_delay_ms
         self._timer: Timer | None = None
-        self.failures = 0  # since the last success: the first is logged
+        self.failures = 0  # since the last success; only the first is logged
 
     def on_success(self) -> None:
-        """The next delay is the shortest again."""
+        """Reset the next delay to the minimum."""
         self._next_delay_ms = self._min_delay_ms
         self.failures = 0
 
     def reset(self) -> None:
-        """Start over with another peer, without the delay that is running for the last one."""
+        """Cancel the running delay and reset the backoff, for use with another peer."""
         self._scheduler.timers.cancel(self._timer)
         self._timer = None
         self.on_success()
 
     def schedule(self, action: Callable[[], None], delay_ms: float | None = None) -> None:
-        """Run it after the next delay, or after this one; no effect while a delay is running."""
+        """Run ``action`` after the next delay, or after ``delay_ms``; no effect while a delay is running."""
         if self._timer is not None:
             return
         self.failures += 1
--- a/canvasplank/network/server_connections.py
+++ b/canvasplank/network/server_connections.py
@@ -1,4 +1,4 @@
-"""The upkeep of connections to call servers: one to each listed server, checked, replaced and ended."""
+"""Connections to call servers: establishes one to each listed server, checks, replaces and ends them."""
 
 from __future__ import annotations
 
@@ -15,17 +15,18 @@
 from canvasplank.network.stream import BufferBudget
 
 LOG = logging.getLogger(__name__)
-# No message and no connection for so long: a call whose caller has ended it is released within 8 s.
+# A server is unreachable after so long without a message or a connection.  This is below the 8 s within
+# which a call whose caller has ended it must be released.
 UNREACHABLE_MS = 7000.0
-DEFAULT_RESEND_MS = 500.0  # until a caller sends a set-up again, where the settings name no time
-MESSAGE_TIMEOUT_FRACTION = 0.25  # of it: the rest of a message that has not come by then never will
-CHECK_INTERVAL_FRACTION = 0.2  # of it: between two checks of the connections
+DEFAULT_RESEND_MS = 500.0  # until a caller sends a set-up again, unless the settings give it
+MESSAGE_TIMEOUT_FRACTION = 0.25  # of the resend time: an incomplete message counts as lost after it
+CHECK_INTERVAL_FRACTION = 0.2  # of the resend time: interval between checks of the connections
 
 
 class ServerConnections:
-    """Maintains a current connection to each listed server, whether or not calls go there.
+    """Maintains a current connection to each listed server, even if no calls are sent there.
 
-    Releases of established calls and reports of circuits come on it, too.
+    Servers also send releases of established calls and reports of their circuits on it.
     """
 
     def __init__(
@@ -37,16 +38,16 @@
         on_message: Callable[[ServerStream, sip.Message], None],
         on_message_after_end: Callable[[ServerStream, sip.Message, Callable[[bytes], None]], None],
     ) -> None:
-        """``on_message`` is given each message that is read, and raises ``BadMessageError``.
+        """``on_message`` handles each message that is read, and may raise ``BadMessageError``.
 
-        ``on_message_after_end`` is given those found behind an end: see ``ServerStreamOwner``.
+        ``on_message_after_end`` handles messages found after an end: see ``ServerStreamOwner``.
         """
         self.exchange = exchange
         self.budget = budget
         self.on_message = on_message
         self.on_message_after_end = on_message_after_end
         self.disconnecting = False
-        self.peers: dict[str, Peer] = {}  # by server id: the endpoint list, and who is gone and still speaks
+        self.peers: dict[str, Peer] = {}  # by server id: listed servers, and gone ones that still send
         self._scheduler = exchange.scheduler
         self._limits = limits
         self._resend_ms = resend_ms or DEFAULT_RESEND_MS
@@ -54,7 +55,7 @@
         self._schedule_check()
 
     def limit(self, sockets: int) -> None:
-        """Take a new limit of the program's sockets."""
+        """Apply a new limit on the program's sockets."""
         self._ended.limit(sockets)
 
     def keep_reading(self, ended: EndedStream) -> None:
@@ -62,11 +63,11 @@
         self._ended.add(ended)
 
     def disconnect(self) -> None:
-        """Shut down: act on nothing more, so that no release is confirmed that cannot be passed on.
+        """Shut down: ignore further messages, so that no release is confirmed that cannot be passed on.
 
-        Connections are closed for writing and read on, so that what was sent last is not lost to a reset.
-        What was cancelled just before is released, too: its answer may be on its way, and the server would
-        release the call to the process that comes next, whose caller has had its final answer.
+        Connections are closed for writing and still read, so that a reset does not lose the last messages.
+        Recently cancelled attempts are released too.  Their answers may be in transit, and the server would
+        release such a call to the next process, although its caller has had a final answer.
         """
         self.disconnecting = True
         self._ended.close()
@@ -76,13 +77,13 @@
             stream.close_writing()
 
     def is_listed(self, peer: Peer) -> bool:
-        """Whether this is the entry of its server, and that is not gone."""
+        """Whether this is the current entry of its server, and the server is not gone."""
         return self.peers.get(peer.server_id) is peer and peer.state is not api.ServerState.GONE
 
     def connect(self, peer: Peer, *, requested: bool = False) -> None:
-        """Have a current connection, up or connecting; the first one not before its time, unless requested.
+        """Start a current connection if there is none; not before ``connect_after_ms``, unless requested.
 
-        Hundreds of proxies that start at once would otherwise connect to a server in one instant.
+        The delay keeps hundreds of proxies that start together from connecting to a server at once.
         """
         if self.disconnecting or (self._scheduler.now_ms < peer.connect_after_ms and not requested):
             return
@@ -95,35 +96,35 @@
         )
 
     def renew(self, peer: Peer) -> None:
-        """Connect once more, and use that connection once it is up, in place of the current one.
+        """Open another connection, which replaces the current one once it is established.
 
-        A server sends the releases that no process has confirmed on the next connection that is opened.
+        A server sends releases that no process has confirmed again on the next connection that is opened.
         """
         if self.disconnecting or peer.current is None or not peer.current.is_open:
-            return  # the next one is made anyway
+            return  # another connection is made anyway
         stream = ServerStream(self, peer)
         stream.renews_current = True
         stream.connect(self._limits.connect_timeout_ms, lambda _reason: stream.cancel_connecting())
 
     def fail_connecting(self, peer: Peer, reason: str) -> None:
-        """Give up the attempt to connect that is under way, if there is one."""
+        """Cancel the current connection attempt, if there is one, and report ``reason`` for its failure."""
         if peer.current is not None and peer.current.connecting is not None:
             self._on_connection_failed(peer.current, reason)
 
     def replace_current(self, peer: Peer, reason: str) -> None:
-        """Its address has changed: open set-ups stay where they are, new ones go to another connection."""
+        """Use another connection for new set-ups; open ones stay on the established connection."""
         current, peer.current = peer.current, None
         if current is not None and current.connecting is not None:
             self._on_connection_failed(current, reason)
 
     def abort(self, streams: list[ServerStream]) -> None:
-        """End connections to a process that has ended: half-open ones would never end by themselves."""
+        """End connections to a process that has ended, since half-open ones would never end by themselves."""
         for stream in streams:
             stream.abort()
             self.on_disconnected(stream)
 
     def withdraw_set_ups(self, peer: Peer) -> None:
-        """Let nothing new reach it, not even what waits for a connection or is unsent in one (rule 3)."""
+        """Keep new set-ups from the server: those waiting for a connection, and unsent ones (rule 3)."""
         streams = list(peer.streams)
         if peer.current is not None and peer.current not in streams:
             streams.append(peer.current)
@@ -138,14 +139,14 @@
         """See ``ServerStreamOwner``."""
         peer = stream.peer
         if stream.renews_current and not self.is_listed(peer):
-            stream.close_writing()  # the server has gone meanwhile
+            stream.close_writing()  # the server has left the list meanwhile
             return
         peer.backoff.on_success()
         peer.streams.append(stream)
         if stream.renews_current and (peer.current is None or peer.current.is_open):
             peer.current = stream
         self.exchange.counters.add("sockets.servers")
-        # Releases first: a pending one for an earlier attempt would end the call's next.
+        # Releases first: sent later, a release of an earlier attempt would end the call's next attempt.
         for call_id, pending in peer.take_pending_releases():
             stream.release_unsettled(call_id, pending.cause, pending.on_sent)
         for waiting in stream.waiting.values():
@@ -154,7 +155,7 @@
         self._close_superseded(peer)
 
     def on_disconnected(self, stream: ServerStream) -> None:
-        """See ``ServerStreamOwner``: RESET for each set-up that was open on it."""
+        """See ``ServerStreamOwner``; open set-ups on the connection end with RESET."""
         peer = stream.peer
         if stream not in peer.streams:
             return
@@ -168,11 +169,11 @@
         self._reconnect_later(peer)
 
     def _on_set_up_reset(self, stream: ServerStream, call_id: str, attempt: int) -> None:
-        """Report it, and release what may have been established by an answer that was not readable.
+        """Report the reset of a set-up; if an unreadable answer may have established it, release it first.
 
-        Then the attempt has ended once that release has left, or no connection for it comes up, and the
-        server has ended the connection as well: the call is not to be established twice, nor to be sent again
-        while the server may take it for open.
+        In that case the attempt ends only once the release has been sent, or no connection is up for it, and
+        the server has ended the connection too.  Otherwise the call could be established twice, or be sent
+        again while the server still holds the attempt.
         """
         peer = stream.peer
 
@@ -185,7 +186,7 @@
         if not stream.ended_unreadably:
             report_reset()
             return
-        peer.pending_end_reports.setdefault(call_id, report_reset)  # or it was cancelled just before
+        peer.pending_end_reports.setdefault(call_id, report_reset)  # kept if just cancelled
         if self.is_listed(peer):
             peer.send_release(call_id, ReleaseCause.NORMAL_UNSPECIFIED, report_when_abandoned)
         else:
@@ -193,7 +194,7 @@
             report_when_abandoned()
 
     def _on_connection_failed(self, stream: ServerStream, reason: str) -> None:
-        """It did not come up: the set-ups that waited for it were never sent."""
+        """Report NO_CONNECTION for the set-ups that waited for a connection that was not established."""
         peer = stream.peer
         stream.cancel_connecting()
         if peer.current is stream:
@@ -210,7 +211,7 @@
         self.exchange.on_attempt_ended(peer.server_id, call_id, attempt, outcome)
 
     def _reconnect_later(self, peer: Peer) -> None:
-        """Connect again after the backoff's delay, as long as the server is listed."""
+        """Connect again after the backoff's delay, if the server is still listed then."""
         if peer.current is None:
             peer.backoff.schedule(lambda: self._connect_if_listed(peer))
 
@@ -222,15 +223,15 @@
         self._scheduler.call_later(CHECK_INTERVAL_FRACTION * self._resend_ms, self._check_connections)
 
     def _check_connections(self) -> None:
-        """Detect, periodically, half-open connections, which swallow calls, and unreachable servers."""
+        """Check periodically for half-open connections, on which calls are lost, and unreachable servers."""
         for peer in list(self.peers.values()):
             self._check_messages(peer)
             self._check_current(peer)
             self._connect_if_listed(peer)
             is_up = peer.current is not None and peer.current.is_open
             if not is_up and self._scheduler.now_ms - peer.last_received_ms > UNREACHABLE_MS:
-                # Calls over a cut link end some seconds into the cut, and the server can notify nobody before
-                # it is over.  A call that is established after all is released once a connection is up.
+                # Calls on a cut link end within seconds, and the server can report that only once the link is
+                # back.  A call that is still established there is released once a connection is up.
                 self.exchange.process_ended(peer.server_id, float("inf"), notify_server=True)
             self._close_superseded(peer)
         self._schedule_check()
@@ -238,20 +239,20 @@
     def _check_messages(self, peer: Peer) -> None:
         timeout_ms = MESSAGE_TIMEOUT_FRACTION * self._resend_ms
         for stream in [s for s in peer.streams if s.is_message_overdue(timeout_ms)]:
-            stream.abort_unreadable(f"the rest of a message did not come within {timeout_ms:.0f} ms")
+            stream.abort_unreadable(f"a message was not completed within {timeout_ms:.0f} ms")
 
     def _check_current(self, peer: Peer) -> None:
-        """A current connection that is silent or hung is replaced; it stays open for what may yet come on it.
+        """Replace the current connection if it is silent or hung, but leave it open for late messages.
 
-        A hung connection does not mean a hung server: a healthy server must not be tried over and over on the
-        connection that hung, and be left out for seconds.
+        A hung connection does not mean a hung server: further set-ups on it would fail, and exclude a healthy
+        server for seconds.
         """
         current = peer.current
         if current is None:
             return
         silent = current.is_silent
         if silent and not current.open_set_ups:
-            # Or one that reports less often would get a new connection every time.
+            # Without this, a server that reports less often would get a new connection every time.
             peer.silence_timeout_ms = min(MAX_SILENCE_TIMEOUT_MS, 2 * peer.silence_timeout_ms)
         if silent or (current.is_open and current.is_hung(self._resend_ms)):
             self.exchange.counters.add("sockets.servers_quiet")
@@ -259,7 +260,7 @@
             peer.resend_unconfirmed(current)
 
     def _close_superseded(self, peer: Peer) -> None:
-        """End the connections that have been replaced, once nothing more is to come on them."""
+        """Close replaced connections on which no more messages are expected."""
         if peer.current is None or not peer.current.is_open:
             return
         for stream in peer.streams:
--- a/canvasplank/network/server_stream.py
+++ b/canvasplank/network/server_stream.py
@@ -1,4 +1,4 @@
-"""One connection to a call server, and the record of the server itself.
+"""A connection to a call server (``ServerStream``) and the state kept for each server (``Peer``).
 
 Times are in milliseconds, on the scheduler's clock.
 """
@@ -27,60 +27,58 @@
 from canvasplank.network.server_stream_owner import ServerStreamOwner
 from canvasplank.network.stream import Stream
 
-SILENCE_TIMEOUT_MS = 2500.0  # a server that reports its circuits and is silent for so long may be cut off
-MAX_SILENCE_TIMEOUT_MS = 20_000.0  # the timeout of one that reports less often: it doubles up to this
-IGNORED_INITIAL_REPORTS = (
-    2  # the first ones on a connection: the interval between them is no measure of the others
-)
+SILENCE_TIMEOUT_MS = 2500.0  # a server that reports its circuits may be cut off after so long a silence
+MAX_SILENCE_TIMEOUT_MS = 20_000.0  # the timeout doubles up to this for servers that report less often
+IGNORED_INITIAL_REPORTS = 2  # of a connection: the interval between them says nothing about later ones
 MAX_PENDING_RELEASES = 10_000  # for a server that cannot be reached
 
 
 class WaitingSetUp(NamedTuple):
-    """A set-up that waits for a connection to come up."""
+    """A set-up that waits for a connection to be established."""
 
     call: CallRecord
     attempt: int
-    until_ms: float  # the deadline of its attempt
+    until_ms: float  # the deadline of the attempt
 
 
 @dataclass(slots=True)
 class Peer:
-    """One server: its entry in the endpoint list, and the connections to it."""
+    """A call server: its entry in the endpoint list, its connections and the releases due to it."""
 
     server_id: str
     address: str
     state: api.ServerState
-    started_ms: float | None  # when its process started, where that is known
+    started_ms: float | None  # when the server process started; None: unknown
     backoff: ReconnectBackoff
-    current: ServerStream | None = None  # where the next message goes; it may still be connecting
-    last_received_ms: float = 0.0  # when anything was last read from it, or a connection came up
-    reports_circuits: bool = False  # whether it has ever reported its circuits
+    current: ServerStream | None = None  # carries the next message; it may still be connecting
+    last_received_ms: float = 0.0  # when data was last read or a connection was last established
+    reports_circuits: bool = False  # whether the server has ever reported its circuits
     silence_timeout_ms: float = SILENCE_TIMEOUT_MS
-    streams: list[ServerStream] = field(default_factory=list)  # all that are established
+    streams: list[ServerStream] = field(default_factory=list)  # all established connections
     pending_releases: dict[str, PendingRelease] = field(default_factory=dict)  # for the next connection
-    # What reports the end of an attempt, by call, once the server is known to have given its set-up up.
+    # By call: callbacks that report the end of an attempt once the server has abandoned its set-up.
     pending_end_reports: dict[str, Callable[[], None]] = field(default_factory=dict)
-    connect_after_ms: float = 0.0  # its first connection is made no sooner, unless a set-up needs it
+    connect_after_ms: float = 0.0  # no connection is made before this time, unless a set-up needs one
 
     def send_release(self, call_id: str, cause: int, on_sent: Callable[[], None] | None = None) -> None:
         """Write a release to the current connection, or store it for the next."""
         if self.current is not None and self.current.is_open:
             self.current.send_release(call_id, cause, on_sent)
         elif on_sent is None and call_id in self.pending_releases:
-            pass  # one is enough, and something may wait for it
+            pass  # keep the stored release: something may wait for it to be sent
         elif len(self.pending_releases) < MAX_PENDING_RELEASES:
             self.pending_releases[call_id] = PendingRelease(cause, on_sent)
         elif on_sent is not None:
             on_sent()
 
     def report_attempt_end(self, call_id: str) -> None:
-        """The server has given the set-up of this call up: report it, unless that was done."""
+        """Report the end of an attempt that the server has abandoned, unless it was reported before."""
         report = self.pending_end_reports.pop(call_id, None)
         if report is not None:
             report()
 
     def stop_waiting_for_releases(self) -> None:
-        """No connection comes up for now: nothing waits for the pending releases any more."""
+        """Call the ``on_sent`` callbacks of pending releases: no connection comes up for now to send them."""
         waited_for = [(call_id, each) for call_id, each in self.pending_releases.items() if each.on_sent]
         for call_id, pending in waited_for:
             self.pending_releases[call_id] = PendingRelease(pending.cause)
@@ -88,13 +86,13 @@
                 pending.on_sent()
 
     def take_pending_releases(self) -> list[tuple[str, PendingRelease]]:
-        """Remove the releases that waited for a connection, and return them by call."""
+        """Remove and return the releases that waited for a connection, with their call ids."""
         pending = list(self.pending_releases.items())
         self.pending_releases.clear()
         return pending
 
     def release_recently_cancelled(self) -> None:
-        """Release the attempts whose answer may cross their cancellation, with nobody to read it any more."""
+        """Release cancelled attempts whose answer may arrive after this process has stopped reading."""
         for stream in self.streams:
             since_ms = stream.last_received_ms - CONFIRMATION_WINDOW_MS
             for call_id, cause in stream.cancelled.take_sent_after(since_ms):
@@ -102,14 +100,14 @@
                 carrier.send_release(call_id, cause)
 
     def mark_settled(self, call_id: str) -> None:
-        """The server has released this call, or confirmed its release: it has nothing more to send of it."""
+        """Record that the server has released this call or confirmed its release, so sends no more for it."""
         for stream in self.streams:
             stream.cancelled.pop(call_id, None)
 
     def unsettled_calls(self) -> dict[str, int]:
-        """Calls that may be established there although they were cancelled or released by this process.
+        """Release causes, by call, of calls that the server may hold although we cancelled or released them.
 
-        Nothing was read on the connection since, or none has carried the release yet; by call, its cause.
+        Either nothing was read on the connection since, or the release has not been sent yet.
         """
         unsettled = {call_id: pending.cause for call_id, pending in self.pending_releases.items()}
         for stream in self.streams:
@@ -118,7 +116,7 @@
         return unsettled
 
     def release_cancelled_after_disconnect(self, stream: ServerStream) -> None:
-        """Release what was cancelled on a connection that has ended, if nothing was read there since."""
+        """Release calls that were cancelled on an ended connection after data was last read there."""
         for call_id, cause in stream.cancelled.take_sent_after(stream.last_received_ms):
             if self.current is not None and self.current.is_open:
                 self.current.release_unsettled(call_id, cause)
@@ -126,28 +124,28 @@
                 self.send_release(call_id, cause)
 
     def resend_unconfirmed(self, stream: ServerStream) -> None:
-        """Send again what may never have been read on a connection that is no longer the current one."""
+        """Send again releases that the server may not have read on a connection that is no longer current."""
         since_ms = stream.last_received_ms - CONFIRMATION_WINDOW_MS
         for call_id, cause in stream.unconfirmed.take_sent_after(since_ms):
             self.send_release(call_id, cause)
 
     def has_attempt(self, call_id: str) -> bool:
-        """Whether a call is established there, or a set-up of it is on its way or waits for a connection."""
+        """Whether a call is established at this server, or a set-up of it is unanswered or waiting."""
         streams = [*self.streams, self.current] if self.current is not None else self.streams
         return any(call_id in each for s in streams for each in (s.open_set_ups, s.waiting, s.established))
 
     def remove_established(self, call_id: str) -> None:
-        """A call is established there no more."""
+        """Record that a call is no longer established at this server."""
         for stream in self.streams:
             stream.established.discard(call_id)
 
 
 def _discard_response(data: bytes) -> None:
-    """Respond on a connection that has ended."""
+    """Discard a response, since the connection has ended."""
 
 
 class ServerStream(Stream[sip.Message]):
-    """One connection to a server, with the set-ups and calls that it carries."""
+    """A connection to a call server, with the set-ups and calls that it carries."""
 
     def __init__(self, owner: ServerStreamOwner[ServerStream], peer: Peer) -> None:
         label = f"server {peer.server_id} {peer.address}"
@@ -155,40 +153,40 @@
         super().__init__(owner.exchange.scheduler, label, self._sip_parser, owner.budget)
         self._owner = owner
         self.peer = peer
-        self.open_set_ups: dict[str, int] = {}  # attempt numbers of the set-ups sent here and unanswered
-        self.waiting: dict[str, WaitingSetUp] = {}  # until it is up
+        self.open_set_ups: dict[str, int] = {}  # by call: attempt numbers of unanswered set-ups
+        self.waiting: dict[str, WaitingSetUp] = {}  # set-ups to send once connected, by call
         self.unconfirmed = UnconfirmedReleases()
-        # Attempts cancelled here that have not ended, each with the release that is due if it was answered,
-        # and calls released here that may be established although an earlier connection has ended.
+        # Attempts cancelled here that have not ended, with the cause of the release that is due if the server
+        # answered them, and calls released here that an earlier connection may have left established.
         self.cancelled = UnconfirmedReleases()
-        self.established: set[str] = set()  # calls set up here: the server releases them here
+        self.established: set[str] = set()  # calls set up here: the server sends their releases here
         self.connecting: ConnectionAttempt | None = None
-        self.renews_current = False  # whether it takes the current one's place once it is up
+        self.renews_current = False  # whether it replaces the peer's current connection once established
         self.connected_ms = self.scheduler.now_ms
-        self._reported_ms = -1.0  # when the circuits were last reported here
+        self._reported_ms = -1.0  # when the circuits were last reported on this connection
         self._report_count = 0
-        self._used_since_replaced = False  # whether anything was read since another became the current one
-        self._unanswered_since_ms: float | None = None  # the first set-up sent since anything was last read
-        self._bad_body = b""  # of a message that stopped short: what came after it is in there
-        self._keeps_reading = False  # whether it is read on after its end: see ``ended_connection``
-        self._awaits_servers_end = False  # while it is read on
-        self._when_set_ups_abandoned: list[Callable[[], None]] = []  # see ``call_when_set_ups_abandoned``
-        self._message_finder = MessageFinder()  # for what follows a bad message, where it is not
-        self.set_ups_at_end: frozenset[str] = frozenset()  # calls whose set-ups were open then
+        self._used_since_replaced = False  # whether data was read since another connection became current
+        self._unanswered_since_ms: float | None = None  # when the first set-up after the last read was sent
+        self._bad_body = b""  # of an incomplete message: contains the messages that followed it
+        self._keeps_reading = False  # whether it is read after we ended it: see ``ended_connection``
+        self._awaits_servers_end = False  # whether we ended it and the server has not
+        self._when_set_ups_abandoned: list[Callable[[], None]] = []
+        self._message_finder = MessageFinder()  # for data behind a bad message if the server ended it
+        self.set_ups_at_end: frozenset[str] = frozenset()  # calls whose set-ups were open when we ended it
 
     def connect(self, timeout_ms: float, on_failed: Callable[[str], None]) -> None:
-        """Start to connect to the peer's address; ``on_failed`` is given the reason."""
+        """Start to connect to the peer's address; ``on_failed`` receives the reason of a failure."""
         self.connecting = ConnectionAttempt(self, self.peer.address, timeout_ms, on_failed)
 
     def cancel_connecting(self) -> None:
-        """End the attempt to connect, which has failed or is given up."""
+        """Cancel the connection attempt, if there is one."""
         if self.connecting is not None:
             self.connecting.cancel()
             self.connecting = None
 
     def on_connected(self) -> None:
         """See ``Stream``."""
-        self.connected_ms = self.scheduler.read_clock()  # not before a process that was met later started
+        self.connected_ms = self.scheduler.read_clock()  # compared with process starts: must not lag
         self.peer.last_received_ms = self.scheduler.now_ms
         self.connecting = None
         self._owner.on_connected(self)
@@ -217,7 +215,7 @@
 
     def on_disconnected(self, error: Exception | None) -> None:
         """See ``Stream``."""
-        if not self._keeps_reading:  # its server has ended it, perhaps within a message
+        if not self._keeps_reading:  # the server has ended it, perhaps within a message
             self.on_unread(self._sip_parser.unread)
         self._owner.on_disconnected(self)
 
@@ -231,7 +229,7 @@
         self._abort_and_keep_reading(super().abort_unsent)
 
     def abort_unread_set_ups(self) -> None:
-        """End it at once, since its server has not read the set-ups that were sent to it."""
+        """End the connection at once, with set-ups on it that the server has not read."""
         self._abort_and_keep_reading(self.abort)
 
     def _abort_and_keep_reading(self, abort: Callable[[], None], *, defer_half_close: bool = False) -> None:
@@ -240,7 +238,7 @@
         abort()
         if ended is not None:
             self._owner.keep_reading(ended)
-        elif self.unreadable:  # or what is unread is searched once it is disconnected
+        elif self.unreadable:  # otherwise ``on_disconnected`` searches the unread data
             self.on_unread(unread)
 
     def abort_lingering(self) -> None:
@@ -250,10 +248,10 @@
         super().abort_lingering()
 
     def _prepare_to_keep_reading(self, unread: bytes, *, defer_half_close: bool) -> EndedStream | None:
-        """What is needed to read on after an end of ours that is about to come; None: it has ended already.
+        """Prepare to read the connection after we end it; None if it has ended or no descriptor is left.
 
-        ``defer_half_close``: it is not closed for writing at once, so that its server writes on what it has
-        queued.
+        ``defer_half_close``: the connection stays open for writing at first, so that the server writes what
+        it has queued.
         """
         if self.transport is None or self.transport.is_closing() or self._owner.disconnecting:
             return None
@@ -274,10 +272,10 @@
         )
 
     def call_when_set_ups_abandoned(self, action: Callable[[], None]) -> None:
-        """Call it once its server has ended it, too, and so given up the set-ups that were open on it.
+        """Call ``action`` once the server has ended the connection too, and so abandoned its open set-ups.
 
-        It may read a cancellation late where it has sent what cannot be read, and need not answer it.  Called
-        at once where the server ended the connection itself, and after a bounded time where it never does.
+        A server that sent unreadable data may read a cancellation late and need not answer it.  ``action`` is
+        called at once if the server has ended the connection, and after a bounded time if it never does.
         """
         if self._awaits_servers_end:
             self._when_set_ups_abandoned.append(action)
@@ -298,13 +296,13 @@
         """Write an INVITE."""
         call, attempt = waiting.call, waiting.attempt
         for each in self.peer.streams:
-            # Or the release of an earlier attempt here, sent once more, would end the call.
+            # A release of an earlier attempt, if sent again, would end this one.
             each.unconfirmed.pop(call.id, None)
             each.cancelled.pop(call.id, None)
         if self._unanswered_since_ms is None:
             self._unanswered_since_ms = self.scheduler.now_ms
         self.open_set_ups[call.id] = attempt
-        # What remains at this point, and not when the set-up was queued or the iteration began.
+        # The set-up may have been queued, or the process paused within this iteration: read the clock now.
         remaining_ms = max(1, round(waiting.until_ms - self.scheduler.read_clock()))
         headers = {"X-Tier": call.class_name, "X-Deadline": str(remaining_ms)}
         self.write(sip.request("INVITE", call.number, call.id, attempt + 1, headers, call.description))
@@ -325,27 +323,27 @@
             self.call_when_sent(on_sent)
 
     def release_unsettled(self, call_id: str, cause: int, on_sent: Callable[[], None] | None = None) -> None:
-        """Write the release of a call that counts as unsettled until something is read here."""
+        """Send a release; the call counts as unsettled until data is read on this connection."""
         self.cancelled.add(call_id, cause, self.scheduler.read_clock())
         self.send_release(call_id, cause, on_sent)
 
     def take_waiting(self) -> list[tuple[str, WaitingSetUp]]:
-        """Remove the set-ups that wait for it to come up, and return them by call."""
+        """Remove and return the set-ups that wait for the connection, with their call ids."""
         waiting = list(self.waiting.items())
         self.waiting.clear()
         return waiting
 
     def take_open_set_ups(self) -> list[tuple[str, int]]:
-        """Remove the set-ups sent here and unanswered, and return their calls and attempt numbers."""
+        """Remove and return the unanswered set-ups: call ids and attempt numbers."""
         open_set_ups = list(self.open_set_ups.items())
         self.open_set_ups.clear()
         return open_set_ups
 
     def on_circuits_reported(self) -> None:
-        """The circuits were reported here; where that is frequent, silence is detected soon.
+        """Record a report of circuits; frequent reports reset the silence timeout to its minimum.
 
-        The first report comes with the connection and the second at any time after it: the interval between
-        them is no measure of the others.
+        The first report comes with the connection and the second at any time after it, so the interval
+        between them says nothing about the reporting interval.
         """
         self.peer.reports_circuits = True
         self._report_count += 1
@@ -355,41 +353,41 @@
         self._reported_ms = self.scheduler.now_ms
 
     def on_replaced(self) -> None:
-        """It is the peer's current connection no more, and stays open for what may yet come on it."""
+        """Stop using this as the peer's current connection; it stays open for messages of its calls."""
         self.peer.current = None
         self._used_since_replaced = False
 
     def is_message_overdue(self, timeout_ms: float) -> bool:
-        """Whether the rest of a message has not come in time: all that follows would be taken for it."""
+        """Whether a message is incomplete for longer than this: it would absorb all that follows."""
         late = self.scheduler.now_ms - self.message_started_ms > timeout_ms
         is_read = self.transport is not None and not self.transport.is_closing()
         return is_read and late and self.parser.in_message
 
     def is_hung(self, timeout_ms: float) -> bool:
-        """Whether nothing was read for so long since a set-up was sent on it."""
+        """Whether nothing was read for longer than this since a set-up was sent."""
         since_ms = self._unanswered_since_ms
         return since_ms is not None and self.scheduler.now_ms - since_ms > timeout_ms
 
     @property
     def is_silent(self) -> bool:
-        """Whether nothing was read for the peer's silence timeout where something was due.
+        """Whether nothing was read for the peer's silence timeout although data was due.
 
-        A server goes on reporting its circuits, and answers set-ups; one that does neither has nothing to
-        send, and would be connected to over and over.
+        Data is due from a server that reports its circuits or has a set-up to answer.  Any other server may
+        be silent for good, and its connection would be replaced over and over.
         """
         is_due = self.is_open and (self.peer.reports_circuits or bool(self.open_set_ups))
         return is_due and self.scheduler.now_ms - self.last_received_ms > self.peer.silence_timeout_ms
 
     def is_superseded(self, idle_ms: float) -> bool:
-        """Whether it has been replaced and nothing more is to come on it.
+        """Whether a replaced connection can be closed, since no more messages are expected on it.
 
-        The release of an established call may be on its way while we end the connection, and the server would
-        not send it again on the successor that is up already.
+        If used since, established calls keep it open until it is idle for ``idle_ms``: a release may be in
+        transit, and the server would not send it again on the new connection, which is already up.
         """
         in_use = self._used_since_replaced and self.scheduler.now_ms - self.last_used_ms < idle_ms
         return not self.open_set_ups and not (self.established and in_use)
 
     @property
     def ended_unreadably(self) -> bool:
-        """Whether it ended within a message or by a bad one: an answer may have been lost with it."""
+        """Whether it ended within a message or because of a bad one, so that an answer may be lost."""
         return self.unreadable or self.parser.in_message
--- a/canvasplank/network/server_stream_owner.py
+++ b/canvasplank/network/server_stream_owner.py
@@ -15,23 +15,26 @@
 
 
 class ServerStreamOwner(Protocol[ServerStreamT]):
-    """What holds the connections and acts on their events: see ``ServerConnections``."""
+    """The owner of connections to call servers, which handles their events: ``ServerConnections``."""
 
     exchange: Exchange
     budget: BufferBudget
-    disconnecting: bool  # the program is shutting down: messages are not acted on any more
+    disconnecting: bool  # whether the program is shutting down, so that messages are ignored
     on_message: Callable[[ServerStreamT, sip.Message], None]  # raises ``BadMessageError``
 
     def on_connected(self, stream: ServerStreamT) -> None:
-        """It is established."""
+        """Handle the establishment of a connection."""
 
     def on_disconnected(self, stream: ServerStreamT) -> None:
-        """It has ended."""
+        """Handle the end of a connection."""
 
     def keep_reading(self, ended: EndedStream) -> None:
-        """It was ended by us, and may carry more."""
+        """Continue to read a connection that we have ended, since it may carry more messages."""
 
     def on_message_after_end(
         self, stream: ServerStreamT, message: sip.Message, write: Callable[[bytes], None]
     ) -> None:
-        """A release or a positive answer was found behind its end; ``write`` responds if that is possible."""
+        """Handle a release or positive answer found behind a bad message or after our end of the connection.
+
+        ``write`` sends a response if that is still possible.
+        """
--- a/canvasplank/network/servers.py
+++ b/canvasplank/network/servers.py
@@ -1,7 +1,7 @@
-"""The client side: requests to the call servers and their responses, in the SIP of ``codecs.sip``.
+"""The call servers' side: exchanges SIP messages (``codecs.sip``) with the call servers.
 
-Beside this: ``peer_table`` follows the endpoint list, ``server_connections`` maintains the connections, and
-``server_stream`` is one connection.
+``peer_table`` follows the endpoint list, ``server_connections`` maintains the connections, and
+``server_stream`` implements a connection.
 """
 
 from __future__ import annotations
@@ -25,12 +25,12 @@
 from canvasplank.network.stream import BufferBudget
 
 OK, MULTIPLE_CHOICES = 200, 300  # RFC 3261 21
-NEXT_MESSAGE_PREFIX = b"SIP/2.0"  # no description holds it
+NEXT_MESSAGE_PREFIX = b"SIP/2.0"  # no call description contains it
 CALL_ID = re.compile(r"[0-9a-f]{16}")
 
 
 class Servers:
-    """All connections to call servers: their messages, for the exchange and from it (``ServerSide``)."""
+    """Passes messages between the exchange and all call servers; implements ``ServerSide``."""
 
     def __init__(
         self,
@@ -40,7 +40,7 @@
         budget: BufferBudget,
         load_reports: LoadReportReader,
     ) -> None:
-        """``resend_ms``: when a caller sends an unanswered set-up again; None: not in the settings."""
+        """``resend_ms``: time until a caller sends an unanswered set-up again; None: not in the settings."""
         self.exchange = exchange
         self.scheduler = exchange.scheduler
         self._load_reports = load_reports
@@ -50,27 +50,27 @@
         )
         self._table = PeerTable(exchange, self._connections)
         self._peers = self._connections.peers
-        self._probes: dict[str, str] = {}  # the server of each unanswered probe, by the probe's Call-ID
+        self._probes: dict[str, str] = {}  # server ids of unanswered probes, by the probe's Call-ID
         self._probe_count = 0
 
     def use_endpoint_filter(self, endpoint_filter: EndpointFilter) -> None:
-        """Connect only to the servers that the filter selects; before the first list."""
+        """Connect only to the servers that the filter selects; to be called before the first list."""
         self._table.use_endpoint_filter(endpoint_filter)
 
     def listed(self, complete: bool, instances: list[Endpoint]) -> None:
-        """Take an update of the endpoint list: all of it where ``complete``, else what has changed."""
+        """Apply an endpoint list update; ``complete``: the list is whole, and not only the changes."""
         self._table.on_list_updated(complete, instances)
 
     def known_and_excluded(self) -> tuple[int, int]:
-        """How many servers are listed, and how many of them are draining or cannot be reached now."""
+        """Return the number of listed servers, and of those of them that are draining or unreachable."""
         return self._table.known_and_excluded()
 
     def processes(self) -> list[tuple[str, float | None]]:
-        """The servers in the table, each with the start of its process where that is known."""
+        """Return the ids of the servers in the table with their process start times, if known."""
         return [(peer.server_id, peer.started_ms) for peer in self._peers.values()]
 
     def has_unsettled_releases(self, server_id: str) -> bool:
-        """Whether a release for this server has yet to be sent, or may yet have to be sent again."""
+        """Whether a release for this server is unsent, or may have to be sent again."""
         peer = self._peers.get(server_id)
         if peer is None:
             return False
@@ -79,12 +79,12 @@
         return bool(peer.pending_releases) or any(release.sent_ms > since_ms for release in sent)
 
     def unsettled_calls(self) -> list[str]:
-        """Calls that are over here, and that a server may yet release: nothing was received from it since."""
+        """Return finished calls that a server may still release, since nothing was received from it since."""
         unsettled = (call_id for peer in self._peers.values() for call_id in peer.unsettled_calls())
         return [call_id for call_id in unsettled if self.exchange.is_finished(call_id)]
 
     def unsettled_attempts(self) -> list[str]:
-        """Those of them that were not established for their callers, at servers that may come back."""
+        """Return unsettled calls that were never established for their callers, at servers still listed."""
         unsettled = [
             call_id
             for peer in self._peers.values()
@@ -94,17 +94,17 @@
         return [call_id for call_id in unsettled if self.exchange.is_finished(call_id)]
 
     def limit(self, sockets: int) -> None:
-        """Take a new limit of the program's sockets."""
+        """Apply a new limit on the program's sockets."""
         self._connections.limit(sockets)
 
     def renew_connections(self) -> None:
-        """Connect to every server once more, for the releases that a process before this one left."""
+        """Open a new connection to every server, to receive releases that a previous process left."""
         for peer in self._peers.values():
             if self._connections.is_listed(peer):
                 self._connections.renew(peer)
 
     def disconnect(self) -> None:
-        """Shut down: act on no message any more, and end every connection."""
+        """Shut down: ignore further messages and end every connection."""
         self._connections.disconnect()
 
     # ------------------------------------------------------------------------------ from the exchange
@@ -117,16 +117,16 @@
             return
         self._connections.connect(peer, requested=True)
         stream, waiting = peer.current, WaitingSetUp(call, attempt, self.scheduler.now_ms + wait_ms)
-        assert stream is not None, "connect has made one"
+        assert stream is not None, "connect() sets the current connection"
         if stream.is_open:
             stream.send_set_up(waiting)
         else:
             stream.waiting[call.id] = waiting
 
     def cancel(self, server_id: str, call_id: str, on_sent: Callable[[], None]) -> None:
-        """See ``ServerSide``: on the connection of the set-up, or not at all where it was never sent.
+        """See ``ServerSide``; sent on the connection of the set-up, or not at all if that was never sent.
 
-        Where that connection is ended for what cannot be read, the set-up has been cancelled there.
+        If the connection was ended because of unreadable data, the set-up was cancelled there already.
         """
         peer = self._peers.get(server_id)
         if peer is None:
@@ -143,7 +143,7 @@
             on_sent()
 
     def release(self, server_id: str | None, call_id: str, cause: int) -> None:
-        """See ``ServerSide``: on the connection that is up, or on the next one."""
+        """See ``ServerSide``; sent on the current connection, or on the next one."""
         for peer in self._peers.values() if server_id is None else filter(None, [self._peers.get(server_id)]):
             peer.remove_established(call_id)
             peer.send_release(call_id, cause)
@@ -166,8 +166,8 @@
 
     def _on_message(self, stream: ServerStream, message: sip.Message) -> None:
         if NEXT_MESSAGE_PREFIX in message.body:
-            # An answer that stops short, filled up with what came after it, must not be passed on.
-            raise BadMessageError(f"the message before {NEXT_MESSAGE_PREFIX.decode()} stops short")
+            # The message is incomplete and its body was filled with the next message: do not pass it on.
+            raise BadMessageError(f"message is incomplete: its body contains {NEXT_MESSAGE_PREFIX.decode()}")
         if message.status:
             self._on_response(stream, message)
             return
@@ -184,9 +184,10 @@
     def _on_message_after_end(
         self, stream: ServerStream, message: sip.Message, write: Callable[[bytes], None]
     ) -> None:
-        """Act on what cannot be part of anything else: a call's own server may end it, and no other call.
+        """Handle a message found behind an end; it may be part of another message's body, so check it.
 
-        An answer to a set-up that has ended with its connection established a call that nobody waits for.
+        A release counts only for a call that is established at this server.  An answer to a set-up that ended
+        with the connection established a call that nobody waits for, so the call is released.
         """
         peer, call_id = stream.peer, message.call_id
         if message.method == "BYE" and not message.status:
@@ -199,18 +200,18 @@
             self.release(peer.server_id, call_id, ReleaseCause.NORMAL_UNSPECIFIED)
 
     def _on_release(self, stream: ServerStream, message: sip.Message, write: Callable[[bytes], None]) -> None:
-        """Pass it on, and confirm it once its caller has it.
+        """Pass a release on to the caller, and confirm it to the server once it is delivered.
 
-        A server sends what nobody has confirmed on its next connection, and so to the next process.
+        A server sends unconfirmed releases again on its next connection, and so to the next process.
         """
 
         def confirm() -> None:
-            # Not before, or a connection that was replaced would end before the confirmation.
+            # Only now: a replaced connection without established calls is closed, with no way to confirm.
             stream.peer.remove_established(message.call_id)
             write(sip.response(OK, "OK", message))
 
         if not CALL_ID.fullmatch(message.call_id):
-            # An id that is no call's must reach neither the callers nor the exchange's memory of ended calls.
+            # An invalid call id must reach neither the callers nor the exchange's memory of ended calls.
             confirm()
             return
         stream.peer.mark_settled(message.call_id)
@@ -228,17 +229,17 @@
         if message.method != "INVITE" or message.status < OK or not CALL_ID.fullmatch(message.call_id):
             return
         call_id, server_id = message.call_id, stream.peer.server_id
-        # Matched by Call-ID and connection, since a call has one attempt in flight at most, and not by the
-        # number in CSeq: servers that count each set-up as their first would lose answers to second attempts.
+        # Answers are matched by Call-ID and connection: a call has at most one attempt in flight.  CSeq is
+        # not used, since servers that number every set-up as the first would lose answers to second attempts.
         attempt = stream.open_set_ups.get(call_id)
         stream.write(sip.request("ACK", "call", call_id, max(1, message.sequence)))
         refused = message.status >= MULTIPLE_CHOICES
         if refused and attempt is not None and message.is_of_other_set_up(attempt + 1):
-            return  # the refusal of an earlier attempt, sent again or late
+            return  # a repeated or late refusal of an earlier attempt
         stream.open_set_ups.pop(call_id, None)
         stream.cancelled.pop(call_id, None)
         if message.status < MULTIPLE_CHOICES:
-            stream.established.add(call_id)  # where the exchange takes it back, its release removes it again
+            stream.established.add(call_id)  # a late answer is released by the exchange, which removes it
             self.exchange.on_established(server_id, call_id, attempt, message.body)
         elif attempt is not None:
             outcome, details = parse_refusal(message, self._load_reports)
--- a/canvasplank/network/successor.py
+++ b/canvasplank/network/successor.py
@@ -1,9 +1,9 @@
-"""The process that serves this address next, such as the new version beside this one on an upgrade.
+"""Hands unsettled calls to the process that serves this address next, such as the new version on an upgrade.
 
-A call that has had its final answer may still be established at a server that cannot be reached, and that
-server would release it to the next process, which must take it for a call that its caller counts on.  So what
-this process could not settle is released there, as a caller would: the next process then knows that the call
-is over, and releases it at the servers.
+A call with a final answer may still be established at a server that cannot be reached.  That server would
+release it to the next process, which must assume that the call is established for its caller.  So this
+process releases such calls at its successor, as a caller would; the successor then knows that the calls are
+over, and releases them at the servers.
 """
 
 from __future__ import annotations
@@ -22,21 +22,21 @@
 
 
 class SuccessorStream(Stream[isup.Message]):
-    """A connection to the successor; it carries releases, and their confirmations."""
+    """A connection to the successor, which carries releases and their confirmations."""
 
     def __init__(
         self, scheduler: Scheduler, budget: BufferBudget, address: str, on_confirmed: Callable[[str], None]
     ) -> None:
-        """``on_confirmed`` is given the call of each release that is confirmed."""
+        """``on_confirmed`` receives the call id of each confirmed release."""
         super().__init__(scheduler, "successor", isup.Parser(), budget)
-        self.settled = asyncio.Event()  # all are confirmed, or will not be
-        self.ended = False  # or it never came up
+        self.settled = asyncio.Event()  # no confirmation is awaited any more
+        self.ended = False  # whether it has ended or could not be established
         self._unconfirmed: dict[str, None] = {}
         self._on_confirmed = on_confirmed
         ConnectionAttempt(self, address, CONNECT_TIMEOUT_MS, lambda _reason: self.on_disconnected(None))
 
     def release(self, call_id: str) -> None:
-        """Write a release, once it is up."""
+        """Send a release once the connection is established."""
         self.settled.clear()
         self._unconfirmed[call_id] = None
         self._write_release(call_id)
@@ -66,17 +66,17 @@
 
 
 class Successor:
-    """What this process passes on at its end, if another one listens at its address."""
+    """Releases calls at the successor, if another process listens at this address."""
 
     def __init__(self, scheduler: Scheduler, budget: BufferBudget, address: str) -> None:
-        """``address``: ``host:port``, where this process must not listen as the first call is released."""
+        """``address``: ``host:port``; this process must have stopped listening there before ``release``."""
         self._scheduler, self._budget, self._address = scheduler, budget, address
         self._stream: SuccessorStream | None = None
         self._released: set[str] = set()
         self._confirmed: set[str] = set()
 
     def release(self, call_ids: Iterable[str]) -> None:
-        """Have it release these calls, each once."""
+        """Send the releases of these calls, each call only once."""
         for call_id in call_ids:
             if call_id in self._released:
                 continue
@@ -88,11 +88,11 @@
             self._stream.release(call_id)
 
     def has_confirmed(self, call_id: str) -> bool:
-        """Whether it has confirmed the release of this call, and so passes no other on."""
+        """Whether the successor has confirmed this call's release, so that it passes no other release on."""
         return call_id in self._confirmed
 
     async def close(self, within_s: float) -> None:
-        """Wait until all is confirmed, for a bounded time, and end the connection."""
+        """Wait at most ``within_s`` seconds for the confirmations, then end the connection."""
         if self._stream is None:
             return
         with contextlib.suppress(TimeoutError):
