--- a/canvasplank/network/server_connections.py
+++ b/canvasplank/network/server_connections.py
@@ -15,8 +15,8 @@
 from canvasplank.network.stream import BufferBudget
 
 LOG = logging.getLogger(__name__)
-# A server is unreachable after so long without a message or a connection.  This is below the 8 s within
-# which a call whose caller has ended it must be released.
+# A server is unreachable after so long without a message or a connection.  This is shorter than the 8 s
+# within which a call is released once its caller has ended it.
 UNREACHABLE_MS = 7000.0
 DEFAULT_RESEND_MS = 500.0  # until a caller sends a set-up again, unless the settings give it
 MESSAGE_TIMEOUT_FRACTION = 0.25  # of the resend time: an incomplete message counts as lost after it
@@ -124,7 +124,7 @@
             self.on_disconnected(stream)
 
     def withdraw_set_ups(self, peer: Peer) -> None:
-        """Keep new set-ups from the server: those waiting for a connection, and unsent ones (rule 3)."""
+        """Withdraw set-ups that wait for a connection or are unsent: no new one may arrive (rule 3)."""
         streams = list(peer.streams)
         if peer.current is not None and peer.current not in streams:
             streams.append(peer.current)
@@ -139,7 +139,7 @@
         """See ``ServerStreamOwner``."""
         peer = stream.peer
         if stream.renews_current and not self.is_listed(peer):
-            stream.close_writing()  # the server has left the list meanwhile
+            stream.close_writing()  # the server is no longer listed
             return
         peer.backoff.on_success()
         peer.streams.append(stream)
@@ -186,7 +186,7 @@
         if not stream.ended_unreadably:
             report_reset()
             return
-        peer.pending_end_reports.setdefault(call_id, report_reset)  # kept if just cancelled
+        peer.pending_end_reports.setdefault(call_id, report_reset)  # a cancellation may have set it
         if self.is_listed(peer):
             peer.send_release(call_id, ReleaseCause.NORMAL_UNSPECIFIED, report_when_abandoned)
         else:
--- a/canvasplank/network/server_stream.py
+++ b/canvasplank/network/server_stream.py
@@ -171,7 +171,7 @@
         self._keeps_reading = False  # whether it is read after we ended it: see ``ended_connection``
         self._awaits_servers_end = False  # whether we ended it and the server has not
         self._when_set_ups_abandoned: list[Callable[[], None]] = []
-        self._message_finder = MessageFinder()  # for data behind a bad message if the server ended it
+        self._message_finder = MessageFinder()  # finds releases in data left unread
         self.set_ups_at_end: frozenset[str] = frozenset()  # calls whose set-ups were open when we ended it
 
     def connect(self, timeout_ms: float, on_failed: Callable[[str], None]) -> None:
@@ -389,5 +389,5 @@
 
     @property
     def ended_unreadably(self) -> bool:
-        """Whether it ended within a message or because of a bad one, so that an answer may be lost."""
+        """Whether it ended within a message or because of a bad one, which may have lost an answer."""
         return self.unreadable or self.parser.in_message
--- a/canvasplank/network/servers.py
+++ b/canvasplank/network/servers.py
@@ -184,7 +184,7 @@
     def _on_message_after_end(
         self, stream: ServerStream, message: sip.Message, write: Callable[[bytes], None]
     ) -> None:
-        """Handle a message found behind an end; it may be part of another message's body, so check it.
+        """Handle a message found in unreadable data or after an end; it may be part of another's body.
 
         A release counts only for a call that is established at this server.  An answer to a set-up that ended
         with the connection established a call that nobody waits for, so the call is released.
@@ -206,7 +206,7 @@
         """
 
         def confirm() -> None:
-            # Only now: a replaced connection without established calls is closed, with no way to confirm.
+            # Removed only now: a replaced connection without established calls is closed.
             stream.peer.remove_established(message.call_id)
             write(sip.response(OK, "OK", message))
 
