--- a/tests/server_side.py
+++ b/tests/server_side.py
@@ -52,7 +52,7 @@
     def remove_call(self, *_) -> None: ...
 
 
-class ServerSide:
+class ServerSideRig:
     """The decision module, the exchange and the servers' side on real sockets, on a clock of the test's.
 
     ``given_up_ms`` is the clock after the server could know that the call's set-up there was given up;
@@ -87,17 +87,17 @@
                 self.servers_sent_to.append(stream.peer.server_id)
             write(stream, data)
             if data.startswith(b"CANCEL") and not stream.unsent:
-                self._note_given_up()
+                self._record_given_up()
 
         def recorded_shut_down(stream: ServerStream) -> None:
             shut_down(stream)
             if self.servers_sent_to and stream.peer.server_id == self.servers_sent_to[0]:
-                self._note_given_up()
+                self._record_given_up()
 
         monkeypatch.setattr(ServerStream, "write", recorded_write)
         monkeypatch.setattr(ServerStream, "_shut_down_socket", recorded_shut_down)
 
-    def _note_given_up(self) -> None:
+    def _record_given_up(self) -> None:
         if self.given_up_ms is None:
             self.given_up_ms = self.now_ms
 
@@ -145,12 +145,12 @@
         self.now_ms += pause_ms
         self.exchange.offer(call)
 
-    async def until_sent_again(self) -> None:
+    async def wait_until_sent_again(self) -> None:
         async with asyncio.timeout(WAIT_S):
             while len(self.sent_ms) < 2:
                 await self.step()
 
-    async def let_cancellation_wait(self) -> None:
+    async def block_cancellation(self) -> None:
         """Have the call cancelled on a connection that the server does not read."""
         stream = self.first_stream()
         stream.transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
@@ -179,9 +179,9 @@
 
 
 @contextlib.asynccontextmanager
-async def offered_call(monkeypatch) -> AsyncIterator[ServerSide]:
+async def offered_call(monkeypatch) -> AsyncIterator[ServerSideRig]:
     """A rig with one call, which is out at its first server."""
-    rig = ServerSide(monkeypatch)
+    rig = ServerSideRig(monkeypatch)
     try:
         await rig.start()
         await rig.offer()
--- a/tests/test_ended_connections.py
+++ b/tests/test_ended_connections.py
@@ -13,7 +13,7 @@
 import pytest
 from conftest import RULES
 from race_conditions import ID, WAIT_S, run_coroutine
-from server_side import ServerSide
+from server_side import ServerSideRig
 
 from canvasplank.codecs import sip
 from canvasplank.config.discovery_events import Endpoint
@@ -23,7 +23,7 @@
 from canvasplank.network.stream import LINGER_MS, MAX_UNSENT_BYTES
 
 SERVER = "s-a"
-NOISE = b"noise\r\n\r\n"
+UNREADABLE = b"noise\r\n\r\n"
 STEP_MS = 10.0
 OTHER_ID = "cc" * 8
 RELEASE = sip.request("BYE", "caller", ID, 2, {"Reason": "Q.850;cause=16"})
@@ -32,19 +32,19 @@
 RESET_ON_CLOSE = struct.pack("ii", 1, 0)
 
 
-class Connections(ServerSide):
+class ConnectionsRig(ServerSideRig):
     """A rig that takes every connection to its only server, and keeps it open."""
 
     def __init__(self, monkeypatch) -> None:
         super().__init__(monkeypatch)
         self.listeners.pop("s-b").close()
         self.accepted: list[socket.socket] = []
-        self.connects_ms: list[float] = []  # when each was begun
+        self.connect_times_ms: list[float] = []  # when each was begun
         connect = ServerStream.connect
 
         def recorded_connect(stream: ServerStream, *arguments: object) -> None:
             if stream.peer.server_id == SERVER:
-                self.connects_ms.append(self.now_ms)
+                self.connect_times_ms.append(self.now_ms)
             connect(stream, *arguments)
 
         monkeypatch.setattr(ServerStream, "connect", recorded_connect)
@@ -59,20 +59,20 @@
         """Let time pass in small steps, and take what connects."""
         for _ in range(round(span_ms / STEP_MS)):
             await self.step(STEP_MS)
-            self.take()
+            self.accept_pending()
 
-    def take(self) -> None:
+    def accept_pending(self) -> None:
         with contextlib.suppress(OSError):  # nobody waits, or a test has closed the listener
             while True:
                 connection, _ = self.listeners[SERVER].accept()
                 self.accepted.append(connection)
                 connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
-    async def until(self, happened: Callable[[], bool]) -> None:
+    async def wait_until(self, happened: Callable[[], bool]) -> None:
         async with asyncio.timeout(WAIT_S):
             while not happened():
                 await self.step(STEP_MS)
-                self.take()
+                self.accept_pending()
 
     def close(self) -> None:
         super().close()
@@ -92,14 +92,14 @@
         """Have the call answered on the newest connection."""
         await self.offer()
         self.accepted[-1].sendall(ANSWER)
-        await self.until(lambda: self.exchange.established_calls == 1)
+        await self.wait_until(lambda: self.exchange.established_calls == 1)
 
-    async def end_unreadably(self) -> None:
+    async def reconnect_after_unreadable(self) -> None:
         """Have the newest connection ended by the proxy, and the next one up; the server keeps its side."""
         count, stream = len(self.accepted), self.peer.current
-        self.accepted[-1].sendall(NOISE)
-        await self.until(lambda: stream not in self.peer.streams)
-        await self.until(lambda: len(self.accepted) > count and self.connected == 1)
+        self.accepted[-1].sendall(UNREADABLE)
+        await self.wait_until(lambda: stream not in self.peer.streams)
+        await self.wait_until(lambda: len(self.accepted) > count and self.connected == 1)
 
     async def replace_current(self) -> ServerStream:
         """Have another connection take the place of the current one, as of one that has hung."""
@@ -107,7 +107,7 @@
         self.scheduler.begin_iteration()
         replaced.on_replaced()
         self.servers._connections.connect(self.peer)
-        await self.until(lambda: len(self.accepted) > count and self.peer.current.is_open)
+        await self.wait_until(lambda: len(self.accepted) > count and self.peer.current.is_open)
         return replaced
 
     def received(self) -> bytes:
@@ -122,8 +122,8 @@
 
 
 @contextlib.asynccontextmanager
-async def connections(monkeypatch) -> AsyncIterator[Connections]:
-    rig = Connections(monkeypatch)
+async def started_rig(monkeypatch) -> AsyncIterator[ConnectionsRig]:
+    rig = ConnectionsRig(monkeypatch)
     try:
         await rig.start()
         yield rig
@@ -131,10 +131,10 @@
         rig.close()
 
 
-def run(play: Callable[[Connections], Awaitable[None]], monkeypatch) -> None:
+def run(scenario: Callable[[ConnectionsRig], Awaitable[None]], monkeypatch) -> None:
     async def main() -> None:
-        async with connections(monkeypatch) as rig:
-            await play(rig)
+        async with started_rig(monkeypatch) as rig:
+            await scenario(rig)
 
     run_coroutine(main())
 
@@ -155,9 +155,9 @@
 def test_a_connection_stays_open_while_its_server_writes_on(monkeypatch):
     """A server that sees its end may drop what it has queued there, releases among it."""
 
-    async def play(rig: Connections) -> None:
+    async def scenario(rig: ConnectionsRig) -> None:
         old = rig.accepted[0]
-        old.sendall(NOISE)
+        old.sendall(UNREADABLE)
         for _ in range(round(MAX_OPEN_MS / 2 / STEP_MS)):
             await rig.advance_time(STEP_MS)
             old.sendall(b"x" * 100)
@@ -165,7 +165,7 @@
         await rig.advance_time(QUIET_MS + 4 * STEP_MS)
         assert has_ended(old)
 
-    run(play, monkeypatch)
+    run(scenario, monkeypatch)
 
 
 @pytest.mark.parametrize(
@@ -176,24 +176,24 @@
     ],
 )
 def test_a_server_that_never_pauses_is_closed_for_writing_in_time(monkeypatch, written, max_open_ms):
-    async def play(rig: Connections) -> None:
+    async def scenario(rig: ConnectionsRig) -> None:
         old = rig.accepted[0]
-        old.sendall(NOISE)
+        old.sendall(UNREADABLE)
         for _ in range(round((max_open_ms + 8 * STEP_MS) / STEP_MS)):
             await rig.advance_time(STEP_MS)
             old.sendall(written)
         assert has_ended(old)
 
-    run(play, monkeypatch)
+    run(scenario, monkeypatch)
 
 
 def test_a_long_iteration_of_the_process_is_no_pause_of_the_server(monkeypatch):
     """The pause counted from when the iteration had begun in which the server's last bytes were read."""
 
-    async def play(rig: Connections) -> None:
+    async def scenario(rig: ConnectionsRig) -> None:
         old, stream = rig.accepted[0], rig.peer.current
-        old.sendall(NOISE)
-        await rig.until(lambda: stream not in rig.peer.streams)
+        old.sendall(UNREADABLE)
+        await rig.wait_until(lambda: stream not in rig.peer.streams)
         rig.scheduler.begin_iteration()
         rig.now_ms += 2 * QUIET_MS
         old.sendall(b"x" * 100)
@@ -203,30 +203,30 @@
         await rig.advance_time(QUIET_MS + 4 * STEP_MS)
         assert has_ended(old)
 
-    run(play, monkeypatch)
+    run(scenario, monkeypatch)
 
 
 def test_a_release_queued_behind_what_takes_its_server_long_to_write_is_read(monkeypatch):
     """The proxy ended the connection after 0.4 s, and the server dropped what it had queued there."""
 
-    async def play(rig: Connections) -> None:
+    async def scenario(rig: ConnectionsRig) -> None:
         await rig.establish()
         old = rig.accepted[0]
-        old.sendall(NOISE)
+        old.sendall(UNREADABLE)
         for _ in range(round(2 * MAX_OPEN_MS / STEP_MS)):
             await rig.advance_time(STEP_MS)
             assert not has_ended(old)
             old.sendall(b"x" * 100)
         old.sendall(RELEASE)
-        await rig.until(lambda: rig.exchange.established_calls == 0)
+        await rig.wait_until(lambda: rig.exchange.established_calls == 0)
 
-    run(play, monkeypatch)
+    run(scenario, monkeypatch)
 
 
 def test_a_pause_of_the_process_leaves_a_server_its_time_to_write(monkeypatch):
     """The time ran from the iteration's reading of the clock, and was up as the connection ended."""
 
-    async def play(rig: Connections) -> None:
+    async def scenario(rig: ConnectionsRig) -> None:
         old, stream = rig.accepted[0], rig.peer.current
         rig.scheduler.begin_iteration()
         rig.now_ms += 2 * QUIET_MS
@@ -236,62 +236,62 @@
         await rig.advance_time(QUIET_MS)
         assert has_ended(old)
 
-    run(play, monkeypatch)
+    run(scenario, monkeypatch)
 
 
 def test_a_server_that_never_ends_its_side_is_read_for_a_bounded_time_and_reset(monkeypatch):
-    async def play(rig: Connections) -> None:
+    async def scenario(rig: ConnectionsRig) -> None:
         old = rig.accepted[0]
-        await rig.end_unreadably()
+        await rig.reconnect_after_unreadable()
         await rig.advance_time(MAX_OPEN_MS + LINGER_MS + 100.0)
         old.setblocking(False)
         rig.received()
         with pytest.raises((ConnectionResetError, BrokenPipeError)):
-            old.sendall(NOISE)
+            old.sendall(UNREADABLE)
 
-    run(play, monkeypatch)
+    run(scenario, monkeypatch)
 
 
-def test_nothing_is_read_on_where_no_message_was_bad(monkeypatch):
-    async def play(rig: Connections) -> None:
+def test_an_ended_connection_is_not_read_if_no_message_was_bad(monkeypatch):
+    async def scenario(rig: ConnectionsRig) -> None:
         rig.accepted[0].close()
-        await rig.until(lambda: len(rig.accepted) == 2)
+        await rig.wait_until(lambda: len(rig.accepted) == 2)
         await rig.replace_current()
-        await rig.until(lambda: rig.connected == 1)
+        await rig.wait_until(lambda: rig.connected == 1)
         assert not rig.servers._connections._ended._connections
 
-    run(play, monkeypatch)
+    run(scenario, monkeypatch)
 
 
 def test_a_server_whose_every_message_is_bad_is_connected_to_no_faster_than_the_backoff_allows(monkeypatch):
-    async def play(rig: Connections) -> None:
+    async def scenario(rig: ConnectionsRig) -> None:
         start_ms, count = rig.now_ms, 0
         while rig.now_ms < start_ms + 3000.0:
             while count < len(rig.accepted):
-                rig.accepted[count].sendall(NOISE)
+                rig.accepted[count].sendall(UNREADABLE)
                 count += 1
             await rig.advance_time(STEP_MS)
-        assert 10 < len(rig.connects_ms) <= 2 + (rig.now_ms - start_ms) / MIN_RECONNECT_DELAY_MS
+        assert 10 < len(rig.connect_times_ms) <= 2 + (rig.now_ms - start_ms) / MIN_RECONNECT_DELAY_MS
 
-    run(play, monkeypatch)
+    run(scenario, monkeypatch)
 
 
-def test_connections_that_are_read_on_are_bounded_and_the_oldest_goes_first(monkeypatch):
-    async def play(rig: Connections) -> None:
+def test_ended_connections_that_are_read_are_limited_and_the_oldest_is_closed_first(monkeypatch):
+    async def scenario(rig: ConnectionsRig) -> None:
         rig.servers.limit(32)  # two are kept
         descriptors = len(os.listdir("/proc/self/fd")) - len(rig.accepted)
         for _ in range(6):
-            await rig.end_unreadably()
+            await rig.reconnect_after_unreadable()
         assert len(os.listdir("/proc/self/fd")) - len(rig.accepted) - descriptors <= 2
         assert has_ended(rig.accepted[0])
         assert not has_ended(rig.accepted[-2])
 
-    run(play, monkeypatch)
+    run(scenario, monkeypatch)
 
 
-def test_a_connection_is_read_on_for_a_bounded_number_of_bytes(monkeypatch):
-    async def play(rig: Connections) -> None:
-        await rig.end_unreadably()
+def test_an_ended_connection_is_read_for_a_bounded_number_of_bytes(monkeypatch):
+    async def scenario(rig: ConnectionsRig) -> None:
+        await rig.reconnect_after_unreadable()
         old, sent = rig.accepted[0], 0
         old.setblocking(False)
         with pytest.raises((ConnectionResetError, BrokenPipeError)):
@@ -301,111 +301,113 @@
                 await rig.step(0.0)
         assert sent >= MAX_READ_BYTES
 
-    run(play, monkeypatch)
+    run(scenario, monkeypatch)
 
 
 def test_a_set_up_does_not_wait_for_the_servers_end(monkeypatch):
-    async def play(rig: Connections) -> None:
+    async def scenario(rig: ConnectionsRig) -> None:
         begun_ms = rig.now_ms
-        rig.accepted[0].sendall(NOISE)
-        await rig.until(lambda: rig.peer.current is None)
+        rig.accepted[0].sendall(UNREADABLE)
+        await rig.wait_until(lambda: rig.peer.current is None)
         rig.offer_call()
-        await rig.until(lambda: bool(rig.sent_ms))
+        await rig.wait_until(lambda: bool(rig.sent_ms))
         assert rig.now_ms - begun_ms < MIN_RECONNECT_DELAY_MS + 4 * STEP_MS
 
-    run(play, monkeypatch)
+    run(scenario, monkeypatch)
 
 
-def test_the_set_ups_open_on_it_are_cancelled_there(monkeypatch):
+def test_open_set_ups_are_cancelled_on_an_ended_connection(monkeypatch):
     """They are given up before the connection ends, which is up to ``MAX_OPEN_MS`` later."""
 
-    async def play(rig: Connections) -> None:
+    async def scenario(rig: ConnectionsRig) -> None:
         await rig.offer()
-        await rig.end_unreadably()
+        await rig.reconnect_after_unreadable()
         assert sip.request("CANCEL", "call", ID, 1) in rig.received()
 
-    run(play, monkeypatch)
+    run(scenario, monkeypatch)
 
 
-def leave(rig: Connections) -> None:
+def do_nothing(rig: ConnectionsRig) -> None:
     """Nothing else ends the attempt."""
 
 
-def cancel(rig: Connections) -> None:
+def cancel(rig: ConnectionsRig) -> None:
     """The decision module cancels the attempt, as one that waits in vain."""
     rig.scheduler.begin_iteration()
     rig.exchange._attempts.cancel(ID, 0)
 
 
-@pytest.mark.parametrize("at_once", [leave, cancel])
-@pytest.mark.parametrize("later", [leave, cancel])
-def test_the_release_wait_of_what_is_cancelled_there_counts_from_the_servers_end(monkeypatch, at_once, later):
+@pytest.mark.parametrize("first_action", [do_nothing, cancel])
+@pytest.mark.parametrize("second_action", [do_nothing, cancel])
+def test_the_release_wait_of_an_attempt_on_an_ended_connection_counts_from_the_servers_end(
+    monkeypatch, first_action, second_action
+):
     """It may read a cancellation late where it has sent what cannot be read, and gives all up at the end.
 
     The wait ran from 150 ms after the cancellation, and where the module cancelled it too, from then.
     """
 
-    async def play(rig: Connections) -> None:
+    async def scenario(rig: ConnectionsRig) -> None:
         await rig.offer()
         rig.peer.current.abort_unreadable("a bad message")
-        at_once(rig)
+        first_action(rig)
         await rig.advance_time(75.0)
-        later(rig)
+        second_action(rig)
         await rig.advance_time(2 * RULES.release_ms)
         assert len(rig.sent_ms) == 1
         rig.accepted[0].close()
         ended_ms = rig.now_ms
-        await rig.until(lambda: len(rig.sent_ms) == 2)
+        await rig.wait_until(lambda: len(rig.sent_ms) == 2)
         assert rig.sent_ms[1] - ended_ms >= RULES.release_ms
 
-    run(play, monkeypatch)
+    run(scenario, monkeypatch)
 
 
 def test_a_call_waits_a_bounded_time_for_a_server_that_never_ends_its_side(monkeypatch):
-    async def play(rig: Connections) -> None:
+    async def scenario(rig: ConnectionsRig) -> None:
         await rig.offer()
-        rig.accepted[0].sendall(NOISE)
+        rig.accepted[0].sendall(UNREADABLE)
         await rig.advance_time(QUIET_MS + LINGER_MS + RULES.release_ms + 100.0)
         assert len(rig.sent_ms) == 2
 
-    run(play, monkeypatch)
+    run(scenario, monkeypatch)
 
 
 def test_a_release_behind_the_end_is_confirmed_while_that_is_possible(monkeypatch):
-    async def play(rig: Connections) -> None:
+    async def scenario(rig: ConnectionsRig) -> None:
         await rig.establish()
         rig.callers.release = lambda origin, release: release.on_delivered()
-        rig.accepted[0].sendall(NOISE + b"x" * 10_000 + RELEASE)
-        await rig.until(lambda: rig.exchange.established_calls == 0)
+        rig.accepted[0].sendall(UNREADABLE + b"x" * 10_000 + RELEASE)
+        await rig.wait_until(lambda: rig.exchange.established_calls == 0)
         assert sip.response(200, "OK", next(sip.Parser().feed(RELEASE))) in rig.received()
 
-    run(play, monkeypatch)
+    run(scenario, monkeypatch)
 
 
 def test_a_release_behind_the_end_ends_no_call_of_another_server_and_none_that_is_unknown(monkeypatch):
     """It may stand in another message's body, which others than the server have written."""
 
-    async def play(rig: Connections) -> None:
+    async def scenario(rig: ConnectionsRig) -> None:
         await rig.establish()
         call = rig.exchange._table.established[ID]
         call.established_server_id = "another"
         old = rig.accepted[0]
-        await rig.end_unreadably()
+        await rig.reconnect_after_unreadable()
         old.sendall(RELEASE + RELEASE.replace(ID.encode(), OTHER_ID.encode()))
         await rig.advance_time(MAX_OPEN_MS)
         assert rig.exchange.established_calls == 1
         assert rig.exchange.counters["taken.ends_unknown"] == 0
 
-    run(play, monkeypatch)
+    run(scenario, monkeypatch)
 
 
 def test_a_call_answered_behind_the_end_is_released(monkeypatch):
     """Its release was written before the server had answered, on the next connection."""
 
-    async def play(rig: Connections) -> None:
+    async def scenario(rig: ConnectionsRig) -> None:
         await rig.offer()
         old = rig.accepted[0]
-        await rig.end_unreadably()
+        await rig.reconnect_after_unreadable()
         await rig.advance_time(50.0)
         assert b"BYE" in rig.received(), "for the answer that may have been lost"
         rig.scheduler.begin_iteration()
@@ -416,28 +418,28 @@
         await rig.advance_time(50.0)
         assert b"BYE" in rig.received()
 
-    run(play, monkeypatch)
+    run(scenario, monkeypatch)
 
 
 def test_a_call_answered_behind_the_end_is_not_released_while_it_is_set_up_there_anew(monkeypatch):
     """The release would end the later attempt: calls are known by their ids alone."""
 
-    async def play(rig: Connections) -> None:
+    async def scenario(rig: ConnectionsRig) -> None:
         await rig.offer()
         old = rig.accepted[0]
         rig.peer.current.abort_unsent()
-        await rig.until(lambda: len(rig.sent_ms) == 2)
+        await rig.wait_until(lambda: len(rig.sent_ms) == 2)
         rig.received()
         old.sendall(ANSWER)
         await rig.advance_time(50.0)
         assert b"BYE" not in rig.received()
 
-    run(play, monkeypatch)
+    run(scenario, monkeypatch)
 
 
 @pytest.mark.parametrize("draining", [True, False])
 def test_a_call_answered_behind_an_end_with_unsent_bytes_is_released(monkeypatch, draining):
-    async def play(rig: Connections) -> None:
+    async def scenario(rig: ConnectionsRig) -> None:
         await rig.offer()
         old, stream = rig.accepted[0], rig.peer.current
         assert b"INVITE" in rig.received()
@@ -451,7 +453,7 @@
             stream.write(b"x" * (MAX_UNSENT_BYTES + MAX_UNSENT_BYTES // 2))
         assert not stream.is_open
         old.sendall(ANSWER)
-        await rig.until(lambda: len(rig.accepted) == 2 and rig.connected == 1)
+        await rig.wait_until(lambda: len(rig.accepted) == 2 and rig.connected == 1)
         await rig.advance_time(50.0)
         rig.scheduler.begin_iteration()
         if rig.exchange.open_calls:
@@ -459,13 +461,13 @@
         await rig.advance_time(100.0)
         assert b"BYE" in rig.received()
 
-    run(play, monkeypatch)
+    run(scenario, monkeypatch)
 
 
 def test_a_release_of_ours_that_its_server_reads_late_is_not_lost_with_the_connection(monkeypatch):
     """It was written well before the bad message, and lies behind what the server has yet to read."""
 
-    async def play(rig: Connections) -> None:
+    async def scenario(rig: ConnectionsRig) -> None:
         old = rig.accepted[0]
         buffer = rig.peer.current.transport.get_extra_info("socket")
         buffer.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 1_000_000)
@@ -477,7 +479,7 @@
         await rig.advance_time(3000.0)
         old.sendall(sip.request("NOTIFY", "exchange", "0" * 16, 1, {}))
         await rig.advance_time(50.0)
-        await rig.end_unreadably()
+        await rig.reconnect_after_unreadable()
         await rig.advance_time(MAX_OPEN_MS + LINGER_MS + 100.0)
         old.settimeout(WAIT_S)
         data = b""
@@ -485,14 +487,14 @@
             data += chunk
         assert b"BYE" in data
 
-    run(play, monkeypatch)
+    run(scenario, monkeypatch)
 
 
 @pytest.mark.parametrize("closed_before", [True, False])
 def test_a_release_swallowed_by_an_incomplete_message_counts_as_its_server_ends_the_connection(
     monkeypatch, closed_before
 ):
-    async def play(rig: Connections) -> None:
+    async def scenario(rig: ConnectionsRig) -> None:
         await rig.establish()
         replaced = await rig.replace_current()
         replaced.on_received(memoryview(sip.request("NOTIFY", "exchange", "0" * 16, 1, {})))  # it is in use
@@ -504,29 +506,29 @@
         await rig.advance_time(100.0)
         assert rig.exchange.established_calls == 0
 
-    run(play, monkeypatch)
+    run(scenario, monkeypatch)
 
 
 def test_a_release_swallowed_by_an_incomplete_message_on_a_closing_connection_counts_in_time(monkeypatch):
     """The server ends its side late; it was read on for 2 s without a look at how long the message took."""
 
-    async def play(rig: Connections) -> None:
+    async def scenario(rig: ConnectionsRig) -> None:
         await rig.establish()
         replaced = await rig.replace_current()
         rig.scheduler.begin_iteration()
         replaced.close_writing()
         rig.accepted[0].sendall(INCOMPLETE + RELEASE)
-        await rig.until(lambda: bool(replaced.parser.in_message))
+        await rig.wait_until(lambda: bool(replaced.parser.in_message))
         timeout_ms = 100.0
         await rig.advance_time(2 * timeout_ms)
         assert replaced.is_message_overdue(timeout_ms)
         rig.servers._connections._check_messages(rig.peer)
 
-    run(play, monkeypatch)
+    run(scenario, monkeypatch)
 
 
 def test_closing_a_connection_that_was_reset_meanwhile_reads_the_release_on_it(monkeypatch):
-    async def play(rig: Connections) -> None:
+    async def scenario(rig: ConnectionsRig) -> None:
         await rig.establish()
         stream, server = rig.peer.current, rig.accepted[0]
         server.sendall(RELEASE)
@@ -539,4 +541,4 @@
         await rig.advance_time(100.0)
         assert rig.exchange.established_calls == 0
 
-    run(play, monkeypatch)
+    run(scenario, monkeypatch)
--- a/tests/test_race_conditions_servers.py
+++ b/tests/test_race_conditions_servers.py
@@ -12,7 +12,7 @@
 import pytest
 from exchange_replay import Replay
 from race_conditions import ID, WAIT_S, run_coroutine, set_up
-from server_side import CALL_MS, ServerSide
+from server_side import CALL_MS, ServerSideRig
 
 from canvasplank import interface as api
 from canvasplank.codecs import sip
@@ -139,7 +139,7 @@
     """Both had one reading of the clock, and the set-up passed for answered."""
 
     async def run() -> int:
-        rig = ServerSide(monkeypatch, resend_ms=500.0)
+        rig = ServerSideRig(monkeypatch, resend_ms=500.0)
         try:
             rig.list_servers()
             rig.offer_call()
@@ -159,7 +159,7 @@
     pause_ms = 400.0
 
     async def run() -> bytes:
-        rig = ServerSide(monkeypatch)
+        rig = ServerSideRig(monkeypatch)
         try:
             await rig.start()
             rig.offer_call(pause_ms)
@@ -177,7 +177,7 @@
     """It was stamped with the iteration's start, and taken for one that had been read long ago."""
 
     async def run() -> dict[str, object]:
-        rig = ServerSide(monkeypatch)
+        rig = ServerSideRig(monkeypatch)
         try:
             await rig.start()
             peer = rig.servers._peers["s-a"]
--- a/tests/test_release_wait.py
+++ b/tests/test_release_wait.py
@@ -15,7 +15,7 @@
 import pytest
 from conftest import RULES
 from race_conditions import ID, WAIT_S, run_coroutine
-from server_side import CALL_MS, STEP_MS, ServerSide, offered_call
+from server_side import CALL_MS, STEP_MS, ServerSideRig, offered_call
 
 import canvasplank
 from canvasplank.config.discovery_events import Endpoint
@@ -25,27 +25,27 @@
 PAUSE_MS = 150.0
 
 
-def cancel_at_silent_server(rig: ServerSide) -> None:
+def cancel_at_silent_server(rig: ServerSideRig) -> None:
     """Nothing comes from the server, and the decision module moves the call."""
 
 
-def cancel_at_gone_server(rig: ServerSide) -> None:
+def cancel_at_gone_server(rig: ServerSideRig) -> None:
     """The list shows that the server is gone while its connection is still open."""
     entry = Endpoint(rig.first_server, "127.0.0.1:1", lifecycle="gone")
     rig.servers.update_endpoints(False, [entry])
 
 
-def reset_unreadable(rig: ServerSide) -> None:
+def reset_unreadable(rig: ServerSideRig) -> None:
     rig.first_stream().abort_unreadable("a bad message")
 
 
-def reset_for_restart(rig: ServerSide) -> None:
+def reset_for_restart(rig: ServerSideRig) -> None:
     port = rig.listeners[rig.first_server].getsockname()[1]
     entry = Endpoint(rig.first_server, f"127.0.0.1:{port}", "ready", started_at_ms=rig.scheduler.now_ms + 1)
     rig.servers.update_endpoints(False, [entry])
 
 
-def reset_by_peer(rig: ServerSide) -> None:
+def reset_by_peer(rig: ServerSideRig) -> None:
     rig.peers[rig.first_server].close()
 
 
@@ -61,7 +61,7 @@
 class Pause:
     """Lets the clock jump once, before the line of this number that the program executes."""
 
-    def __init__(self, rig: ServerSide, at_line: int | None) -> None:
+    def __init__(self, rig: ServerSideRig, at_line: int | None) -> None:
         self.lines = 0
         self._rig, self._at_line = rig, at_line
         self._files = tuple(str(PACKAGE / name) for name in PAUSED_PACKAGES)
@@ -83,14 +83,16 @@
         return self._trace
 
 
-class Play(NamedTuple):
+class RepeatedCall(NamedTuple):
     """One call that was given up at its first server and sent again."""
 
     waited_ms: float  # from when the first server could know to when the next set-up was written
     lines: range  # those that the program executed in the iteration in which the call was given up
 
 
-async def play(monkeypatch, give_up: Callable[[ServerSide], None], pause_at: int | None = None) -> Play:
+async def repeat_call(
+    monkeypatch, give_up: Callable[[ServerSideRig], None], pause_at: int | None = None
+) -> RepeatedCall:
     async with offered_call(monkeypatch) as rig:
         with Pause(rig, pause_at) as pause:
             first_line = pause.lines
@@ -102,17 +104,17 @@
                     await rig.step()
             await rig.step(0.0)
         lines = range(first_line, pause.lines)
-        await rig.until_sent_again()
-        return Play(rig.sent_ms[1] - rig.given_up_ms, lines)
+        await rig.wait_until_sent_again()
+        return RepeatedCall(rig.sent_ms[1] - rig.given_up_ms, lines)
 
 
 @pytest.mark.parametrize("give_up", WAYS_TO_GIVE_UP)
 def test_a_pause_between_any_two_lines_does_not_shorten_the_release_wait(monkeypatch, give_up):
     """The wait ran from the iteration's reading of the clock, and the cancellation was written later."""
 
-    def run(pause_at: int | None = None) -> Play:
+    def run(pause_at: int | None = None) -> RepeatedCall:
         with monkeypatch.context() as patches:
-            return run_coroutine(play(patches, give_up, pause_at))
+            return run_coroutine(repeat_call(patches, give_up, pause_at))
 
     unpaused = run()
     assert unpaused.waited_ms >= RULES.release_ms
@@ -125,7 +127,7 @@
 
     async def run() -> float:
         async with offered_call(monkeypatch) as rig:
-            await rig.let_cancellation_wait()
+            await rig.block_cancellation()
             await rig.step(2 * RULES.release_ms)
             await rig.step()
             assert len(rig.sent_ms) == 1
@@ -133,7 +135,7 @@
             while b"CANCEL" not in received:
                 received += await asyncio.get_running_loop().run_in_executor(None, peer.recv, 65536)
             given_up_ms = rig.now_ms
-            await rig.until_sent_again()
+            await rig.wait_until_sent_again()
             return rig.sent_ms[1] - given_up_ms
 
     assert run_coroutine(run()) >= RULES.release_ms
@@ -143,7 +145,7 @@
     async def run() -> tuple[list[str], int]:
         async with offered_call(monkeypatch) as rig:
             expires_ms = rig.now_ms + CALL_MS
-            await rig.let_cancellation_wait()
+            await rig.block_cancellation()
             while rig.now_ms < expires_ms - STEP_MS:
                 await rig.step()
             return rig.callers.rejected, len(rig.sent_ms)
@@ -156,10 +158,10 @@
 
     async def run() -> float:
         async with offered_call(monkeypatch) as rig:
-            await rig.let_cancellation_wait()
+            await rig.block_cancellation()
             rig.first_stream().abort()
             ended_ms = rig.now_ms
-            await rig.until_sent_again()
+            await rig.wait_until_sent_again()
             return rig.sent_ms[1] - ended_ms
 
     assert run_coroutine(run()) >= RULES.release_ms
@@ -183,7 +185,7 @@
                 while peer.pending_releases:
                     await rig.step()
             left_ms = rig.now_ms
-            await rig.until_sent_again()
+            await rig.wait_until_sent_again()
             return rig.sent_ms[1] - left_ms
 
     assert run_coroutine(run()) >= RULES.release_ms
@@ -194,7 +196,7 @@
         async with offered_call(monkeypatch) as rig:
             rig.listeners[rig.first_server].close()
             rig.first_stream().abort_unreadable("a bad message")
-            await rig.until_sent_again()
+            await rig.wait_until_sent_again()
             return len(set(rig.servers_sent_to))
 
     assert run_coroutine(run()) == 2
--- a/tests/test_releases_across_processes.py
+++ b/tests/test_releases_across_processes.py
@@ -16,7 +16,7 @@
 import pytest
 from exchange_replay import SETTINGS
 from race_conditions import ID, TEST, WAIT_S, read_until_eof, run_coroutine, set_up
-from server_side import ServerSide, offered_call
+from server_side import ServerSideRig, offered_call
 from two_processes import Deployment, StandInServer, read_message
 
 from canvasplank.codecs import isup, sip
@@ -151,14 +151,14 @@
 
 
 # The process fails what is open 1.9 s after SIGTERM, before it takes a connection for silent.
-BRIEF_SETTINGS = SETTINGS | {
+SHORT_DEADLINE_SETTINGS = SETTINGS | {
     "profiles": [profile | {"aim_ms": 1500.0, "deadline_ms": 1500.0} for profile in SETTINGS["profiles"]],
     "family_info": SETTINGS["family_info"] | {"resend_ms": 8000.0},
 }
 MARKER_ID = "dd" * 8
 
 
-def failed_by_the_end_of_the_process(deployment: Deployment, caller: socket.socket) -> None:
+def fail_call_by_shutdown(deployment: Deployment, caller: socket.socket) -> None:
     """The process is told to stop, and fails the caller's call as it ends."""
     deployment.processes[0].send_signal(signal.SIGTERM)
     assert read_message(caller, isup.Kind.RELEASE).call_id == ID
@@ -183,8 +183,13 @@
 def test_a_call_whose_answer_crosses_its_cancellation_at_the_end_of_the_process_fails_once(tmp_path):
     """Its server established it; the next process passed its release on, a second final answer."""
     server = StandInServer()
-    with attempted_call(tmp_path, server, BRIEF_SETTINGS) as (deployment, caller, connection, invite):
-        failed_by_the_end_of_the_process(deployment, caller)
+    with attempted_call(tmp_path, server, SHORT_DEADLINE_SETTINGS) as (
+        deployment,
+        caller,
+        connection,
+        invite,
+    ):
+        fail_call_by_shutdown(deployment, caller)
         server.answer(connection, invite)  # before it has read the cancellation
         assert deployment.processes[0].wait(WAIT_S) == 0
         server.read_all_to_the_end()
@@ -197,7 +202,7 @@
     with attempted_call(tmp_path, server) as (deployment, caller, hung, _):
         server.established[ID] = hung  # and its answer is lost
         server.accept()
-        failed_by_the_end_of_the_process(deployment, caller)
+        fail_call_by_shutdown(deployment, caller)
         assert deployment.processes[0].wait(WAIT_S) == 0
         server.connections.remove(hung)
         server.read_all_to_the_end()
@@ -209,21 +214,21 @@
     """Nothing passes on the connection any more, and no other comes up."""
 
 
-def end_unreadably(server: StandInServer, connection: socket.socket) -> None:
+def send_unreadable(server: StandInServer, connection: socket.socket) -> None:
     """The process ends the connection, and no other comes up to carry the release."""
     server.listener.close()
     connection.sendall(b"noise\r\n\r\n")
 
 
-@pytest.mark.parametrize("disturb", [hang, end_unreadably])
+@pytest.mark.parametrize("disturb", [hang, send_unreadable])
 def test_a_call_that_failed_while_its_server_was_out_of_reach_fails_once_across_an_upgrade(tmp_path, disturb):
     """The server established it, and released it to the new process, which passed that on."""
     server = StandInServer()
-    with attempted_call(tmp_path, server, BRIEF_SETTINGS) as (deployment, caller, out_of_reach, _):
+    with attempted_call(tmp_path, server, SHORT_DEADLINE_SETTINGS) as (deployment, caller, out_of_reach, _):
         deployment.start()
         connection = server.accept()
         disturb(server, out_of_reach)
-        failed_by_the_end_of_the_process(deployment, caller)
+        fail_call_by_shutdown(deployment, caller)
         assert deployment.processes[0].wait(WAIT_S) == 0
         server.connections.remove(out_of_reach)
         server.established[ID] = connection  # its answer was lost
@@ -291,7 +296,7 @@
     server = StandInServer()
     with attempted_call(tmp_path, server, wait_ms=CALLER_WAIT_MS) as (deployment, caller, out_of_reach, _):
         address = refuse_connections(server)
-        failed_by_the_end_of_the_process(deployment, caller)
+        fail_call_by_shutdown(deployment, caller)
         assert deployment.processes[0].wait(WAIT_S) == 0
         come_back_and_release(server, address, out_of_reach)
         assert_not_released_by_the_next_process(deployment, server)
@@ -359,7 +364,7 @@
     run_coroutine(run())
 
 
-async def answer_offered_call(rig: ServerSide, peer: socket.socket) -> None:
+async def answer_offered_call(rig: ServerSideRig, peer: socket.socket) -> None:
     """Establish the call that is out at its first server."""
     loop, parser = asyncio.get_running_loop(), sip.Parser()
     invite = next(parser.feed(memoryview(await loop.run_in_executor(None, peer.recv, 65_536))))
--- a/tests/test_releases_behind_unreadable_messages.py
+++ b/tests/test_releases_behind_unreadable_messages.py
@@ -20,7 +20,7 @@
 import pytest
 from conftest import RULES
 from race_conditions import ID, WAIT_S, run_coroutine
-from server_side import CALL_MS, CallerSide, ServerSide
+from server_side import CALL_MS, CallerSide, ServerSideRig
 
 from canvasplank.codecs import sip
 from canvasplank.codecs.q850 import ReleaseCause
@@ -47,7 +47,7 @@
 each_kind = pytest.mark.parametrize("kind", UnreadableKind, ids=lambda kind: kind.name.lower())
 
 
-class ToldRelease(NamedTuple):
+class DeliveredRelease(NamedTuple):
     """A release that was passed on to the callers' side."""
 
     call_id: str
@@ -60,11 +60,11 @@
 
     def __init__(self, clock_ms: Callable[[], float]) -> None:
         super().__init__()
-        self.told: list[ToldRelease] = []
+        self.delivered: list[DeliveredRelease] = []
         self._clock_ms = clock_ms
 
     def release(self, origin, release) -> None:
-        self.told.append(ToldRelease(release.call_id, release.cause, self._clock_ms()))
+        self.delivered.append(DeliveredRelease(release.call_id, release.cause, self._clock_ms()))
         if release.on_delivered is not None:
             release.on_delivered()
 
@@ -223,11 +223,11 @@
     return sip.request("BYE", "caller", call_id, 2, {"Reason": "Q.850;cause=16"})
 
 
-class Play:
+class Scenario:
     """The proxy's side of the call servers, and a conforming server with one established call."""
 
     def __init__(self, monkeypatch, *, servers: tuple[str, ...] = (SERVER,)) -> None:
-        self.rig = ServerSide(monkeypatch, resend_ms=RESEND_MS)
+        self.rig = ServerSideRig(monkeypatch, resend_ms=RESEND_MS)
         for name in [name for name in self.rig.listeners if name not in servers]:
             self.rig.listeners.pop(name).close()
         self.callers = RecordingCallers(lambda: self.rig.now_ms)
@@ -249,13 +249,13 @@
     async def start(self) -> None:
         self.rig.list_servers()
         connected = "sockets.servers"
-        await self.until(lambda: self.rig.exchange.counters[connected] == len(self.servers))
+        await self.wait_until(lambda: self.rig.exchange.counters[connected] == len(self.servers))
         await self.establish(ID)
 
     async def establish(self, call_id: str) -> None:
         established = self.rig.exchange.established_calls
         self.offer(call_id)
-        await self.until(lambda: self.rig.exchange.established_calls > established)
+        await self.wait_until(lambda: self.rig.exchange.established_calls > established)
 
     def offer(self, call_id: str) -> None:
         expires_ms = self.rig.now_ms + CALL_MS
@@ -269,7 +269,7 @@
             server.poll()
         await asyncio.sleep(0.001)
 
-    async def until(self, condition: Callable[[], object], within_ms: float = MAX_WAIT_MS) -> None:
+    async def wait_until(self, condition: Callable[[], object], within_ms: float = MAX_WAIT_MS) -> None:
         until_ms = self.rig.now_ms + within_ms
         while not condition():
             assert self.rig.now_ms < until_ms, "it did not come"
@@ -280,24 +280,24 @@
         while self.rig.now_ms < until_ms:
             await self.step()
 
-    async def until_ended(self, connection: Connection) -> None:
+    async def wait_until_ended(self, connection: Connection) -> None:
         """Until the proxy's end of it has arrived; whether the server notices that is its own affair."""
-        await self.until(lambda: connection.ended_ms is not None)
+        await self.wait_until(lambda: connection.ended_ms is not None)
 
-    async def until_accepted_or_nearly_noticed(self, old: Connection, count: int) -> None:
+    async def wait_until_accepted_or_nearly_noticed(self, old: Connection, count: int) -> None:
         """Until this many connections were accepted, or the end of this one is about to be noticed."""
 
         def is_nearly_noticed() -> bool:
             notice_ms = (old.ended_ms or NEVER_MS) + self.server.notices_end_after_ms
             return self.rig.now_ms >= notice_ms - MARGIN_MS
 
-        await self.until(lambda: len(self.server.accepted) >= count or is_nearly_noticed())
+        await self.wait_until(lambda: len(self.server.accepted) >= count or is_nearly_noticed())
 
-    async def told(self, call_id: str = ID) -> list[ToldRelease]:
+    async def wait_for_releases(self, call_id: str = ID) -> list[DeliveredRelease]:
         """All that the callers' side is told of this call, in time for the first and for a repetition."""
 
-        def releases() -> list[ToldRelease]:
-            return [each for each in self.callers.told if each.call_id == call_id]
+        def releases() -> list[DeliveredRelease]:
+            return [each for each in self.callers.delivered if each.call_id == call_id]
 
         limit_ms = self.server.written_ms[call_id] + RELEASE_LIMIT_MS
         while not releases() and self.rig.now_ms + STEP_MS <= limit_ms:
@@ -310,10 +310,10 @@
             await self.pass_ms(REPETITION_MS)
         return releases()
 
-    async def assert_told_once(self, call_id: str = ID) -> None:
-        told = await self.told(call_id)
-        assert [each.cause for each in told] == [ReleaseCause.NORMAL_CLEARING], self.description()
-        assert told[0].at_ms <= self.server.written_ms[call_id] + RELEASE_LIMIT_MS
+    async def assert_delivered_once(self, call_id: str = ID) -> None:
+        delivered = await self.wait_for_releases(call_id)
+        assert [each.cause for each in delivered] == [ReleaseCause.NORMAL_CLEARING], self.description()
+        assert delivered[0].at_ms <= self.server.written_ms[call_id] + RELEASE_LIMIT_MS
 
     def description(self) -> str:
         """What the server saw of its connections, for a failure's text."""
@@ -329,29 +329,29 @@
         self.rig.close()
 
 
-Script = Callable[[Play], Coroutine[object, object, None]]
+Script = Callable[[Scenario], Coroutine[object, object, None]]
 
 
 @pytest.fixture
-def run_play(monkeypatch) -> Iterator[Callable[..., None]]:
+def run_scenario(monkeypatch) -> Iterator[Callable[..., None]]:
     """Run a script with a call established, and let go of all sockets."""
 
     def run(script: Script, **options: object) -> None:
         async def started() -> None:
-            play = Play(monkeypatch, **options)
+            scenario = Scenario(monkeypatch, **options)
             try:
                 async with asyncio.timeout(WAIT_S):
-                    await play.start()
-                    await script(play)
+                    await scenario.start()
+                    await script(scenario)
             finally:
-                play.close()
+                scenario.close()
 
         run_coroutine(started())
 
     return run
 
 
-def bad(kind: UnreadableKind) -> bytes:
+def unreadable(kind: UnreadableKind) -> bytes:
     return unreadable_message(kind, NO_ID)
 
 
@@ -359,294 +359,294 @@
 
 
 @each_kind
-def test_in_the_same_segment(run_play, kind):
-    async def script(play: Play) -> None:
-        play.server.release(ID, behind=bad(kind))
-        await play.assert_told_once()
+def test_in_the_same_segment(run_scenario, kind):
+    async def script(scenario: Scenario) -> None:
+        scenario.server.release(ID, behind=unreadable(kind))
+        await scenario.assert_delivered_once()
 
-    run_play(script)
+    run_scenario(script)
 
 
 @each_kind
-def test_in_the_next_segment_that_the_proxy_has_yet_to_read(run_play, kind):
-    async def script(play: Play) -> None:
-        play.server.write(play.connection, bad(kind))
-        play.server.release(ID)
-        await play.assert_told_once()
+def test_in_the_next_segment_that_the_proxy_has_yet_to_read(run_scenario, kind):
+    async def script(scenario: Scenario) -> None:
+        scenario.server.write(scenario.connection, unreadable(kind))
+        scenario.server.release(ID)
+        await scenario.assert_delivered_once()
 
-    run_play(script)
+    run_scenario(script)
 
 
 @each_kind
-def test_before_the_end_is_noticed_and_the_next_connection_accepted(run_play, kind):
-    async def script(play: Play) -> None:
-        play.server.accepts = False
-        play.server.notices_end_after_ms = LATE_NOTICE_MS
-        play.server.write(play.connection, bad(kind))
-        await play.until_ended(play.connection)
-        play.server.release(ID)
-        play.server.accepts = True
-        await play.assert_told_once()
+def test_before_the_end_is_noticed_and_the_next_connection_accepted(run_scenario, kind):
+    async def script(scenario: Scenario) -> None:
+        scenario.server.accepts = False
+        scenario.server.notices_end_after_ms = LATE_NOTICE_MS
+        scenario.server.write(scenario.connection, unreadable(kind))
+        await scenario.wait_until_ended(scenario.connection)
+        scenario.server.release(ID)
+        scenario.server.accepts = True
+        await scenario.assert_delivered_once()
 
-    run_play(script)
+    run_scenario(script)
 
 
 @each_kind
-def test_after_the_next_connection_is_accepted_and_before_the_end_is_noticed(run_play, kind):
+def test_after_the_next_connection_is_accepted_and_before_the_end_is_noticed(run_scenario, kind):
     """No connection follows the one that was accepted before the release was written."""
 
-    async def script(play: Play) -> None:
-        play.server.notices_end_after_ms = LATE_NOTICE_MS
-        play.server.write(play.connection, bad(kind))
-        await play.until_accepted_or_nearly_noticed(play.connection, 2)
-        play.server.release(ID)
-        await play.assert_told_once()
+    async def script(scenario: Scenario) -> None:
+        scenario.server.notices_end_after_ms = LATE_NOTICE_MS
+        scenario.server.write(scenario.connection, unreadable(kind))
+        await scenario.wait_until_accepted_or_nearly_noticed(scenario.connection, 2)
+        scenario.server.release(ID)
+        await scenario.assert_delivered_once()
 
-    run_play(script)
+    run_scenario(script)
 
 
 @each_kind
-def test_after_a_set_up_had_the_next_connection_made_at_once(run_play, kind):
+def test_after_a_set_up_had_the_next_connection_made_at_once(run_scenario, kind):
     """A set-up waits for no delay before the next connection."""
 
-    async def script(play: Play) -> None:
-        play.server.notices_end_after_ms = LATE_NOTICE_MS
-        play.server.write(play.connection, bad(kind))
-        await play.until_ended(play.connection)
-        play.offer(OTHER_ID)
-        await play.until_accepted_or_nearly_noticed(play.connection, 2)
-        play.server.release(ID)
-        await play.assert_told_once()
-        await play.until(lambda: play.rig.exchange.established_calls == 1)
-        assert play.server.has_set_up(OTHER_ID)
+    async def script(scenario: Scenario) -> None:
+        scenario.server.notices_end_after_ms = LATE_NOTICE_MS
+        scenario.server.write(scenario.connection, unreadable(kind))
+        await scenario.wait_until_ended(scenario.connection)
+        scenario.offer(OTHER_ID)
+        await scenario.wait_until_accepted_or_nearly_noticed(scenario.connection, 2)
+        scenario.server.release(ID)
+        await scenario.assert_delivered_once()
+        await scenario.wait_until(lambda: scenario.rig.exchange.established_calls == 1)
+        assert scenario.server.has_set_up(OTHER_ID)
 
-    run_play(script)
+    run_scenario(script)
 
 
 @each_kind
-def test_behind_the_unreadable_answer_of_another_call(run_play, kind):
+def test_behind_the_unreadable_answer_of_another_call(run_scenario, kind):
     """The release of the other call, which its answer may have established, has the next connection made."""
 
-    async def script(play: Play) -> None:
-        play.server.answers = False
-        play.offer(OTHER_ID)
-        await play.until(lambda: play.server.has_set_up(OTHER_ID))
-        play.server.answers = True
-        play.server.notices_end_after_ms = LATE_NOTICE_MS
-        play.server.write(play.connection, unreadable_message(kind, OTHER_ID))
-        await play.until_accepted_or_nearly_noticed(play.connection, 2)
-        play.server.release(ID)
-        await play.assert_told_once()
-        assert [each.call_id for each in play.callers.told] == [ID]
+    async def script(scenario: Scenario) -> None:
+        scenario.server.answers = False
+        scenario.offer(OTHER_ID)
+        await scenario.wait_until(lambda: scenario.server.has_set_up(OTHER_ID))
+        scenario.server.answers = True
+        scenario.server.notices_end_after_ms = LATE_NOTICE_MS
+        scenario.server.write(scenario.connection, unreadable_message(kind, OTHER_ID))
+        await scenario.wait_until_accepted_or_nearly_noticed(scenario.connection, 2)
+        scenario.server.release(ID)
+        await scenario.assert_delivered_once()
+        assert [each.call_id for each in scenario.callers.delivered] == [ID]
 
-    run_play(script)
+    run_scenario(script)
 
 
 @each_kind
-def test_just_before_the_end_is_noticed(run_play, kind):
-    async def script(play: Play) -> None:
-        play.server.notices_end_after_ms = LATE_NOTICE_MS
-        play.server.write(play.connection, bad(kind))
-        await play.until_ended(play.connection)
-        await play.pass_ms(LATE_NOTICE_MS - MARGIN_MS)
-        play.server.release(ID)
-        await play.assert_told_once()
+def test_just_before_the_end_is_noticed(run_scenario, kind):
+    async def script(scenario: Scenario) -> None:
+        scenario.server.notices_end_after_ms = LATE_NOTICE_MS
+        scenario.server.write(scenario.connection, unreadable(kind))
+        await scenario.wait_until_ended(scenario.connection)
+        await scenario.pass_ms(LATE_NOTICE_MS - MARGIN_MS)
+        scenario.server.release(ID)
+        await scenario.assert_delivered_once()
 
-    run_play(script)
+    run_scenario(script)
 
 
 # ------------------------------------------------------------------------ the next connection is spoiled, too
 
 
 @each_kind
-def test_both_sendings_are_behind_a_bad_message(run_play, kind):
+def test_both_sendings_are_behind_a_bad_message(run_scenario, kind):
     """The next connection brings a bad message before the release that is sent there again."""
 
-    async def script(play: Play) -> None:
-        play.server.greetings = [(bad(kind), b"")]
-        play.server.release(ID, behind=bad(kind))
-        await play.assert_told_once()
+    async def script(scenario: Scenario) -> None:
+        scenario.server.greetings = [(unreadable(kind), b"")]
+        scenario.server.release(ID, behind=unreadable(kind))
+        await scenario.assert_delivered_once()
 
-    run_play(script)
+    run_scenario(script)
 
 
 @each_kind
-def test_the_next_connection_is_spoiled_behind_the_release(run_play, kind):
-    async def script(play: Play) -> None:
-        play.server.greetings = [(b"", bad(kind))]
-        play.server.release(ID, behind=bad(kind))
-        await play.assert_told_once()
+def test_the_next_connection_becomes_unreadable_after_the_release(run_scenario, kind):
+    async def script(scenario: Scenario) -> None:
+        scenario.server.greetings = [(b"", unreadable(kind))]
+        scenario.server.release(ID, behind=unreadable(kind))
+        await scenario.assert_delivered_once()
 
-    run_play(script)
+    run_scenario(script)
 
 
 @each_kind
-def test_on_the_first_connection_once_the_second_is_spoiled(run_play, kind):
-    async def script(play: Play) -> None:
-        play.server.notices_end_after_ms = LATE_NOTICE_MS
-        play.server.greetings = [(b"", bad(kind))]
-        play.server.write(play.connection, bad(kind))
-        await play.until_accepted_or_nearly_noticed(play.connection, 2)
-        play.server.release(ID)
-        await play.assert_told_once()
+def test_on_the_first_connection_once_the_second_is_unreadable(run_scenario, kind):
+    async def script(scenario: Scenario) -> None:
+        scenario.server.notices_end_after_ms = LATE_NOTICE_MS
+        scenario.server.greetings = [(b"", unreadable(kind))]
+        scenario.server.write(scenario.connection, unreadable(kind))
+        await scenario.wait_until_accepted_or_nearly_noticed(scenario.connection, 2)
+        scenario.server.release(ID)
+        await scenario.assert_delivered_once()
 
-    run_play(script)
+    run_scenario(script)
 
 
 @each_kind
-def test_on_the_first_connection_once_the_third_is_accepted(run_play, kind):
-    async def script(play: Play) -> None:
-        play.server.notices_end_after_ms = LATE_NOTICE_MS
-        play.server.greetings = [(b"", bad(kind))]
-        play.server.write(play.connection, bad(kind))
-        await play.until_accepted_or_nearly_noticed(play.connection, 3)
-        play.server.release(ID)
-        await play.assert_told_once()
+def test_on_the_first_connection_once_the_third_is_accepted(run_scenario, kind):
+    async def script(scenario: Scenario) -> None:
+        scenario.server.notices_end_after_ms = LATE_NOTICE_MS
+        scenario.server.greetings = [(b"", unreadable(kind))]
+        scenario.server.write(scenario.connection, unreadable(kind))
+        await scenario.wait_until_accepted_or_nearly_noticed(scenario.connection, 3)
+        scenario.server.release(ID)
+        await scenario.assert_delivered_once()
 
-    run_play(script)
+    run_scenario(script)
 
 
 @each_kind
-def test_behind_the_bad_message_of_the_second_connection(run_play, kind):
+def test_behind_the_bad_message_of_the_second_connection(run_scenario, kind):
     """The end of the first was noticed, and the release goes on the other that is open."""
 
-    async def script(play: Play) -> None:
-        play.server.write(play.connection, bad(kind))
-        await play.until(lambda: play.connection.noticed and len(play.server.accepted) == 2)
-        play.server.release(ID, behind=bad(kind))
-        await play.assert_told_once()
+    async def script(scenario: Scenario) -> None:
+        scenario.server.write(scenario.connection, unreadable(kind))
+        await scenario.wait_until(lambda: scenario.connection.noticed and len(scenario.server.accepted) == 2)
+        scenario.server.release(ID, behind=unreadable(kind))
+        await scenario.assert_delivered_once()
 
-    run_play(script)
+    run_scenario(script)
 
 
 @each_kind
-def test_on_the_second_connection_once_the_third_is_accepted(run_play, kind):
+def test_on_the_second_connection_once_the_third_is_accepted(run_scenario, kind):
     """The end of the first was noticed, that of the second was not."""
 
-    async def script(play: Play) -> None:
-        play.server.write(play.connection, bad(kind))
-        await play.until(lambda: play.connection.noticed and len(play.server.accepted) == 2)
-        second = play.server.newest
-        play.server.notices_end_after_ms = LATE_NOTICE_MS
-        play.server.write(second, bad(kind))
-        await play.until_accepted_or_nearly_noticed(second, 3)
-        play.server.release(ID, on=second)
-        await play.assert_told_once()
+    async def script(scenario: Scenario) -> None:
+        scenario.server.write(scenario.connection, unreadable(kind))
+        await scenario.wait_until(lambda: scenario.connection.noticed and len(scenario.server.accepted) == 2)
+        second = scenario.server.newest
+        scenario.server.notices_end_after_ms = LATE_NOTICE_MS
+        scenario.server.write(second, unreadable(kind))
+        await scenario.wait_until_accepted_or_nearly_noticed(second, 3)
+        scenario.server.release(ID, on=second)
+        await scenario.assert_delivered_once()
 
-    run_play(script)
+    run_scenario(script)
 
 
 # ---------------------------------------------------------------------------------- a replaced connection
 
 
-async def replace_connection(play: Play) -> None:
+async def replace_connection(scenario: Scenario) -> None:
     """Have the call's connection hang and another take its place; the first is in use again after that."""
-    play.server.answers = False
-    play.offer(OTHER_ID)
-    await play.until(lambda: len(play.server.accepted) == 2)
-    play.server.answers = True
-    play.server.answer(OTHER_ID)
-    await play.until(lambda: play.rig.exchange.established_calls == 2)
-    assert play.connection.ended_ms is None
-    assert play.connection is play.server.connection_of(OTHER_ID)
+    scenario.server.answers = False
+    scenario.offer(OTHER_ID)
+    await scenario.wait_until(lambda: len(scenario.server.accepted) == 2)
+    scenario.server.answers = True
+    scenario.server.answer(OTHER_ID)
+    await scenario.wait_until(lambda: scenario.rig.exchange.established_calls == 2)
+    assert scenario.connection.ended_ms is None
+    assert scenario.connection is scenario.server.connection_of(OTHER_ID)
 
 
 @each_kind
-def test_in_the_same_segment_on_a_replaced_connection(run_play, kind):
+def test_in_the_same_segment_on_a_replaced_connection(run_scenario, kind):
     """Its successor has long been up, and no connection follows."""
 
-    async def script(play: Play) -> None:
-        await replace_connection(play)
-        play.server.release(ID, behind=bad(kind))
-        await play.assert_told_once()
+    async def script(scenario: Scenario) -> None:
+        await replace_connection(scenario)
+        scenario.server.release(ID, behind=unreadable(kind))
+        await scenario.assert_delivered_once()
 
-    run_play(script)
+    run_scenario(script)
 
 
 @each_kind
-def test_before_the_end_of_a_replaced_connection_is_noticed(run_play, kind):
-    async def script(play: Play) -> None:
-        await replace_connection(play)
-        play.server.notices_end_after_ms = LATE_NOTICE_MS
-        play.server.write(play.connection, bad(kind))
-        await play.until_ended(play.connection)
-        await play.pass_ms(LATE_NOTICE_MS - MARGIN_MS)
-        play.server.release(ID)
-        await play.assert_told_once()
+def test_before_the_end_of_a_replaced_connection_is_noticed(run_scenario, kind):
+    async def script(scenario: Scenario) -> None:
+        await replace_connection(scenario)
+        scenario.server.notices_end_after_ms = LATE_NOTICE_MS
+        scenario.server.write(scenario.connection, unreadable(kind))
+        await scenario.wait_until_ended(scenario.connection)
+        await scenario.pass_ms(LATE_NOTICE_MS - MARGIN_MS)
+        scenario.server.release(ID)
+        await scenario.assert_delivered_once()
 
-    run_play(script)
+    run_scenario(script)
 
 
 # ------------------------------------------------------------------------------------ a half-open server
 
 
-def make_half_open(play: Play) -> None:
+def make_half_open(scenario: Scenario) -> None:
     """Have the server end its side of a connection only once it is reset."""
-    play.server.notices_end_after_ms = NEVER_MS
-    play.server.notices_reset_at_once = True
+    scenario.server.notices_end_after_ms = NEVER_MS
+    scenario.server.notices_reset_at_once = True
 
 
 @each_kind
-def test_in_the_same_segment_to_a_half_open_server(run_play, kind):
-    async def script(play: Play) -> None:
-        make_half_open(play)
-        play.server.release(ID, behind=bad(kind))
-        await play.assert_told_once()
+def test_in_the_same_segment_to_a_half_open_server(run_scenario, kind):
+    async def script(scenario: Scenario) -> None:
+        make_half_open(scenario)
+        scenario.server.release(ID, behind=unreadable(kind))
+        await scenario.assert_delivered_once()
 
-    run_play(script)
+    run_scenario(script)
 
 
 @pytest.mark.parametrize("delay_ms", [0.0, 200.0], ids=["at_once", "later"])
 @each_kind
-def test_after_the_proxys_end_of_a_connection_that_the_server_does_not_end(run_play, kind, delay_ms):
-    async def script(play: Play) -> None:
-        make_half_open(play)
-        play.server.write(play.connection, bad(kind))
-        await play.until_ended(play.connection)
-        await play.pass_ms(delay_ms)
-        play.server.release(ID)
-        await play.assert_told_once()
+def test_after_the_proxys_end_of_a_connection_that_the_server_does_not_end(run_scenario, kind, delay_ms):
+    async def script(scenario: Scenario) -> None:
+        make_half_open(scenario)
+        scenario.server.write(scenario.connection, unreadable(kind))
+        await scenario.wait_until_ended(scenario.connection)
+        await scenario.pass_ms(delay_ms)
+        scenario.server.release(ID)
+        await scenario.assert_delivered_once()
 
-    run_play(script)
+    run_scenario(script)
 
 
 @each_kind
-def test_on_a_replaced_connection_that_the_server_does_not_end(run_play, kind):
-    async def script(play: Play) -> None:
-        await replace_connection(play)
-        make_half_open(play)
-        play.server.release(ID, behind=bad(kind))
-        await play.assert_told_once()
+def test_on_a_replaced_connection_that_the_server_does_not_end(run_scenario, kind):
+    async def script(scenario: Scenario) -> None:
+        await replace_connection(scenario)
+        make_half_open(scenario)
+        scenario.server.release(ID, behind=unreadable(kind))
+        await scenario.assert_delivered_once()
 
-    run_play(script)
+    run_scenario(script)
 
 
 # ------------------------------------------------------------------------------- what must stay as it was
 
 
 @each_kind
-def test_a_release_that_comes_on_two_connections_is_passed_on_once(run_play, kind):
-    async def script(play: Play) -> None:
-        play.server.release(ID)
-        play.server.write(play.connection, bad(kind))
-        await play.assert_told_once()
-        await play.until(lambda: len(play.server.accepted) == 2)
-        await play.pass_ms(STEP_MS)
-        confirmed = [each for each in play.server.newest.received if each.method == "BYE" and each.status]
+def test_a_release_that_comes_on_two_connections_is_passed_on_once(run_scenario, kind):
+    async def script(scenario: Scenario) -> None:
+        scenario.server.release(ID)
+        scenario.server.write(scenario.connection, unreadable(kind))
+        await scenario.assert_delivered_once()
+        await scenario.wait_until(lambda: len(scenario.server.accepted) == 2)
+        await scenario.pass_ms(STEP_MS)
+        confirmed = [each for each in scenario.server.newest.received if each.method == "BYE" and each.status]
         assert [each.call_id for each in confirmed] == [ID]
-        await play.pass_ms(REPETITION_MS)
-        assert len(play.callers.told) == 1
+        await scenario.pass_ms(REPETITION_MS)
+        assert len(scenario.callers.delivered) == 1
 
-    run_play(script)
+    run_scenario(script)
 
 
-def record_releases(monkeypatch, play: Play) -> dict[str, float]:
+def record_releases(monkeypatch, scenario: Scenario) -> dict[str, float]:
     """When the proxy wrote its own releases, by call."""
     written_ms: dict[str, float] = {}
     send_release = ServerStream.send_release
 
     def recorded(stream: ServerStream, call_id: str, *arguments: object) -> None:
-        written_ms.setdefault(call_id, play.rig.now_ms)
+        written_ms.setdefault(call_id, scenario.rig.now_ms)
         send_release(stream, call_id, *arguments)
 
     monkeypatch.setattr(ServerStream, "send_release", recorded)
@@ -658,128 +658,130 @@
 )
 @each_kind
 def test_an_attempt_whose_answer_cannot_be_read_is_released_before_the_call_is_sent_again(
-    run_play, monkeypatch, kind, notices_end_after_ms
+    run_scenario, monkeypatch, kind, notices_end_after_ms
 ):
-    async def script(play: Play) -> None:
-        for server in play.servers.values():
+    async def script(scenario: Scenario) -> None:
+        for server in scenario.servers.values():
             server.answers = False
-        play.offer(OTHER_ID)
-        await play.until(lambda: len(play.rig.sent_ms) == 2)
-        server = play.servers[play.rig.servers_sent_to[1]]
-        await play.until(lambda: server.has_set_up(OTHER_ID))
+        scenario.offer(OTHER_ID)
+        await scenario.wait_until(lambda: len(scenario.rig.sent_ms) == 2)
+        server = scenario.servers[scenario.rig.servers_sent_to[1]]
+        await scenario.wait_until(lambda: server.has_set_up(OTHER_ID))
         server.notices_end_after_ms = notices_end_after_ms
-        written_ms = record_releases(monkeypatch, play)
+        written_ms = record_releases(monkeypatch, scenario)
         server.write(server.connection_of(OTHER_ID), unreadable_message(kind, OTHER_ID))
-        await play.until(lambda: len(play.rig.sent_ms) == 3)
-        await play.step(0.0)
+        await scenario.wait_until(lambda: len(scenario.rig.sent_ms) == 3)
+        await scenario.step(0.0)
         assert OTHER_ID in written_ms, "the call was sent again, and was not released"
-        assert play.rig.sent_ms[2] - written_ms[OTHER_ID] >= RULES.release_ms
+        assert scenario.rig.sent_ms[2] - written_ms[OTHER_ID] >= RULES.release_ms
         first = server.accepted[1].received[0]
         assert (first.method, first.status, first.call_id) == ("BYE", 0, OTHER_ID)
 
-    run_play(script, servers=(SERVER, OTHER_SERVER))
+    run_scenario(script, servers=(SERVER, OTHER_SERVER))
 
 
 # --------------------------------------------------------------- connections that are ended for other reasons
 
 
-def leave_unread(play: Play) -> ServerStream:
+def leave_unread(scenario: Scenario) -> ServerStream:
     """Have the server read nothing more on the call's connection; the proxy's end of it."""
-    play.connection.reads = False
-    [stream] = play.rig.servers._peers[SERVER].streams
+    scenario.connection.reads = False
+    [stream] = scenario.rig.servers._peers[SERVER].streams
     stream.transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
     return stream
 
 
-def list_as_draining(play: Play) -> None:
-    port = play.rig.listeners[SERVER].getsockname()[1]
-    play.rig.scheduler.begin_iteration()
-    play.rig.servers.update_endpoints(False, [Endpoint(SERVER, f"127.0.0.1:{port}", lifecycle="draining")])
+def list_as_draining(scenario: Scenario) -> None:
+    port = scenario.rig.listeners[SERVER].getsockname()[1]
+    scenario.rig.scheduler.begin_iteration()
+    scenario.rig.servers.update_endpoints(
+        False, [Endpoint(SERVER, f"127.0.0.1:{port}", lifecycle="draining")]
+    )
 
 
-def test_a_connection_that_was_left_unread(run_play):
+def test_a_connection_that_was_left_unread(run_scenario):
     """The server has not read up to the proxy's end of it when it accepts the next."""
 
-    async def script(play: Play) -> None:
-        make_half_open(play)
-        leave_unread(play).write(b"x" * (2 * MAX_UNSENT_BYTES))
-        await play.until(lambda: len(play.server.accepted) == 2)
-        play.server.release(ID)
-        await play.assert_told_once()
+    async def script(scenario: Scenario) -> None:
+        make_half_open(scenario)
+        leave_unread(scenario).write(b"x" * (2 * MAX_UNSENT_BYTES))
+        await scenario.wait_until(lambda: len(scenario.server.accepted) == 2)
+        scenario.server.release(ID)
+        await scenario.assert_delivered_once()
 
-    run_play(script)
+    run_scenario(script)
 
 
-def test_a_connection_whose_unsent_set_ups_were_withdrawn(run_play):
+def test_a_connection_whose_unsent_set_ups_were_withdrawn(run_scenario):
     """A server that drains gets a new connection in the instant in which the old one is ended."""
 
-    async def script(play: Play) -> None:
-        make_half_open(play)
-        leave_unread(play).write(b"x" * (MAX_UNSENT_BYTES // 2))
-        play.offer(OTHER_ID)
-        await play.until(lambda: len(play.rig.sent_ms) == 2)
-        list_as_draining(play)
-        await play.until(lambda: len(play.server.accepted) == 2)
-        play.server.release(ID)
-        await play.assert_told_once()
+    async def script(scenario: Scenario) -> None:
+        make_half_open(scenario)
+        leave_unread(scenario).write(b"x" * (MAX_UNSENT_BYTES // 2))
+        scenario.offer(OTHER_ID)
+        await scenario.wait_until(lambda: len(scenario.rig.sent_ms) == 2)
+        list_as_draining(scenario)
+        await scenario.wait_until(lambda: len(scenario.server.accepted) == 2)
+        scenario.server.release(ID)
+        await scenario.assert_delivered_once()
 
-    run_play(script)
+    run_scenario(script)
 
 
-def test_a_connection_with_an_overdue_message(run_play):
-    async def script(play: Play) -> None:
-        play.server.notices_end_after_ms = LATE_NOTICE_MS
-        play.server.write(play.connection, HALF_NOTIFY)
-        await play.until_accepted_or_nearly_noticed(play.connection, 2)
-        play.server.release(ID)
-        await play.assert_told_once()
+def test_a_connection_with_an_overdue_message(run_scenario):
+    async def script(scenario: Scenario) -> None:
+        scenario.server.notices_end_after_ms = LATE_NOTICE_MS
+        scenario.server.write(scenario.connection, HALF_NOTIFY)
+        await scenario.wait_until_accepted_or_nearly_noticed(scenario.connection, 2)
+        scenario.server.release(ID)
+        await scenario.assert_delivered_once()
 
-    run_play(script)
+    run_scenario(script)
 
 
-async def supersede_connection(play: Play) -> None:
+async def supersede_connection(scenario: Scenario) -> None:
     """Have the call's connection hang and another take its place; the first is then closed for writing."""
-    play.server.answers = False
-    play.offer(OTHER_ID)
-    await play.until(lambda: len(play.server.accepted) == 2)
-    play.rig.exchange.on_released_by_caller(OTHER_ID, ReleaseCause.NORMAL_CLEARING)
-    await play.until_ended(play.connection)
+    scenario.server.answers = False
+    scenario.offer(OTHER_ID)
+    await scenario.wait_until(lambda: len(scenario.server.accepted) == 2)
+    scenario.rig.exchange.on_released_by_caller(OTHER_ID, ReleaseCause.NORMAL_CLEARING)
+    await scenario.wait_until_ended(scenario.connection)
 
 
-def test_a_superseded_connection_that_was_closed_for_writing(run_play):
+def test_a_superseded_connection_that_was_closed_for_writing(run_scenario):
     """It is read on, so a release that crosses its end is not lost."""
 
-    async def script(play: Play) -> None:
-        play.server.notices_end_after_ms = LATE_NOTICE_MS
-        await supersede_connection(play)
-        await play.pass_ms(LATE_NOTICE_MS - MARGIN_MS)
-        play.server.release(ID)
-        await play.assert_told_once()
+    async def script(scenario: Scenario) -> None:
+        scenario.server.notices_end_after_ms = LATE_NOTICE_MS
+        await supersede_connection(scenario)
+        await scenario.pass_ms(LATE_NOTICE_MS - MARGIN_MS)
+        scenario.server.release(ID)
+        await scenario.assert_delivered_once()
 
-    run_play(script)
+    run_scenario(script)
 
 
 @each_kind
-def test_behind_a_bad_message_on_a_superseded_connection_that_was_closed_for_writing(run_play, kind):
+def test_behind_a_bad_message_on_a_superseded_connection_that_was_closed_for_writing(run_scenario, kind):
     """A message there that stops short holds up what follows it until the connection's end."""
 
-    async def script(play: Play) -> None:
-        play.server.notices_end_after_ms = LATE_NOTICE_MS
-        await supersede_connection(play)
-        play.server.release(ID, behind=bad(kind))
-        await play.assert_told_once()
+    async def script(scenario: Scenario) -> None:
+        scenario.server.notices_end_after_ms = LATE_NOTICE_MS
+        await supersede_connection(scenario)
+        scenario.server.release(ID, behind=unreadable(kind))
+        await scenario.assert_delivered_once()
 
-    run_play(script)
+    run_scenario(script)
 
 
-def test_a_superseded_connection_that_the_server_does_not_end(run_play):
+def test_a_superseded_connection_that_the_server_does_not_end(run_scenario):
     """The proxy reads it for some time after its own end, and not for ever."""
 
-    async def script(play: Play) -> None:
-        make_half_open(play)
-        await supersede_connection(play)
-        await play.pass_ms(LINGER_MS + LATE_NOTICE_MS)
-        play.server.release(ID)
-        await play.assert_told_once()
+    async def script(scenario: Scenario) -> None:
+        make_half_open(scenario)
+        await supersede_connection(scenario)
+        await scenario.pass_ms(LINGER_MS + LATE_NOTICE_MS)
+        scenario.server.release(ID)
+        await scenario.assert_delivered_once()
 
-    run_play(script)
+    run_scenario(script)
--- a/tests/test_releases_to_callers.py
+++ b/tests/test_releases_to_callers.py
@@ -9,7 +9,7 @@
 
 import pytest
 from race_conditions import ID, WAIT_S, CallerSide, run_coroutine, set_up
-from server_side import ServerSide
+from server_side import ServerSideRig
 
 from canvasplank.codecs import isup, sip
 from canvasplank.exchange.call_records import CallerRelease
@@ -38,7 +38,7 @@
         caller_side.callers.stop_listening()
 
 
-async def calling_caller(caller_side: CallerSide, pending: bytes = b"") -> socket.socket:
+async def caller_with_calls(caller_side: CallerSide, pending: bytes = b"") -> socket.socket:
     """A connection that has carried calls; ``pending``: what has waited for it."""
     peer = await caller_side.caller()
     peer.sendall(isup.release(OTHER_ID, 16))
@@ -59,7 +59,7 @@
     return next(sip.Parser().feed(memoryview(request)))
 
 
-async def all_are_gone(caller_side: CallerSide) -> None:
+async def wait_until_disconnected(caller_side: CallerSide) -> None:
     async with asyncio.timeout(WAIT_S):
         while caller_side.callers.streams:
             await asyncio.sleep(0.005)
@@ -80,12 +80,12 @@
                     SERVER, ID, 16, None, lambda: delivered.append(number)
                 )
 
-            (await calling_caller(caller_side)).close()
-            await all_are_gone(caller_side)
+            (await caller_with_calls(caller_side)).close()
+            await wait_until_disconnected(caller_side)
             release(1)
             release(2)  # the server sends it again, on another connection: the first may have ended
             assert delivered == []
-            peer = await calling_caller(caller_side, pending=isup.release(ID, 16))
+            peer = await caller_with_calls(caller_side, pending=isup.release(ID, 16))
             assert delivered == [], "written, which does not mean read"
             peer.sendall(isup.release_confirmed(ID))
             async with asyncio.timeout(WAIT_S):
@@ -108,7 +108,7 @@
     async def run() -> None:
         delivered: list[str] = []
         with listening_caller_side() as caller_side:
-            peer = await calling_caller(caller_side)
+            peer = await caller_with_calls(caller_side)
             [stream] = caller_side.callers.streams
             origin = stream if on_its_connection else None
             release = CallerRelease(ID, 16, lambda: delivered.append(ID))
@@ -127,11 +127,11 @@
     async def run() -> None:
         delivered: list[str] = []
         with listening_caller_side() as caller_side:
-            peer = await calling_caller(caller_side)
+            peer = await caller_with_calls(caller_side)
             [stream] = caller_side.callers.streams
             caller_side.callers.releases.send(stream, CallerRelease(ID, 16, lambda: delivered.append(ID)))
             peer.close()
-            await all_are_gone(caller_side)
+            await wait_until_disconnected(caller_side)
             await caller_side.advance_time(MAX_RETRY_AGE_MS)
             assert delivered == []
 
@@ -140,7 +140,7 @@
 
 def test_a_server_gets_the_confirmation_once_its_release_is_delivered(monkeypatch):
     async def run() -> None:
-        rig = ServerSide(monkeypatch)
+        rig = ServerSideRig(monkeypatch)
         waiting: list[Callable[[], None]] = []
         rig.callers.release = lambda origin, release: waiting.append(release.on_delivered)
         try:
@@ -178,9 +178,9 @@
 
     async def run() -> None:
         with listening_caller_side() as caller_side:
-            older = await calling_caller(caller_side)
+            older = await caller_with_calls(caller_side)
             await confirmed_release(caller_side, older, "dd" * 8)
-            newer = await calling_caller(caller_side)
+            newer = await caller_with_calls(caller_side)
             caller_side.exchange.on_released_by_server(SERVER, ID, 16)
             assert await received(older, len(RELEASED)) == RELEASED
             older.close(), newer.close()
@@ -193,7 +193,7 @@
 
     async def run() -> None:
         with listening_caller_side() as caller_side:
-            older, newer = await calling_caller(caller_side), await calling_caller(caller_side)
+            older, newer = await caller_with_calls(caller_side), await caller_with_calls(caller_side)
             caller_side.exchange.on_released_by_server(SERVER, ID, 16)
             assert await received(newer, len(RELEASED)) == RELEASED
             await caller_side.advance_time(RETRY_DELAY_MS - 1)
@@ -208,7 +208,7 @@
     run_coroutine(run())
 
 
-async def placing_caller(caller_side: CallerSide) -> socket.socket:
+async def caller_with_set_up(caller_side: CallerSide) -> socket.socket:
     """A connection on which a call was set up."""
     peer = await caller_side.caller()
     open_calls = caller_side.exchange.open_calls
@@ -219,35 +219,35 @@
     return peer
 
 
-def test_a_release_goes_to_a_caller_before_a_crowd_on_whose_connections_no_call_was_set_up():
+def test_a_release_goes_first_to_a_connection_on_which_a_call_was_set_up():
     """It went to the newest three, all of a crowd that does not read, and to the caller never."""
 
     async def run() -> None:
         with listening_caller_side() as caller_side:
-            caller = await placing_caller(caller_side)
-            crowd = [await calling_caller(caller_side) for _ in range(MAX_FOREIGN_SENDS + 1)]
+            caller = await caller_with_set_up(caller_side)
+            other_peers = [await caller_with_calls(caller_side) for _ in range(MAX_FOREIGN_SENDS + 1)]
             caller_side.exchange.on_released_by_server(SERVER, ID, 16)
             assert await received(caller, len(RELEASED)) == RELEASED
-            for peer in [caller, *crowd]:
+            for peer in [caller, *other_peers]:
                 peer.close()
 
     run_coroutine(run())
 
 
-def test_a_release_that_a_crowd_has_ignored_goes_to_the_caller_that_comes_later():
+def test_a_release_ignored_on_other_connections_goes_to_a_caller_that_connects_later():
     """Three connections that did not read it used up its sends."""
 
     async def run() -> None:
         with listening_caller_side() as caller_side:
-            crowd = [await calling_caller(caller_side) for _ in range(MAX_FOREIGN_SENDS + 1)]
+            other_peers = [await caller_with_calls(caller_side) for _ in range(MAX_FOREIGN_SENDS + 1)]
             caller_side.exchange.on_released_by_server(SERVER, ID, 16)
             for _ in range(2 * MAX_FOREIGN_SENDS):
                 await caller_side.advance_time(RETRY_DELAY_MS)
             assert caller_side.exchange.counters["sent.releases_again"] == MAX_FOREIGN_SENDS - 1
-            caller = await placing_caller(caller_side)
+            caller = await caller_with_set_up(caller_side)
             await caller_side.advance_time(CHECK_INTERVAL_MS)
             assert await received(caller, len(RELEASED)) == RELEASED
-            for peer in [caller, *crowd]:
+            for peer in [caller, *other_peers]:
                 peer.close()
 
     run_coroutine(run())
@@ -273,7 +273,7 @@
 
     async def run() -> None:
         with listening_caller_side() as caller_side:
-            callers = [await calling_caller(caller_side) for _ in range(MAX_FOREIGN_SENDS + 1)]
+            callers = [await caller_with_calls(caller_side) for _ in range(MAX_FOREIGN_SENDS + 1)]
             caller_side.callers.releases.send(None, CallerRelease(ID, 16))
             assert await received(callers[-1], len(RELEASED)) == RELEASED
             if is_confirmed:
@@ -293,9 +293,9 @@
 def test_a_confirmed_release_is_not_sent_again():
     async def run() -> None:
         with listening_caller_side() as caller_side:
-            first = await calling_caller(caller_side)
+            first = await caller_with_calls(caller_side)
             await confirmed_release(caller_side, first, ID)
-            second = await calling_caller(caller_side)
+            second = await caller_with_calls(caller_side)
             await caller_side.advance_time(RETRY_DELAY_MS)
             assert caller_side.exchange.counters["sent.releases_again"] == 0
             first.close(), second.close()
@@ -316,7 +316,7 @@
     async def run() -> None:
         with listening_caller_side() as caller_side:
             assert next_timer_ms(caller_side) == IDLE_CHECK_INTERVAL_MS
-            caller = await calling_caller(caller_side)
+            caller = await caller_with_calls(caller_side)
             caller_side.exchange.on_released_by_server(SERVER, ID, 16)
             assert next_timer_ms(caller_side) == CHECK_INTERVAL_MS
             assert await received(caller, len(RELEASED)) == RELEASED
--- a/tests/test_successor.py
+++ b/tests/test_successor.py
@@ -7,7 +7,7 @@
 
 import pytest
 from race_conditions import ID, WAIT_S, run_coroutine
-from server_side import ServerSide, offered_call
+from server_side import ServerSideRig, offered_call
 from test_operations import free_port
 
 from canvasplank.codecs import isup, sip
@@ -21,7 +21,7 @@
 OTHER_ID = "bb" * 8
 
 
-class Listener:
+class ListeningProcess:
     """A process at the address that confirms releases or ignores them, and answers tests."""
 
     def __init__(self, *, confirms: bool = True) -> None:
@@ -38,7 +38,7 @@
         for connection in self.connections:
             connection.close()
 
-    async def until(self, happened: Callable[[], bool]) -> None:
+    async def wait_until(self, happened: Callable[[], bool]) -> None:
         async with asyncio.timeout(WAIT_S):
             while not happened():
                 await asyncio.sleep(0.005)
@@ -55,19 +55,19 @@
                     writer.write(isup.release_confirmed(message.call_id))
 
 
-def successor(address: str) -> Successor:
+def make_successor(address: str) -> Successor:
     return Successor(Scheduler(TimerQueue()), BufferBudget(1e6), address)
 
 
 def test_each_call_is_released_once_on_one_connection():
     async def run() -> None:
-        listener = Listener()
-        passed_on = successor(await listener.start())
-        passed_on.release([ID])
-        passed_on.release([ID, OTHER_ID])
-        await listener.until(lambda: len(listener.received) == 2)
-        passed_on.release([ID])
-        await passed_on.close(WAIT_S)
+        listener = ListeningProcess()
+        successor = make_successor(await listener.start())
+        successor.release([ID])
+        successor.release([ID, OTHER_ID])
+        await listener.wait_until(lambda: len(listener.received) == 2)
+        successor.release([ID])
+        await successor.close(WAIT_S)
         assert listener.received == [(isup.Kind.RELEASE, ID), (isup.Kind.RELEASE, OTHER_ID)]
         assert len(listener.connections) == 1
         await listener.stop()
@@ -78,14 +78,14 @@
 @pytest.mark.parametrize("confirms", [True, False])
 def test_a_call_is_settled_once_its_release_is_confirmed(confirms):
     async def run() -> bool:
-        listener = Listener(confirms=confirms)
-        passed_on = successor(await listener.start())
-        passed_on.release([ID])
-        assert not passed_on.has_confirmed(ID)
-        await listener.until(lambda: len(listener.received) == 1)
-        await passed_on.close(WAIT_S if confirms else 0.1)
+        listener = ListeningProcess(confirms=confirms)
+        successor = make_successor(await listener.start())
+        successor.release([ID])
+        assert not successor.has_confirmed(ID)
+        await listener.wait_until(lambda: len(listener.received) == 1)
+        await successor.close(WAIT_S if confirms else 0.1)
         await listener.stop()
-        return passed_on.has_confirmed(ID)
+        return successor.has_confirmed(ID)
 
     assert run_coroutine(run()) is confirms
 
@@ -93,21 +93,21 @@
 @pytest.mark.parametrize("listens", [True, False])
 def test_the_end_of_a_process_waits_a_bounded_time_for_its_successor(listens):
     async def run() -> None:
-        listener = Listener(confirms=False)
-        passed_on = successor(await listener.start() if listens else f"127.0.0.1:{free_port()}")
-        passed_on.release([ID])
+        listener = ListeningProcess(confirms=False)
+        successor = make_successor(await listener.start() if listens else f"127.0.0.1:{free_port()}")
+        successor.release([ID])
         async with asyncio.timeout(WAIT_S):
-            await passed_on.close(0.1 if listens else 2 * WAIT_S)
+            await successor.close(0.1 if listens else 2 * WAIT_S)
         if listens:
             await listener.stop()
 
     run_coroutine(run())
 
 
-def test_without_anything_to_pass_on_nobody_is_connected_to():
+def test_no_connection_is_made_without_calls_to_pass_on():
     async def run() -> None:
-        listener = Listener()
-        await successor(await listener.start()).close(WAIT_S)
+        listener = ListeningProcess()
+        await make_successor(await listener.start()).close(WAIT_S)
         await asyncio.sleep(0)
         assert not listener.connections
         await listener.stop()
@@ -115,14 +115,14 @@
     run_coroutine(run())
 
 
-async def abandon(rig: ServerSide) -> None:
+async def abandon(rig: ServerSideRig) -> None:
     """The caller gives the call up, and its attempt is cancelled."""
     rig.scheduler.begin_iteration()
     rig.exchange.on_released_by_caller(ID, 16)
     await rig.step()
 
 
-async def hear(rig: ServerSide) -> None:
+async def receive_report(rig: ServerSideRig) -> None:
     """The server reports its circuits on the connection of the set-up."""
     receive(rig, sip.request("NOTIFY", "exchange", "0" * 16, 1))
     await rig.step()
@@ -161,7 +161,7 @@
     assert run_coroutine(run()) == unsettled
 
 
-def receive(rig: ServerSide, data: bytes) -> None:
+def receive(rig: ServerSideRig, data: bytes) -> None:
     """Have these bytes received on the current connection to the first server."""
     if data:
         stream = rig.first_stream()
@@ -174,7 +174,7 @@
     [
         pytest.param([], [], id="still open"),
         pytest.param([abandon], [ID], id="given up, and its server not heard since"),
-        pytest.param([abandon, hear], [], id="its server heard since"),
+        pytest.param([abandon, receive_report], [], id="its server heard since"),
     ],
 )
 def test_calls_that_a_server_may_yet_release_are_unsettled(monkeypatch, steps, unsettled):
@@ -230,15 +230,15 @@
 
 def test_a_predecessor_is_sent_tests_until_it_ends_the_connection():
     async def run() -> None:
-        listener, ended = Listener(), asyncio.Event()
+        listener, ended = ListeningProcess(), asyncio.Event()
         host, port = (await listener.start()).split(":")
         clock = [1_000_000.0]
         scheduler = Scheduler(TimerQueue(), clock=lambda: clock[0])
         await PredecessorStream(scheduler, BufferBudget(1e6), ended.set).connect(host, int(port))
-        await listener.until(lambda: len(listener.received) == 1)
+        await listener.wait_until(lambda: len(listener.received) == 1)
         clock[0] += TEST_INTERVAL_MS
         scheduler.begin_iteration()
-        await listener.until(lambda: len(listener.received) == 2)
+        await listener.wait_until(lambda: len(listener.received) == 2)
         assert set(listener.received) == {(isup.Kind.TEST, NO_CALL_ID)}
         assert not ended.is_set()
         await listener.stop()
