--- a/tests/server_side.py
+++ b/tests/server_side.py
@@ -1,6 +1,6 @@
-"""The servers' side for tests: the decision module, the exchange, connections on real sockets, and a clock.
+"""Test rig for the call servers' side: decision module, exchange, connections on real sockets, and a clock.
 
-Only the clock is the test's own: what happens between two of its steps happens at one reading of it.
+The test controls the clock, which stands still between two steps.
 """
 
 from __future__ import annotations
@@ -31,7 +31,7 @@
 
 
 class CallerSide:
-    """Callers that only listen."""
+    """A callers' side that only records rejected calls."""
 
     def __init__(self) -> None:
         self.rejected: list[str] = []
@@ -53,10 +53,10 @@
 
 
 class ServerSideRig:
-    """The decision module, the exchange and the servers' side on real sockets, on a clock of the test's.
+    """The decision module, the exchange and the servers' side on real sockets, with a clock set by the test.
 
-    ``given_up_ms`` is the clock after the server could know that the call's set-up there was given up;
-    ``sent_ms`` holds the clock before each set-up was written.
+    ``given_up_ms`` is the time at which the first server could know that the call's set-up was given up;
+    ``sent_ms`` holds the time at which each set-up was written.
     """
 
     def __init__(self, monkeypatch, resend_ms: float = 60_000.0) -> None:
@@ -102,7 +102,7 @@
             self.given_up_ms = self.now_ms
 
     async def start(self) -> None:
-        """List both servers, and wait until they are connected."""
+        """List both servers and wait until they are connected."""
         self.list_servers()
         await self.accept()
 
@@ -115,7 +115,7 @@
         self.servers.update_endpoints(True, entries)
 
     async def accept(self) -> None:
-        """Take a connection at each server."""
+        """Accept a connection at each server."""
         loop = asyncio.get_running_loop()
         for name, listener in self.listeners.items():
             listener.settimeout(WAIT_S)
@@ -125,20 +125,20 @@
             await asyncio.sleep(0.001)
 
     async def step(self, ms: float = STEP_MS) -> None:
-        """Let the clock go on, and run one iteration to its end."""
+        """Advance the clock and run one iteration to its end."""
         self.now_ms += ms
         self.scheduler.begin_iteration()
         for _ in range(20):
             await asyncio.sleep(0)
 
     async def offer(self) -> None:
-        """Offer a call, which is sent at once."""
+        """Offer a call and check that it is sent at once."""
         self.offer_call()
         await self.step(0.0)
         assert len(self.sent_ms) == 1
 
     def offer_call(self, pause_ms: float = 0.0) -> None:
-        """Offer a call in an iteration in which the process was paused before."""
+        """Offer a call in an iteration in which the process was paused for ``pause_ms`` before."""
         expires_ms = self.now_ms + CALL_MS
         call = CallRecord(ID, "low", "7f3a", -1, False, expires_ms, b"v=0 offer", "caller")
         self.scheduler.begin_iteration()
@@ -151,7 +151,7 @@
                 await self.step()
 
     async def block_cancellation(self) -> None:
-        """Have the call cancelled on a connection that the server does not read."""
+        """Have the call cancelled on a connection that the server does not read, so that it stays unsent."""
         stream = self.first_stream()
         stream.transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
         stream.write(b"x" * UNREAD_BYTES)
@@ -161,7 +161,7 @@
         assert stream.unsent
 
     def peers_have_data(self, name: str) -> bool:
-        """Whether a server has been sent anything that it has not read."""
+        """Whether data has arrived at a server that it has not read."""
         return bool(select.select([self.peers[name]], [], [], 0.0)[0])
 
     def close(self) -> None:
@@ -180,7 +180,7 @@
 
 @contextlib.asynccontextmanager
 async def offered_call(monkeypatch) -> AsyncIterator[ServerSideRig]:
-    """A rig with one call, which is out at its first server."""
+    """A rig with one call, which was sent to its first server."""
     rig = ServerSideRig(monkeypatch)
     try:
         await rig.start()
--- a/tests/test_connection_attempt.py
+++ b/tests/test_connection_attempt.py
@@ -1,4 +1,4 @@
-"""Attempts to connect."""
+"""Connection attempts."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class RecordingStream(Stream):
-    """Records its events."""
+    """A stream that records its events."""
 
     def __init__(self) -> None:
         super().__init__(Scheduler(TimerQueue()), "server", sip.Parser(), BufferBudget(1e6))
@@ -24,14 +24,14 @@
 
     def on_received(self, data: memoryview) -> None:
         self.events.append(bytes(data))
-        assert not list(self.messages(data)), "it is not whole"
+        assert not list(self.messages(data)), "the message is incomplete"
 
 
 async def connect(listener: socket.socket, resets: bool) -> RecordingStream:
-    """One connection, on which the peer sends BYE; it may reset it before the attempt is resumed."""
+    """Connect to a peer that sends BYE, and may reset the connection before the attempt resumes."""
     stream, port = RecordingStream(), listener.getsockname()[1]
     ConnectionAttempt(stream, f"127.0.0.1:{port}", 20_000, lambda _: stream.events.append("failed"))
-    await asyncio.sleep(0)  # it has started to connect, and gets no event until the next await
+    await asyncio.sleep(0)  # the attempt has started and gets no event until the next await
     peer, _ = listener.accept()
     peer.sendall(b"BYE")
     if resets:
@@ -44,7 +44,7 @@
 
 
 def test_data_sent_before_a_reset_while_connecting_is_read():
-    """A server sends a release again on the next connection; it must not be lost there, too."""
+    """A server sends an unconfirmed release again on the next connection; it must not be lost there too."""
     with socket.create_server(("127.0.0.1", 0)) as listener:
         stream = asyncio.run(connect(listener, resets=True))
         assert stream.events == [b"BYE", "failed"]
@@ -52,7 +52,7 @@
 
 
 def test_small_messages_are_sent_without_delay():
-    """Found on sockets: a set-up waited 10 ms for the confirmation of what went before (Nagle)."""
+    """With Nagle's algorithm, a set-up waited 10 ms for the acknowledgement of earlier data."""
 
     async def run() -> int:
         with socket.create_server(("127.0.0.1", 0)) as listener:
--- a/tests/test_ended_connections.py
+++ b/tests/test_ended_connections.py
@@ -1,4 +1,4 @@
-"""Connections to call servers that the proxy has ended: what is read on them, and for how long."""
+"""Reading of connections to call servers after the proxy has ended them: what is read, and how long."""
 
 from __future__ import annotations
 
@@ -33,13 +33,13 @@
 
 
 class ConnectionsRig(ServerSideRig):
-    """A rig that takes every connection to its only server, and keeps it open."""
+    """A rig with one server, which accepts every connection and keeps it open."""
 
     def __init__(self, monkeypatch) -> None:
         super().__init__(monkeypatch)
         self.listeners.pop("s-b").close()
         self.accepted: list[socket.socket] = []
-        self.connect_times_ms: list[float] = []  # when each was begun
+        self.connect_times_ms: list[float] = []  # when each connection attempt started
         connect = ServerStream.connect
 
         def recorded_connect(stream: ServerStream, *arguments: object) -> None:
@@ -56,13 +56,13 @@
         self.listeners[SERVER].setblocking(False)
 
     async def advance_time(self, span_ms: float) -> None:
-        """Let time pass in small steps, and take what connects."""
+        """Advance the clock in small steps and accept connections."""
         for _ in range(round(span_ms / STEP_MS)):
             await self.step(STEP_MS)
             self.accept_pending()
 
     def accept_pending(self) -> None:
-        with contextlib.suppress(OSError):  # nobody waits, or a test has closed the listener
+        with contextlib.suppress(OSError):  # no connection waits, or a test has closed the listener
             while True:
                 connection, _ = self.listeners[SERVER].accept()
                 self.accepted.append(connection)
@@ -85,7 +85,7 @@
 
     @property
     def connected(self) -> int:
-        """How many connections are up."""
+        """The number of open connections."""
         return len([each for each in self.peer.streams if each.is_open])
 
     async def establish(self) -> None:
@@ -95,14 +95,14 @@
         await self.wait_until(lambda: self.exchange.established_calls == 1)
 
     async def reconnect_after_unreadable(self) -> None:
-        """Have the newest connection ended by the proxy, and the next one up; the server keeps its side."""
+        """Have the proxy end the newest connection and open another; the server does not end its side."""
         count, stream = len(self.accepted), self.peer.current
         self.accepted[-1].sendall(UNREADABLE)
         await self.wait_until(lambda: stream not in self.peer.streams)
         await self.wait_until(lambda: len(self.accepted) > count and self.connected == 1)
 
     async def replace_current(self) -> ServerStream:
-        """Have another connection take the place of the current one, as of one that has hung."""
+        """Have the current connection replaced, as if it had hung."""
         count, replaced = len(self.accepted), self.peer.current
         self.scheduler.begin_iteration()
         replaced.on_replaced()
@@ -111,7 +111,7 @@
         return replaced
 
     def received(self) -> bytes:
-        """What lies unread at the server, on all connections."""
+        """Return all data that the server has not read, on all connections."""
         data = b""
         for each in self.accepted:
             each.setblocking(False)
@@ -140,7 +140,7 @@
 
 
 def has_ended(connection: socket.socket) -> bool:
-    """Whether the proxy has closed its side for writing, or reset it; what it wrote is read."""
+    """Whether the proxy has closed its side for writing or reset it; reads what it wrote."""
     connection.setblocking(False)
     try:
         while connection.recv(65_536):
@@ -153,7 +153,7 @@
 
 
 def test_a_connection_stays_open_while_its_server_writes_on(monkeypatch):
-    """A server that sees its end may drop what it has queued there, releases among it."""
+    """A server that sees our end may drop queued messages, such as releases."""
 
     async def scenario(rig: ConnectionsRig) -> None:
         old = rig.accepted[0]
@@ -172,7 +172,7 @@
     ("written", "max_open_ms"),
     [
         pytest.param(RELEASE, MAX_OPEN_MS, id="messages"),
-        pytest.param(b"x" * 100, MAX_UNREADABLE_MS, id="nothing that can be read"),
+        pytest.param(b"x" * 100, MAX_UNREADABLE_MS, id="only unreadable data"),
     ],
 )
 def test_a_server_that_never_pauses_is_closed_for_writing_in_time(monkeypatch, written, max_open_ms):
@@ -188,7 +188,7 @@
 
 
 def test_a_long_iteration_of_the_process_is_no_pause_of_the_server(monkeypatch):
-    """The pause counted from when the iteration had begun in which the server's last bytes were read."""
+    """The server's pause was counted from the start of the iteration that read its last bytes."""
 
     async def scenario(rig: ConnectionsRig) -> None:
         old, stream = rig.accepted[0], rig.peer.current
@@ -224,7 +224,7 @@
 
 
 def test_a_pause_of_the_process_leaves_a_server_its_time_to_write(monkeypatch):
-    """The time ran from the iteration's reading of the clock, and was up as the connection ended."""
+    """The time was counted from the start of the iteration, and had passed when the connection ended."""
 
     async def scenario(rig: ConnectionsRig) -> None:
         old, stream = rig.accepted[0], rig.peer.current
@@ -317,7 +317,7 @@
 
 
 def test_open_set_ups_are_cancelled_on_an_ended_connection(monkeypatch):
-    """They are given up before the connection ends, which is up to ``MAX_OPEN_MS`` later."""
+    """They are given up before our end of the connection, which comes up to ``MAX_OPEN_MS`` later."""
 
     async def scenario(rig: ConnectionsRig) -> None:
         await rig.offer()
@@ -328,11 +328,11 @@
 
 
 def do_nothing(rig: ConnectionsRig) -> None:
-    """Nothing else ends the attempt."""
+    """Leave the attempt as it is."""
 
 
 def cancel(rig: ConnectionsRig) -> None:
-    """The decision module cancels the attempt, as one that waits in vain."""
+    """Cancel the attempt, as the decision module does after its wait."""
     rig.scheduler.begin_iteration()
     rig.exchange._attempts.cancel(ID, 0)
 
@@ -342,9 +342,9 @@
 def test_the_release_wait_of_an_attempt_on_an_ended_connection_counts_from_the_servers_end(
     monkeypatch, first_action, second_action
 ):
-    """It may read a cancellation late where it has sent what cannot be read, and gives all up at the end.
+    """A server that sent unreadable data may read the cancellation late; it gives up all set-ups at its end.
 
-    The wait ran from 150 ms after the cancellation, and where the module cancelled it too, from then.
+    The wait ran from 150 ms after the cancellation, or from the module's own cancellation.
     """
 
     async def scenario(rig: ConnectionsRig) -> None:
@@ -385,7 +385,7 @@
 
 
 def test_a_release_behind_the_end_ends_no_call_of_another_server_and_none_that_is_unknown(monkeypatch):
-    """It may stand in another message's body, which others than the server have written."""
+    """Such a release may be part of another message's body, which the server has not written."""
 
     async def scenario(rig: ConnectionsRig) -> None:
         await rig.establish()
@@ -402,16 +402,16 @@
 
 
 def test_a_call_answered_behind_the_end_is_released(monkeypatch):
-    """Its release was written before the server had answered, on the next connection."""
+    """Our release on the next connection was written before the server had answered."""
 
     async def scenario(rig: ConnectionsRig) -> None:
         await rig.offer()
         old = rig.accepted[0]
         await rig.reconnect_after_unreadable()
         await rig.advance_time(50.0)
-        assert b"BYE" in rig.received(), "for the answer that may have been lost"
+        assert b"BYE" in rig.received(), "a release for the answer that may have been lost"
         rig.scheduler.begin_iteration()
-        rig.exchange.on_released_by_caller(ID, 16)  # the caller waits no longer: no attempt is in flight
+        rig.exchange.on_released_by_caller(ID, 16)  # so that no attempt is in flight
         await rig.advance_time(50.0)
         rig.received()
         old.sendall(ANSWER)
@@ -422,7 +422,7 @@
 
 
 def test_a_call_answered_behind_the_end_is_not_released_while_it_is_set_up_there_anew(monkeypatch):
-    """The release would end the later attempt: calls are known by their ids alone."""
+    """The release would end the later attempt, since releases carry only the call id."""
 
     async def scenario(rig: ConnectionsRig) -> None:
         await rig.offer()
@@ -465,7 +465,7 @@
 
 
 def test_a_release_of_ours_that_its_server_reads_late_is_not_lost_with_the_connection(monkeypatch):
-    """It was written well before the bad message, and lies behind what the server has yet to read."""
+    """The release was written well before the bad message, behind data that the server has not read."""
 
     async def scenario(rig: ConnectionsRig) -> None:
         old = rig.accepted[0]
@@ -497,7 +497,8 @@
     async def scenario(rig: ConnectionsRig) -> None:
         await rig.establish()
         replaced = await rig.replace_current()
-        replaced.on_received(memoryview(sip.request("NOTIFY", "exchange", "0" * 16, 1, {})))  # it is in use
+        # Received data marks the replaced connection as in use.
+        replaced.on_received(memoryview(sip.request("NOTIFY", "exchange", "0" * 16, 1, {})))
         if closed_before:
             rig.scheduler.begin_iteration()
             replaced.close_writing()
@@ -510,7 +511,7 @@
 
 
 def test_a_release_swallowed_by_an_incomplete_message_on_a_closing_connection_counts_in_time(monkeypatch):
-    """The server ends its side late; it was read on for 2 s without a look at how long the message took."""
+    """The server ends its side late; for 2 s the age of the incomplete message was not checked."""
 
     async def scenario(rig: ConnectionsRig) -> None:
         await rig.establish()
@@ -534,7 +535,7 @@
         server.sendall(RELEASE)
         server.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
         server.close()
-        # Both have arrived, and nothing has been read: the loop must not run meanwhile.
+        # Release and reset arrive before anything is read: the loop must not run meanwhile.
         time.sleep(0.05)  # noqa: ASYNC251
         rig.scheduler.begin_iteration()
         stream.close_writing()
--- a/tests/test_race_conditions_servers.py
+++ b/tests/test_race_conditions_servers.py
@@ -1,4 +1,4 @@
-"""Race conditions on connections to call servers: each is forced, on real sockets."""
+"""Race conditions on connections to call servers, each forced on real sockets."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 
 
 def test_the_deadline_sent_on_a_late_connection_is_the_remaining_time(replay):
-    """It was sent the time before that, and may have worked for too long by as much."""
+    """The server was sent the time that remained before the connection came up, and could work too long."""
     replay.step('settings {"ceilings": {"connect_timeout_ms": 15000.0}}')
     replay.step("known b never")
     replay.start()
@@ -50,7 +50,7 @@
 
 
 def test_set_ups_sent_on_a_restart_notification_go_to_the_new_process():
-    """It went out on the half-open connection to the old one, which was then aborted as dead."""
+    """The set-up went out on the half-open connection to the old process, which was then aborted."""
 
     async def run() -> tuple[bytes, bytes]:
         scheduler, loop = (
@@ -92,7 +92,7 @@
 
 @pytest.mark.parametrize("report_interval_ms", [500.0, 3_000.0, 6_000.0])
 def test_a_server_that_reports_less_often_keeps_its_connection(report_interval_ms: float):
-    """Reported every 3 s, a new connection was made every 2.5 s: fitted to one deployment."""
+    """With reports every 3 s, a timeout fitted to one deployment replaced the connection every 2.5 s."""
 
     async def run() -> int:
         now_ms, writers = [0.0], []
@@ -132,11 +132,11 @@
         server.close()
         return len(writers)
 
-    assert asyncio.run(run()) <= 3, "two are made in vain until it is known"
+    assert asyncio.run(run()) <= 3, "two replacements are made until the interval is known"
 
 
 def test_a_hang_is_detected_where_a_set_up_is_sent_as_its_connection_comes_up(monkeypatch):
-    """Both had one reading of the clock, and the set-up passed for answered."""
+    """Both happened at one reading of the clock, and the set-up counted as answered."""
 
     async def run() -> int:
         rig = ServerSideRig(monkeypatch, resend_ms=500.0)
@@ -155,7 +155,7 @@
 
 
 def test_the_deadline_sent_is_the_remaining_time_after_a_pause_in_the_iteration(monkeypatch):
-    """A server was sent the time that remained when the iteration began, and may have worked for too long."""
+    """The server was sent the time that remained when the iteration began, and could work too long."""
     pause_ms = 400.0
 
     async def run() -> bytes:
@@ -174,7 +174,7 @@
 
 
 def test_a_release_sent_after_a_pause_in_the_iteration_is_sent_again(monkeypatch):
-    """It was stamped with the iteration's start, and taken for one that had been read long ago."""
+    """The release was recorded with the iteration's start time, and counted as read long ago."""
 
     async def run() -> dict[str, object]:
         rig = ServerSideRig(monkeypatch)
--- a/tests/test_release_wait.py
+++ b/tests/test_release_wait.py
@@ -1,7 +1,7 @@
-"""A call that was sent to a server is sent again no sooner than the release wait after it was given up there.
+"""A call is sent again no sooner than the release wait after it was given up at its first server.
 
-The wait counts from when the peer can know: a pause of the process between any two statements, or a
-cancellation that the kernel does not take, must not shorten it.
+The wait counts from when the server can know of that.  It must not be shortened by a pause of the process
+between any two statements, or by a cancellation that the kernel does not take.
 """
 
 from __future__ import annotations
@@ -26,11 +26,11 @@
 
 
 def cancel_at_silent_server(rig: ServerSideRig) -> None:
-    """Nothing comes from the server, and the decision module moves the call."""
+    """Do nothing: the server is silent, and the decision module moves the call."""
 
 
 def cancel_at_gone_server(rig: ServerSideRig) -> None:
-    """The list shows that the server is gone while its connection is still open."""
+    """List the server as gone while its connection is still open."""
     entry = Endpoint(rig.first_server, "127.0.0.1:1", lifecycle="gone")
     rig.servers.update_endpoints(False, [entry])
 
@@ -59,7 +59,7 @@
 
 
 class Pause:
-    """Lets the clock jump once, before the line of this number that the program executes."""
+    """Advances the clock once, before the executed line with this number, to simulate a pause."""
 
     def __init__(self, rig: ServerSideRig, at_line: int | None) -> None:
         self.lines = 0
@@ -84,10 +84,10 @@
 
 
 class RepeatedCall(NamedTuple):
-    """One call that was given up at its first server and sent again."""
+    """A call that was given up at its first server and sent again."""
 
-    waited_ms: float  # from when the first server could know to when the next set-up was written
-    lines: range  # those that the program executed in the iteration in which the call was given up
+    waited_ms: float  # from when the first server could know until the next set-up was written
+    lines: range  # numbers of the lines executed in the iteration that gave the call up
 
 
 async def repeat_call(
@@ -110,7 +110,7 @@
 
 @pytest.mark.parametrize("give_up", WAYS_TO_GIVE_UP)
 def test_a_pause_between_any_two_lines_does_not_shorten_the_release_wait(monkeypatch, give_up):
-    """The wait ran from the iteration's reading of the clock, and the cancellation was written later."""
+    """The wait was counted from the start of the iteration, and the cancellation was written later."""
 
     def run(pause_at: int | None = None) -> RepeatedCall:
         with monkeypatch.context() as patches:
@@ -123,7 +123,7 @@
 
 
 def test_the_release_wait_counts_from_when_an_unsent_cancellation_has_left(monkeypatch):
-    """The cancellation lay in the transport's buffer while the wait ran."""
+    """The cancellation was still in the transport's buffer while the wait ran."""
 
     async def run() -> float:
         async with offered_call(monkeypatch) as rig:
@@ -154,7 +154,7 @@
 
 
 def test_a_connection_that_ends_takes_an_unsent_cancellation_with_it(monkeypatch):
-    """Its end gives up the set-ups on it, so the call is sent again."""
+    """The end of a connection gives up its set-ups, so the call is sent again."""
 
     async def run() -> float:
         async with offered_call(monkeypatch) as rig:
@@ -168,14 +168,14 @@
 
 
 def test_the_release_wait_counts_from_when_a_release_of_an_unreadable_answer_has_left(monkeypatch):
-    """It waited for a connection while the call was sent elsewhere, and established twice."""
+    """The release waited for a connection; meanwhile the call was sent elsewhere and established twice."""
 
     async def run() -> float:
         async with offered_call(monkeypatch) as rig:
             peer = rig.first_stream().peer
-            peer.connect_after_ms = float("inf")  # no connection comes up until further notice
+            peer.connect_after_ms = float("inf")  # prevents connections until it is reset below
             rig.first_stream().abort_unreadable("a bad message")
-            for _ in range(100):  # also past when the decision module would move the call
+            for _ in range(100):  # longer than until the decision module would move the call
                 await rig.step()
             assert peer.pending_releases
             assert len(rig.sent_ms) == 1
--- a/tests/test_releases_across_processes.py
+++ b/tests/test_releases_across_processes.py
@@ -1,4 +1,4 @@
-"""Releases by a server that meet the end of a process reach the caller by the process that comes next."""
+"""Releases sent by a server at the end of a process reach the caller through the next process."""
 
 from __future__ import annotations
 
@@ -26,12 +26,12 @@
 from canvasplank.program import PREDECESSOR_END_MS
 
 STOPS_WHEN_CONFIRMED = pytest.mark.parametrize(
-    "stops_when_confirmed", [True, False], ids=["till confirmed", "in any case"]
+    "stops_when_confirmed", [True, False], ids=["until confirmed", "in any case"]
 )
 
 
 class AttemptedCall(NamedTuple):
-    """A call that is out at its server, which has read its set-up on this connection."""
+    """An unanswered call whose server has read its set-up on ``connection``."""
 
     deployment: Deployment
     caller: socket.socket
@@ -43,7 +43,7 @@
 def attempted_call(
     folder: Path, server: StandInServer, settings: dict | None = None, wait_ms: int = 9000
 ) -> Iterator[AttemptedCall]:
-    """A process, and a call that it has sent to the server; its caller waits for ``wait_ms``."""
+    """Start a process and have it send a call to the server; the caller waits for ``wait_ms``."""
     deployment = Deployment(folder, [server], settings)
     try:
         deployment.start()
@@ -58,7 +58,7 @@
 
 @contextlib.contextmanager
 def established_call(folder: Path, server: StandInServer) -> Iterator[tuple[Deployment, socket.socket]]:
-    """A process, and the caller of a call that it has established at the server."""
+    """Start a process and have it establish a call at the server; yields the caller's connection."""
     with attempted_call(folder, server) as (deployment, caller, connection, invite):
         server.answer(connection, invite)
         read_message(caller, isup.Kind.ANSWER)
@@ -66,19 +66,19 @@
 
 
 def release_to_a_closing_caller(deployment: Deployment, caller: socket.socket) -> None:
-    """Have the old process told to stop, and the call released as its caller closes its connection."""
+    """Terminate the old process, and release the call while its caller closes its connection."""
     old, [server] = deployment.processes[0], deployment.servers
     connection = server.established[ID]
     old.send_signal(signal.SIGTERM)
     server.release(ID)
     assert select.select([caller], [], [], WAIT_S)[0], "the release is written"
-    caller.close()  # and unread
+    caller.close()  # without reading it
     server.read_until_eof(connection)
     assert old.wait(WAIT_S) == 0
 
 
 def assert_released(deployment: Deployment) -> None:
-    """The caller's next connection brings the release."""
+    """Check that the caller's next connection carries the release."""
     with deployment.caller() as caller:
         released = read_message(caller, isup.Kind.RELEASE)
     assert (released.call_id, released.cause) == (ID, 16)
@@ -86,7 +86,7 @@
 
 @STOPS_WHEN_CONFIRMED
 def test_a_release_written_to_a_caller_that_closes_reaches_it_after_a_restart(tmp_path, stops_when_confirmed):
-    """It was confirmed to the server as it was written, and so not sent to the process that came next."""
+    """The release was confirmed to the server when written, and so not sent to the next process."""
     server = StandInServer(stops_when_confirmed)
     with established_call(tmp_path, server) as (deployment, caller):
         release_to_a_closing_caller(deployment, caller)
@@ -99,7 +99,7 @@
 def test_a_release_written_to_a_caller_that_closes_reaches_it_after_an_upgrade(
     tmp_path, stops_when_confirmed
 ):
-    """The new process had its connections to servers before, and opened none on which it would be sent."""
+    """The new process had connections to servers already, and opened none to receive the release."""
     server = StandInServer(stops_when_confirmed)
     with established_call(tmp_path, server) as (deployment, caller):
         deployment.start()
@@ -109,12 +109,12 @@
         assert_released(deployment)
 
 
-LATE_CONNECTION_S = 0.3  # new connections keep coming for 0.4 s after SIGTERM
+LATE_CONNECTION_S = 0.3  # new connections may arrive until 0.4 s after SIGTERM
 
 
 @contextlib.contextmanager
 def released_by_the_process_itself(folder: Path) -> Iterator[Deployment]:
-    """A process that has released a call, whose server has gone, as no caller was connected."""
+    """Have a process release a call whose server has gone while no caller is connected; terminate it."""
     server = StandInServer()
     with established_call(folder, server) as (deployment, caller):
         server.close()
@@ -122,16 +122,16 @@
         process = deployment.processes[0]
         deadline_s = time.monotonic() + WAIT_S
         while "ends_for_servers=1" not in deployment.log():
-            assert time.monotonic() < deadline_s, "it has not released the call"
-            process.send_signal(signal.SIGUSR1)  # it prints its counters
+            assert time.monotonic() < deadline_s, "the process has not released the call"
+            process.send_signal(signal.SIGUSR1)  # prints the counters
             time.sleep(0.1)
-        time.sleep(PENDING_RELEASE_DELAY_MS / 1000)  # it has looked for any connection in vain
+        time.sleep(PENDING_RELEASE_DELAY_MS / 1000)  # until it has found no connection
         process.send_signal(signal.SIGTERM)
         yield deployment
 
 
 def test_a_release_of_the_process_itself_reaches_a_caller_that_connects_before_its_end(tmp_path):
-    """It waited for a connection that carries calls, and was lost: no server sends it to the next process."""
+    """The release waited for a connection with calls and was lost: no server sends it to the next process."""
     with released_by_the_process_itself(tmp_path) as deployment:
         time.sleep(LATE_CONNECTION_S)
         with deployment.caller() as caller:
@@ -141,7 +141,7 @@
 
 
 def test_a_release_of_the_process_itself_reaches_a_caller_that_connects_after_its_end(tmp_path):
-    """Nobody else knows of the call."""
+    """The release is lost if no caller connects before the process ends: nothing else knows of the call."""
     with released_by_the_process_itself(tmp_path) as deployment:
         assert deployment.processes[0].wait(WAIT_S) == 0
         deployment.start()
@@ -150,7 +150,7 @@
             assert read_message(caller, isup.Kind.RELEASE).call_id == ID
 
 
-# The process fails what is open 1.9 s after SIGTERM, before it takes a connection for silent.
+# The process fails open calls 1.9 s after SIGTERM, before it considers a connection silent.
 SHORT_DEADLINE_SETTINGS = SETTINGS | {
     "profiles": [profile | {"aim_ms": 1500.0, "deadline_ms": 1500.0} for profile in SETTINGS["profiles"]],
     "family_info": SETTINGS["family_info"] | {"resend_ms": 8000.0},
@@ -159,20 +159,20 @@
 
 
 def fail_call_by_shutdown(deployment: Deployment, caller: socket.socket) -> None:
-    """The process is told to stop, and fails the caller's call as it ends."""
+    """Terminate the process, which fails the caller's call before it ends."""
     deployment.processes[0].send_signal(signal.SIGTERM)
     assert read_message(caller, isup.Kind.RELEASE).call_id == ID
     read_until_eof(caller)
 
 
 def assert_not_released_by_the_next_process(deployment: Deployment, server: StandInServer) -> None:
-    """The next process starts, and hands its callers what the server still releases: not a failed call."""
+    """Start the next process and check that it passes on the server's releases, but not of a failed call."""
     deployment.start()
     assert_not_released(deployment, server, server.accept())
 
 
 def assert_not_released(deployment: Deployment, server: StandInServer, connection: socket.socket) -> None:
-    """The process at this connection hands its callers what the server releases: not a failed call."""
+    """Check that the process on this connection passes on releases, but not of the failed call."""
     server.established[MARKER_ID] = connection
     for call_id in list(server.established):
         server.release(call_id)
@@ -181,7 +181,7 @@
 
 
 def test_a_call_whose_answer_crosses_its_cancellation_at_the_end_of_the_process_fails_once(tmp_path):
-    """Its server established it; the next process passed its release on, a second final answer."""
+    """The server established the call; the next process passed its release on as a second final answer."""
     server = StandInServer()
     with attempted_call(tmp_path, server, SHORT_DEADLINE_SETTINGS) as (
         deployment,
@@ -197,10 +197,10 @@
 
 
 def test_a_call_whose_cancellation_hangs_at_the_end_of_the_process_fails_once(tmp_path):
-    """The connection of its set-up passes nothing on any more; another is up by the end of the process."""
+    """The connection of the set-up hangs; another is established before the process ends."""
     server = StandInServer()
     with attempted_call(tmp_path, server) as (deployment, caller, hung, _):
-        server.established[ID] = hung  # and its answer is lost
+        server.established[ID] = hung  # its answer is lost
         server.accept()
         fail_call_by_shutdown(deployment, caller)
         assert deployment.processes[0].wait(WAIT_S) == 0
@@ -211,18 +211,18 @@
 
 
 def hang(server: StandInServer, connection: socket.socket) -> None:
-    """Nothing passes on the connection any more, and no other comes up."""
+    """Leave the connection without traffic, and accept no other."""
 
 
 def send_unreadable(server: StandInServer, connection: socket.socket) -> None:
-    """The process ends the connection, and no other comes up to carry the release."""
+    """Have the process end the connection, and accept no other that could carry the release."""
     server.listener.close()
     connection.sendall(b"noise\r\n\r\n")
 
 
 @pytest.mark.parametrize("disturb", [hang, send_unreadable])
 def test_a_call_that_failed_while_its_server_was_out_of_reach_fails_once_across_an_upgrade(tmp_path, disturb):
-    """The server established it, and released it to the new process, which passed that on."""
+    """The server established the call and released it to the new process, which passed that on."""
     server = StandInServer()
     with attempted_call(tmp_path, server, SHORT_DEADLINE_SETTINGS) as (deployment, caller, out_of_reach, _):
         deployment.start()
@@ -236,22 +236,22 @@
         out_of_reach.close()
 
 
-CALLER_WAIT_MS = 1200  # the call fails well before the time that a shutdown may take
-OUT_OF_REACH_S = 1.0  # after that
+CALLER_WAIT_MS = 1200  # the call fails well before the shutdown must be complete
+OUT_OF_REACH_S = 1.0  # from the failure of the call
 
 
 def refuse_connections(server: StandInServer) -> tuple[str, int]:
-    """No connection comes up any more; gives the address."""
+    """Close the server's listener, and return its address."""
     address = server.listener.getsockname()
     server.listener.close()
     return address
 
 
 def serve_until_ended(server: StandInServer, process: subprocess.Popen) -> None:
-    """Take connections and messages for as long as the process runs."""
+    """Accept connections and read messages until the process ends."""
     deadline_s = time.monotonic() + WAIT_S
     while process.poll() is None:
-        assert time.monotonic() < deadline_s, "it does not end"
+        assert time.monotonic() < deadline_s, "the process does not end"
         readable, _, _ = select.select([server.listener, *server.connections], [], [], 0.01)
         for each in readable:
             if each is server.listener:
@@ -261,12 +261,12 @@
     server.read_all_to_the_end()
 
 
-@pytest.mark.parametrize("ends_unreadably", [False, True], ids=["hangs", "is ended"])
+@pytest.mark.parametrize("ends_unreadably", [False, True], ids=["connection hangs", "connection ended"])
 @STOPS_WHEN_CONFIRMED
 def test_a_call_that_failed_while_its_server_was_out_of_reach_fails_once_across_a_restart(
     tmp_path, ends_unreadably, stops_when_confirmed
 ):
-    """Its server comes back while the old process may still run, and has ended the call by itself."""
+    """The server returns while the old process may still run, and has released the call by itself."""
     server = StandInServer(stops_when_confirmed)
     with attempted_call(tmp_path, server, wait_ms=CALLER_WAIT_MS) as (deployment, caller, out_of_reach, _):
         address = refuse_connections(server)
@@ -283,7 +283,7 @@
 
 
 def come_back_and_release(server: StandInServer, address: tuple[str, int], lost: socket.socket) -> None:
-    """The server is in reach again; it had established the call, its answer was lost, and it ends it."""
+    """Have the server accept connections again, and release the call, whose answer was lost."""
     server.listener = socket.create_server(address)
     server.established[ID] = lost
     server.release(ID)
@@ -292,7 +292,7 @@
 def test_a_call_that_failed_while_its_server_was_out_of_reach_past_the_end_of_the_process_fails_once(
     tmp_path,
 ):
-    """Nobody is there who knows the call, and the next process cannot tell it from an established one."""
+    """No process that knows the call is left, and the next cannot tell it from an established one."""
     server = StandInServer()
     with attempted_call(tmp_path, server, wait_ms=CALLER_WAIT_MS) as (deployment, caller, out_of_reach, _):
         address = refuse_connections(server)
@@ -310,8 +310,10 @@
     ("after_ms", "received", "released"),
     [
         pytest.param(0.0, b"", True, id="nothing received"),
-        pytest.param(CONFIRMATION_WINDOW_MS - 1, REPORTED, True, id="too soon to tell"),
-        pytest.param(CONFIRMATION_WINDOW_MS, REPORTED, False, id="no answer can be on its way"),
+        pytest.param(
+            CONFIRMATION_WINDOW_MS - 1, REPORTED, True, id="received within the window"
+        ),
+        pytest.param(CONFIRMATION_WINDOW_MS, REPORTED, False, id="received after the window"),
         pytest.param(0.0, REFUSED, False, id="refused"),
     ],
 )
@@ -334,7 +336,7 @@
 
 
 def fill(stream: ServerStream, data: bytes) -> int:
-    """Have these bytes received on a connection."""
+    """Put these bytes into the connection's read buffer, and return their number."""
     stream.get_buffer(len(data))[: len(data)] = data
     return len(data)
 
@@ -365,7 +367,7 @@
 
 
 async def answer_offered_call(rig: ServerSideRig, peer: socket.socket) -> None:
-    """Establish the call that is out at its first server."""
+    """Answer the offered call at its first server, and wait until it is established."""
     loop, parser = asyncio.get_running_loop(), sip.Parser()
     invite = next(parser.feed(memoryview(await loop.run_in_executor(None, peer.recv, 65_536))))
     peer.sendall(sip.response(200, "OK", invite))
@@ -375,7 +377,7 @@
 
 
 def test_a_release_written_in_the_last_moment_of_the_old_process_is_collected_as_that_has_ended(tmp_path):
-    """The server had not noticed the end; the new process had it send that again 5 s after its start."""
+    """The server had not noticed the end; the new process collected the release only 5 s after its start."""
     server = StandInServer()
     with established_call(tmp_path, server) as (deployment, _):
         started_s = time.monotonic()
@@ -384,7 +386,7 @@
         old = deployment.processes[0]
         old.send_signal(signal.SIGTERM)
         assert old.wait(WAIT_S) == 0
-        server.release(ID)  # on the connection that has ended, which it has not read yet
+        server.release(ID)  # on the ended connection, whose end it has not read yet
         server.accept()
         assert time.monotonic() - started_s < PREDECESSOR_END_MS / 1000
         assert_released(deployment)
--- a/tests/test_releases_behind_unreadable_messages.py
+++ b/tests/test_releases_behind_unreadable_messages.py
@@ -1,12 +1,12 @@
 """The release of an established call reaches its caller although the proxy ends its server's connection.
 
-A server sends a release on the connection of the call's set-up if it takes that for open, or else on any open
-one, and again, once, on the next connection that it accepts; with none open, on that one alone.  What is
-written behind a message that cannot be read, or on a connection that the proxy ends for another reason, may
-be lost; the caller is still to be told within ``RELEASE_LIMIT_MS``, on the test's clock, of when the server
-wrote the release first.
+A server sends a release on the connection of the call's set-up if it considers that open, else on any other
+open one.  It sends the release once more on the next connection that it accepts; if none is open, only there.
+A release written behind an unreadable message, or on a connection that the proxy ends for another reason, may
+be lost.  The caller must still receive the release within ``RELEASE_LIMIT_MS`` after the server first wrote
+it, by the test's clock.
 
-The server here keeps to that; the test decides when it notices the end of a connection, and when it releases.
+The server here follows these rules; each test sets when it notices an end and when it releases the call.
 """
 
 from __future__ import annotations
@@ -33,22 +33,22 @@
 SERVER, OTHER_SERVER = "s-a", "s-b"
 OTHER_ID = "cc" * 8
 NO_ID = "0" * 16
-RESEND_MS = 500.0  # a connection hangs after this, and a message is overdue after a quarter of it
-RELEASE_LIMIT_MS = 1000.0  # the platform's: for a release to be passed on
-LATE_NOTICE_MS = 300.0  # a server may take an ended connection for open for so long
+RESEND_MS = 500.0  # a connection counts as hung after this, a message as overdue after a quarter of it
+RELEASE_LIMIT_MS = 1000.0  # the platform's limit for passing a release on
+LATE_NOTICE_MS = 300.0  # a server may consider an ended connection open for so long
 NEVER_MS = float("inf")
-MARGIN_MS = 40.0  # a release is written so long before the end of its connection is noticed
+MARGIN_MS = 40.0  # time between a release and the notice of its connection's end
 STEP_MS = 20.0
-MAX_WAIT_MS = 5000.0  # on the test's clock, for what has to come before the release
-REPETITION_MS = 400.0  # for so long after the release no second one may come
-KERNEL_WAIT_S = 0.1  # with the clock held: for what the kernel may have on its way
+MAX_WAIT_MS = 5000.0  # on the test's clock, for each step before the release
+REPETITION_MS = 400.0  # no second release may follow within this time
+KERNEL_WAIT_S = 0.1  # for data in transit in the kernel, while the test's clock stands still
 HALF_NOTIFY = sip.request("NOTIFY", "exchange", NO_ID, 1, {"X-Gauges": "free:12;size:40"})[:-20]
 
 each_kind = pytest.mark.parametrize("kind", UnreadableKind, ids=lambda kind: kind.name.lower())
 
 
 class DeliveredRelease(NamedTuple):
-    """A release that was passed on to the callers' side."""
+    """A release passed on to the callers' side."""
 
     call_id: str
     cause: int
@@ -56,7 +56,7 @@
 
 
 class RecordingCallers(CallerSide):
-    """Callers that note what they are told; a release counts as written to its caller at once."""
+    """A callers' side that records releases; each counts as delivered at once."""
 
     def __init__(self, clock_ms: Callable[[], float]) -> None:
         super().__init__()
@@ -71,7 +71,7 @@
 
 @dataclass(eq=False)
 class Connection:
-    """A connection that the server has accepted and takes for open."""
+    """A connection accepted by the server."""
 
     socket: socket.socket
     unsent: bytearray = field(default_factory=bytearray)
@@ -79,12 +79,12 @@
     received: list[sip.Message] = field(default_factory=list)
     reads: bool = True
     accepted_ms: float = 0.0
-    ended_ms: float | None = None  # when the proxy's end of it arrived, whether or not that was noticed
+    ended_ms: float | None = None  # when the proxy's end of it arrived, noticed or not
     was_reset: bool = False
-    noticed: bool = False  # it is taken for open no more, and is closed once all is written
+    noticed: bool = False  # the end was noticed: the connection is closed once all is written
 
     def flush(self) -> None:
-        """Write what the kernel takes; what meets an error counts as written, as with buffered writers."""
+        """Write what the kernel takes; on an error the rest counts as written, as with buffered writers."""
         try:
             while self.unsent:
                 del self.unsent[: self.socket.send(self.unsent)]
@@ -95,7 +95,7 @@
             self.unsent.clear()
 
     def read(self, now_ms: float) -> list[sip.Message]:
-        """What has come since; an end is noted."""
+        """Return the messages received since the last call; record an end."""
         messages: list[sip.Message] = []
         while self.reads and self.ended_ms is None:
             try:
@@ -111,13 +111,13 @@
         return messages
 
     def check_reset(self) -> None:
-        """Note a reset, which reading does not show behind the proxy's end, or where nothing is read."""
+        """Record a reset, which reads do not report after the proxy's end or if nothing is read."""
         if not self.noticed and self.socket.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR):
             self.was_reset = True
 
 
 class ConformingServer:
-    """A call server that releases its calls as the platform's protocol says."""
+    """A call server that releases its calls according to the platform's protocol."""
 
     def __init__(self, listener: socket.socket, clock_ms: Callable[[], float]) -> None:
         self._listener = listener
@@ -127,10 +127,10 @@
         self.answers = True
         self.notices_end_after_ms = 0.0
         self.notices_reset_at_once = False
-        # What the next connection is sent as it is accepted, before and after the releases that go there.
+        # Data written to the next accepted connections, before and after the releases sent there.
         self.greetings: list[tuple[bytes, bytes]] = []
         self.accepted: list[Connection] = []
-        self.written_ms: dict[str, float] = {}  # when each call was released first
+        self.written_ms: dict[str, float] = {}  # when each call was first released
         self._set_up_on: dict[str, Connection] = {}
         self._to_release_again: list[str] = []
 
@@ -140,11 +140,11 @@
 
     @property
     def open(self) -> list[Connection]:
-        """The connections that it takes for open, the newest first."""
+        """The connections that the server considers open, newest first."""
         return [each for each in reversed(self.accepted) if not each.noticed]
 
     def poll(self) -> None:
-        """Do what is to be done now."""
+        """Write, read, notice ends and accept connections, as due at this time."""
         for connection in list(self.accepted):
             connection.flush()
             for message in connection.read(self._clock_ms()):
@@ -200,11 +200,11 @@
         return call_id in self._set_up_on
 
     def connection_of(self, call_id: str) -> Connection:
-        """That of the call's set-up."""
+        """The connection of the call's set-up."""
         return self._set_up_on[call_id]
 
     def release(self, call_id: str, behind: bytes = b"", *, on: Connection | None = None) -> None:
-        """End a call, in one write behind these bytes; ``on``: this one, where any that is open will do."""
+        """Release a call, in one write after ``behind``; ``on``: used where any open connection will do."""
         self.written_ms[call_id] = self._clock_ms()
         self._to_release_again.append(call_id)
         if not self._set_up_on[call_id].noticed:
@@ -224,7 +224,7 @@
 
 
 class Scenario:
-    """The proxy's side of the call servers, and a conforming server with one established call."""
+    """The proxy's call servers' side, and conforming servers; ``SERVER`` holds an established call."""
 
     def __init__(self, monkeypatch, *, servers: tuple[str, ...] = (SERVER,)) -> None:
         self.rig = ServerSideRig(monkeypatch, resend_ms=RESEND_MS)
@@ -243,7 +243,7 @@
 
     @property
     def connection(self) -> Connection:
-        """That of the established call."""
+        """The connection of the established call."""
         return self.server.connection_of(ID)
 
     async def start(self) -> None:
@@ -272,7 +272,7 @@
     async def wait_until(self, condition: Callable[[], object], within_ms: float = MAX_WAIT_MS) -> None:
         until_ms = self.rig.now_ms + within_ms
         while not condition():
-            assert self.rig.now_ms < until_ms, "it did not come"
+            assert self.rig.now_ms < until_ms, "the condition was not met in time"
             await self.step()
 
     async def pass_ms(self, span_ms: float) -> None:
@@ -281,11 +281,11 @@
             await self.step()
 
     async def wait_until_ended(self, connection: Connection) -> None:
-        """Until the proxy's end of it has arrived; whether the server notices that is its own affair."""
+        """Wait until the proxy's end of the connection has arrived, whether or not the server notices it."""
         await self.wait_until(lambda: connection.ended_ms is not None)
 
     async def wait_until_accepted_or_nearly_noticed(self, old: Connection, count: int) -> None:
-        """Until this many connections were accepted, or the end of this one is about to be noticed."""
+        """Wait for ``count`` accepted connections, or until the end of ``old`` is about to be noticed."""
 
         def is_nearly_noticed() -> bool:
             notice_ms = (old.ended_ms or NEVER_MS) + self.server.notices_end_after_ms
@@ -294,7 +294,7 @@
         await self.wait_until(lambda: len(self.server.accepted) >= count or is_nearly_noticed())
 
     async def wait_for_releases(self, call_id: str = ID) -> list[DeliveredRelease]:
-        """All that the callers' side is told of this call, in time for the first and for a repetition."""
+        """Wait for a release of the call and for a repetition; return all that were delivered."""
 
         def releases() -> list[DeliveredRelease]:
             return [each for each in self.callers.delivered if each.call_id == call_id]
@@ -316,7 +316,7 @@
         assert delivered[0].at_ms <= self.server.written_ms[call_id] + RELEASE_LIMIT_MS
 
     def description(self) -> str:
-        """What the server saw of its connections, for a failure's text."""
+        """Describe the server's connections, for the message of a failed check."""
         lines = [f"released at {self.server.written_ms}, the clock is {self.rig.now_ms}"]
         for number, each in enumerate(self.server.accepted, 1):
             ended = f"ended {each.ended_ms}, reset {each.was_reset}"
@@ -334,7 +334,7 @@
 
 @pytest.fixture
 def run_scenario(monkeypatch) -> Iterator[Callable[..., None]]:
-    """Run a script with a call established, and let go of all sockets."""
+    """Run a script with a call established, then close all sockets."""
 
     def run(script: Script, **options: object) -> None:
         async def started() -> None:
@@ -355,7 +355,7 @@
     return unreadable_message(kind, NO_ID)
 
 
-# -------------------------------------------------------------------- behind a message that cannot be read
+# ---------------------------------------------------------------------------- behind an unreadable message
 
 
 @each_kind
@@ -393,7 +393,7 @@
 
 @each_kind
 def test_after_the_next_connection_is_accepted_and_before_the_end_is_noticed(run_scenario, kind):
-    """No connection follows the one that was accepted before the release was written."""
+    """No connection is accepted after the release was written."""
 
     async def script(scenario: Scenario) -> None:
         scenario.server.notices_end_after_ms = LATE_NOTICE_MS
@@ -407,7 +407,7 @@
 
 @each_kind
 def test_after_a_set_up_had_the_next_connection_made_at_once(run_scenario, kind):
-    """A set-up waits for no delay before the next connection."""
+    """For a set-up, the next connection is made without delay."""
 
     async def script(scenario: Scenario) -> None:
         scenario.server.notices_end_after_ms = LATE_NOTICE_MS
@@ -425,7 +425,7 @@
 
 @each_kind
 def test_behind_the_unreadable_answer_of_another_call(run_scenario, kind):
-    """The release of the other call, which its answer may have established, has the next connection made."""
+    """The next connection is made for the release of the other call, which may be established."""
 
     async def script(scenario: Scenario) -> None:
         scenario.server.answers = False
@@ -455,12 +455,12 @@
     run_scenario(script)
 
 
-# ------------------------------------------------------------------------ the next connection is spoiled, too
+# -------------------------------------------------------------------- an unreadable next connection
 
 
 @each_kind
 def test_both_sendings_are_behind_a_bad_message(run_scenario, kind):
-    """The next connection brings a bad message before the release that is sent there again."""
+    """On the next connection, a bad message precedes the repeated release."""
 
     async def script(scenario: Scenario) -> None:
         scenario.server.greetings = [(unreadable(kind), b"")]
@@ -508,7 +508,7 @@
 
 @each_kind
 def test_behind_the_bad_message_of_the_second_connection(run_scenario, kind):
-    """The end of the first was noticed, and the release goes on the other that is open."""
+    """The end of the first connection was noticed, so the release goes to the second."""
 
     async def script(scenario: Scenario) -> None:
         scenario.server.write(scenario.connection, unreadable(kind))
@@ -521,7 +521,7 @@
 
 @each_kind
 def test_on_the_second_connection_once_the_third_is_accepted(run_scenario, kind):
-    """The end of the first was noticed, that of the second was not."""
+    """The end of the first connection was noticed, that of the second was not."""
 
     async def script(scenario: Scenario) -> None:
         scenario.server.write(scenario.connection, unreadable(kind))
@@ -540,7 +540,7 @@
 
 
 async def replace_connection(scenario: Scenario) -> None:
-    """Have the call's connection hang and another take its place; the first is in use again after that."""
+    """Have the call's connection hang and be replaced; the first is then used again."""
     scenario.server.answers = False
     scenario.offer(OTHER_ID)
     await scenario.wait_until(lambda: len(scenario.server.accepted) == 2)
@@ -553,7 +553,7 @@
 
 @each_kind
 def test_in_the_same_segment_on_a_replaced_connection(run_scenario, kind):
-    """Its successor has long been up, and no connection follows."""
+    """The new connection has long been established, and no other follows."""
 
     async def script(scenario: Scenario) -> None:
         await replace_connection(scenario)
@@ -581,7 +581,7 @@
 
 
 def make_half_open(scenario: Scenario) -> None:
-    """Have the server end its side of a connection only once it is reset."""
+    """Have the server end its side of a connection only after a reset."""
     scenario.server.notices_end_after_ms = NEVER_MS
     scenario.server.notices_reset_at_once = True
 
@@ -621,7 +621,7 @@
     run_scenario(script)
 
 
-# ------------------------------------------------------------------------------- what must stay as it was
+# ------------------------------------------------------------------- no second release, no double set-up
 
 
 @each_kind
@@ -641,7 +641,7 @@
 
 
 def record_releases(monkeypatch, scenario: Scenario) -> dict[str, float]:
-    """When the proxy wrote its own releases, by call."""
+    """Record when the proxy writes its own releases, by call."""
     written_ms: dict[str, float] = {}
     send_release = ServerStream.send_release
 
@@ -684,7 +684,7 @@
 
 
 def leave_unread(scenario: Scenario) -> ServerStream:
-    """Have the server read nothing more on the call's connection; the proxy's end of it."""
+    """Stop the server's reading on the call's connection; return the proxy's stream of it."""
     scenario.connection.reads = False
     [stream] = scenario.rig.servers._peers[SERVER].streams
     stream.transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
@@ -700,7 +700,7 @@
 
 
 def test_a_connection_that_was_left_unread(run_scenario):
-    """The server has not read up to the proxy's end of it when it accepts the next."""
+    """The server has not read the proxy's end of the connection when it accepts the next."""
 
     async def script(scenario: Scenario) -> None:
         make_half_open(scenario)
@@ -713,7 +713,7 @@
 
 
 def test_a_connection_whose_unsent_set_ups_were_withdrawn(run_scenario):
-    """A server that drains gets a new connection in the instant in which the old one is ended."""
+    """The connection to a draining server is replaced at the moment the old one is ended."""
 
     async def script(scenario: Scenario) -> None:
         make_half_open(scenario)
@@ -740,7 +740,7 @@
 
 
 async def supersede_connection(scenario: Scenario) -> None:
-    """Have the call's connection hang and another take its place; the first is then closed for writing."""
+    """Have the call's connection hang and be replaced; the first is then closed for writing."""
     scenario.server.answers = False
     scenario.offer(OTHER_ID)
     await scenario.wait_until(lambda: len(scenario.server.accepted) == 2)
@@ -749,7 +749,7 @@
 
 
 def test_a_superseded_connection_that_was_closed_for_writing(run_scenario):
-    """It is read on, so a release that crosses its end is not lost."""
+    """The connection is still read, so that a release that crosses its end is not lost."""
 
     async def script(scenario: Scenario) -> None:
         scenario.server.notices_end_after_ms = LATE_NOTICE_MS
@@ -763,7 +763,7 @@
 
 @each_kind
 def test_behind_a_bad_message_on_a_superseded_connection_that_was_closed_for_writing(run_scenario, kind):
-    """A message there that stops short holds up what follows it until the connection's end."""
+    """An incomplete message there absorbs what follows it until the connection ends."""
 
     async def script(scenario: Scenario) -> None:
         scenario.server.notices_end_after_ms = LATE_NOTICE_MS
@@ -775,7 +775,7 @@
 
 
 def test_a_superseded_connection_that_the_server_does_not_end(run_scenario):
-    """The proxy reads it for some time after its own end, and not for ever."""
+    """The proxy reads the connection for a bounded time after its own end."""
 
     async def script(scenario: Scenario) -> None:
         make_half_open(scenario)
--- a/tests/test_releases_to_callers.py
+++ b/tests/test_releases_to_callers.py
@@ -1,4 +1,4 @@
-"""Releases of established calls reach their callers, whatever becomes of connections."""
+"""Releases of established calls reach their callers even if connections end."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 @contextlib.contextmanager
 def listening_caller_side() -> Iterator[CallerSide]:
-    """The callers' side, listening until the end of the block."""
+    """Yield a callers' side that listens until the end of the block."""
     caller_side = CallerSide()
     caller_side.callers.listen("127.0.0.1", caller_side.port)
     try:
@@ -39,7 +39,7 @@
 
 
 async def caller_with_calls(caller_side: CallerSide, pending: bytes = b"") -> socket.socket:
-    """A connection that has carried calls; ``pending``: what has waited for it."""
+    """Open a connection that counts as carrying calls; ``pending``: data expected on it before that."""
     peer = await caller_side.caller()
     peer.sendall(isup.release(OTHER_ID, 16))
     expected = pending + isup.release_confirmed(OTHER_ID)
@@ -48,7 +48,7 @@
 
 
 async def received(peer: socket.socket, size: int) -> bytes:
-    """So many bytes, or all up to the end of the connection."""
+    """Read ``size`` bytes, or up to the end of the connection."""
     loop, data = asyncio.get_running_loop(), b""
     while len(data) < size and (part := await loop.run_in_executor(None, peer.recv, size - len(data))):
         data += part
@@ -66,9 +66,10 @@
 
 
 def test_a_release_counts_as_delivered_only_once_its_caller_has_confirmed_it():
-    """It was confirmed to the server while it waited for a connection, and lost if the process ended then.
+    """A release confirmed to the server too early was lost.
 
-    Later it was confirmed as it was written, and lost if the caller closed that connection just then.
+    Confirmed while it waited for a connection, it was lost if the process ended; confirmed when written, it
+    was lost if the caller closed that connection.
     """
 
     async def run() -> None:
@@ -86,14 +87,14 @@
             release(2)  # the server sends it again, on another connection: the first may have ended
             assert delivered == []
             peer = await caller_with_calls(caller_side, pending=isup.release(ID, 16))
-            assert delivered == [], "written, which does not mean read"
+            assert delivered == [], "the release is written, but may be unread"
             peer.sendall(isup.release_confirmed(ID))
             async with asyncio.timeout(WAIT_S):
                 while not delivered:
                     await asyncio.sleep(0.005)
             assert delivered == [2]
             release(3)
-            assert delivered == [2, 3], "its caller has it"
+            assert delivered == [2, 3], "its caller has it already"
             peer.close()
 
     run_coroutine(run())
@@ -103,7 +104,7 @@
     ("on_its_connection", "window_ms"), [(True, CONFIRMATION_WINDOW_MS), (False, MAX_RETRY_AGE_MS)]
 )
 def test_a_release_that_nobody_confirms_counts_as_delivered_after_a_while(on_its_connection, window_ms):
-    """Confirmations are free; but a peer of another connection than the call's may not know the call."""
+    """Callers need not confirm, but the peer of a connection other than the call's may not know the call."""
 
     async def run() -> None:
         delivered: list[str] = []
@@ -162,7 +163,7 @@
 
 
 async def confirmed_release(caller_side: CallerSide, peer: socket.socket, call_id: str) -> None:
-    """Have a release sent to this connection, the only one, and confirmed there."""
+    """Have a release sent on the only connection, and confirm it there."""
     caller_side.exchange.on_released_by_server(SERVER, call_id, 16)
     release = isup.release(call_id, 16)
     assert await received(peer, len(release)) == release
@@ -174,7 +175,7 @@
 
 
 def test_a_release_without_a_connection_of_its_own_goes_where_releases_are_confirmed():
-    """It went to the newest, whose caller read nothing, and knew nothing of calls on other connections."""
+    """The release went to the newest connection, whose caller did not read or know the call."""
 
     async def run() -> None:
         with listening_caller_side() as caller_side:
@@ -189,7 +190,7 @@
 
 
 def test_a_release_that_nobody_confirms_is_sent_again_on_other_connections_a_few_times():
-    """It was taken for read after a second, while its caller waited on another connection."""
+    """The release counted as read after a second, while its caller waited on another connection."""
 
     async def run() -> None:
         with listening_caller_side() as caller_side:
@@ -209,7 +210,7 @@
 
 
 async def caller_with_set_up(caller_side: CallerSide) -> socket.socket:
-    """A connection on which a call was set up."""
+    """Open a connection and set up a call on it."""
     peer = await caller_side.caller()
     open_calls = caller_side.exchange.open_calls
     peer.sendall(set_up(f"{open_calls + 1:016x}"))
@@ -220,7 +221,7 @@
 
 
 def test_a_release_goes_first_to_a_connection_on_which_a_call_was_set_up():
-    """It went to the newest three, all of a crowd that does not read, and to the caller never."""
+    """The release went only to the newest three connections, whose peers did not read."""
 
     async def run() -> None:
         with listening_caller_side() as caller_side:
@@ -235,7 +236,7 @@
 
 
 def test_a_release_ignored_on_other_connections_goes_to_a_caller_that_connects_later():
-    """Three connections that did not read it used up its sends."""
+    """Three connections whose peers did not read used up the allowed sends."""
 
     async def run() -> None:
         with listening_caller_side() as caller_side:
@@ -254,12 +255,12 @@
 
 
 def test_a_release_that_waits_for_a_connection_is_written_as_the_process_ends_those_it_has():
-    """It waited for one that carries calls, and was lost with a process that ended meanwhile."""
+    """The release waited for a connection with calls, and was lost when the process ended."""
 
     async def run() -> None:
         with listening_caller_side() as caller_side:
             caller_side.callers.releases.send(None, CallerRelease(ID, 16))
-            caller = await caller_side.caller()  # which has only tested
+            caller = await caller_side.caller()  # has only sent a test
             caller_side.callers.disconnect()
             assert await received(caller, len(RELEASED)) == RELEASED
             caller.close()
@@ -269,7 +270,7 @@
 
 @pytest.mark.parametrize("is_confirmed", [False, True])
 def test_a_release_that_nobody_has_confirmed_is_written_on_others_as_the_process_ends(is_confirmed):
-    """It was lost where the connection that it was written on was not read."""
+    """The release was lost if the peer did not read the connection that it was written to."""
 
     async def run() -> None:
         with listening_caller_side() as caller_side:
@@ -304,14 +305,14 @@
 
 
 def next_timer_ms(caller_side: CallerSide) -> float:
-    """How long after the test's clock the next timer is due."""
+    """Return the time until the next timer is due, by the test's clock."""
     due_ms = caller_side.scheduler.timers.next_due_ms()
     assert due_ms is not None
     return due_ms - caller_side.now_ms
 
 
 def test_unconfirmed_releases_are_checked_only_while_one_may_be_sent_again():
-    """They were checked twenty times a second in a process without a call, too."""
+    """Releases were checked twenty times a second even in a process without calls."""
 
     async def run() -> None:
         with listening_caller_side() as caller_side:
@@ -321,7 +322,7 @@
             assert next_timer_ms(caller_side) == CHECK_INTERVAL_MS
             assert await received(caller, len(RELEASED)) == RELEASED
             await caller_side.advance_time(CHECK_INTERVAL_MS)
-            assert next_timer_ms(caller_side) == CHECK_INTERVAL_MS, "it may yet be sent again"
+            assert next_timer_ms(caller_side) == CHECK_INTERVAL_MS, "the release may still be sent again"
             await caller_side.advance_time(MAX_RETRY_AGE_MS)
             assert next_timer_ms(caller_side) == IDLE_CHECK_INTERVAL_MS
             caller.close()
--- a/tests/test_successor.py
+++ b/tests/test_successor.py
@@ -1,4 +1,4 @@
-"""What a process that ends passes on to the one that serves its address next."""
+"""Calls that a stopping process hands to its successor, and the detection of its predecessor's end."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class ListeningProcess:
-    """A process at the address that confirms releases or ignores them, and answers tests."""
+    """A process that listens at the address, confirms or ignores releases, and answers tests."""
 
     def __init__(self, *, confirms: bool = True) -> None:
         self.connections: list[asyncio.StreamWriter] = []
@@ -116,14 +116,14 @@
 
 
 async def abandon(rig: ServerSideRig) -> None:
-    """The caller gives the call up, and its attempt is cancelled."""
+    """Have the caller release the call, so that its attempt is cancelled."""
     rig.scheduler.begin_iteration()
     rig.exchange.on_released_by_caller(ID, 16)
     await rig.step()
 
 
 async def receive_report(rig: ServerSideRig) -> None:
-    """The server reports its circuits on the connection of the set-up."""
+    """Have the server report its circuits on the connection of the set-up."""
     receive(rig, sip.request("NOTIFY", "exchange", "0" * 16, 1))
     await rig.step()
 
@@ -136,8 +136,8 @@
     ("received", "unsettled"),
     [
         pytest.param(b"", [ID], id="nothing"),
-        pytest.param(RELEASED, [], id="its release"),
-        pytest.param(CONFIRMED, [], id="the confirmation of ours"),
+        pytest.param(RELEASED, [], id="the server's release"),
+        pytest.param(CONFIRMED, [], id="the confirmation of our release"),
     ],
 )
 def test_a_call_cancelled_on_a_connection_that_was_replaced_is_settled_on_the_current_one(
@@ -162,7 +162,7 @@
 
 
 def receive(rig: ServerSideRig, data: bytes) -> None:
-    """Have these bytes received on the current connection to the first server."""
+    """Pass these bytes to the current connection to the first server, as received."""
     if data:
         stream = rig.first_stream()
         stream.get_buffer(len(data))[: len(data)] = data
@@ -173,8 +173,8 @@
     ("steps", "unsettled"),
     [
         pytest.param([], [], id="still open"),
-        pytest.param([abandon], [ID], id="given up, and its server not heard since"),
-        pytest.param([abandon, receive_report], [], id="its server heard since"),
+        pytest.param([abandon], [ID], id="given up, nothing received since"),
+        pytest.param([abandon, receive_report], [], id="given up, data received since"),
     ],
 )
 def test_calls_that_a_server_may_yet_release_are_unsettled(monkeypatch, steps, unsettled):
@@ -215,7 +215,7 @@
 
 
 def test_a_call_that_is_established_elsewhere_is_settled(monkeypatch):
-    """Its release at the successor would end the call that its caller counts on."""
+    """A release at the successor would end a call that is established for its caller."""
 
     async def run() -> list[str]:
         async with offered_call(monkeypatch) as rig:
