--- a/tests/test_ended_connections.py
+++ b/tests/test_ended_connections.py
@@ -385,7 +385,7 @@
 
 
 def test_a_release_behind_the_end_ends_no_call_of_another_server_and_none_that_is_unknown(monkeypatch):
-    """Such a release may be part of another message's body, which the server has not written."""
+    """Such a release may be part of another message's body, which others than the server have written."""
 
     async def scenario(rig: ConnectionsRig) -> None:
         await rig.establish()
