--- a/canvasplank/__main__.py
+++ b/canvasplank/__main__.py
@@ -1,4 +1,4 @@
-"""``python -m canvasplank`` serves; with arguments it is the command line."""
+"""``python -m canvasplank`` runs the proxy; with arguments it runs the command line."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 
 
 def main() -> int:
-    """Serve, or run the command line, which a serving proxy does not import."""
+    """Run the proxy, or the command line, which is imported only when it is used."""
     if len(sys.argv) > 1:
         from canvasplank.cli import cli
 
         cli(prog_name="canvasplank")
-    # Before the long imports: the default action of SIGHUP would end the process.
+    # Before the slow imports: until handlers are set, SIGHUP would end the process by default.
     signals.block()
     from canvasplank.program import serve
 
--- a/canvasplank/cli.py
+++ b/canvasplank/cli.py
@@ -21,8 +21,8 @@
 from canvasplank.store.__main__ import cli as store_cli
 
 MS_PER_S = 1000.0
-THOUSANDTHS_PER_UNIT = 1000.0  # allocations count thousandths of a unit a second
-QUIET_AFTER_RENEWALS = 2.5  # intervals of renewal without a request after which a member is shown as quiet
+THOUSANDTHS_PER_UNIT = 1000.0  # allocations are in thousandths of a unit per second
+QUIET_AFTER_RENEWALS = 2.5  # renewal intervals without a request after which a member is shown as quiet
 
 Result = TypeVar("Result")
 
@@ -36,7 +36,7 @@
 
 
 def query_fleet(path: str, query: Callable[[Fleet, Backend], Awaitable[Result]]) -> Result:
-    """The query's result from the fleet's store.
+    """Run a query on the fleet's store and return its result.
 
     Raises ``ClickException`` (one line, exit status 1) if the settings or the store cannot be used.
     """
--- a/canvasplank/network/__init__.py
+++ b/canvasplank/network/__init__.py
@@ -1,1 +1,1 @@
-"""The connections: from callers, to call servers and to service discovery."""
+"""Network connections: from callers, to call servers and to service discovery."""
--- a/canvasplank/network/caller_pool.py
+++ b/canvasplank/network/caller_pool.py
@@ -1,4 +1,4 @@
-"""The open connections from callers: how many there may be, and which are closed when.
+"""The open connections from callers: limits their number, and closes idle, excess and drained ones.
 
 Times are in milliseconds, on the scheduler's clock.
 """
@@ -10,22 +10,22 @@
 from canvasplank.network.release_retransmission import ReleaseHandling
 from canvasplank.runtime.scheduler import Scheduler
 
-FIRST_REQUEST_GRACE_MS = 500.0  # a connection this young that has sent no message may be about to
+FIRST_REQUEST_GRACE_MS = 500.0  # time that a new connection has to send its first message
 MAX_SOCKETS_FRACTION = 0.6  # of the configured sockets; servers, discovery and files need the rest
-ACCEPT_FRACTION = 0.1  # of those: how many are accepted in one go
+ACCEPT_FRACTION = 0.1  # of the allowed connections: how many are accepted in one loop iteration
 IDLE_CHECK_INTERVAL_MS = 250.0
-# So long after a quiesce callers that still send set-ups are sent away, calls established or not: the front
-# expects that none is left after 4 s.
+# This long after a quiesce, callers that still send set-ups are disconnected even if they have established
+# calls: the front expects no connected caller after 4 s.
 DRAIN_OVERDUE_MS = 3000.0
-QUIESCED_IDLE_MS = 200.0  # while quiesced, a connection unused for so long is closed: new ones come for 0.2 s
+QUIESCED_IDLE_MS = 200.0  # idle time-out while quiesced; callers still connect for 0.2 s after a quiesce
 
 
 class CallerPool:
-    """Bounds the connections from callers, and closes those that are idle, in the way or sent away."""
+    """Limits the connections from callers, and closes those that are idle, in excess or drained."""
 
     def __init__(self, scheduler: Scheduler, counters: Counters, sockets: int, idle_ms: float) -> None:
-        """``idle_ms``: a connection without an open set-up that is unused for so long is closed."""
-        self.streams: dict[CallerStream, None] = {}  # the oldest first
+        """``idle_ms``: a connection without an open set-up is closed when it was unused for this time."""
+        self.streams: dict[CallerStream, None] = {}  # oldest first
         self.quiesced = False
         self._quiesced_ms = 0.0
         self._scheduler = scheduler
@@ -34,29 +34,29 @@
         self.limit(sockets)
 
     def limit(self, sockets: int) -> None:
-        """Take a new limit of the program's sockets."""
+        """Apply a new limit of the program's sockets."""
         self._max_connections = max(1, int(sockets * MAX_SOCKETS_FRACTION))
         self.max_accepts = max(1, int(self._max_connections * ACCEPT_FRACTION))
 
     def add(self, stream: CallerStream) -> None:
-        """Take in a new connection, and make room for it."""
+        """Add a new connection, and close others past the limit."""
         self._counters.add("sockets.callers")
         self.streams[stream] = None
         self.make_room()
 
     def remove(self, stream: CallerStream) -> None:
-        """Take out one that has ended."""
+        """Remove a connection that has ended."""
         self.streams.pop(stream, None)
 
     def usable_for_release(self, *, carrying_calls: bool) -> list[CallerStream]:
-        """Connections that can be written to, those first whose peers most likely pass a release on.
+        """The connections that can be written to, ordered by how likely their peer handles a release.
 
-        That is where the last release was confirmed; then where calls were set up, since a crowd that does
-        not read may well have sent something else; then by what became of the last release; then the newest,
-        which is the least likely to be closed now.
+        First come those whose last release was confirmed, then those on which calls were set up, since peers
+        that never read may still have sent other messages.  The rest is ordered by the handling of the last
+        release.  Among equals the newest comes first, as the least likely to be closed now.
 
-        ``carrying_calls``: only among those that have carried calls.  Whoever only tests this proxy knows
-        nothing of calls, and must not be sent a release.
+        ``carrying_calls``: only those that have carried calls.  A peer that only tests this proxy knows of no
+        calls, and must not be sent a release.
         """
         usable = [
             stream
@@ -66,11 +66,11 @@
         return sorted(usable, key=_release_preference, reverse=True)
 
     def best_for_release(self, *, carrying_calls: bool) -> CallerStream | None:
-        """The first that is usable: see ``usable_for_release``."""
+        """The first connection of ``usable_for_release``; None if there is none."""
         return next(iter(self.usable_for_release(carrying_calls=carrying_calls)), None)
 
     def quiesce(self) -> None:
-        """Send callers away: each connection is closed once it carries nothing, from now on."""
+        """Drain callers: from now on each connection is closed once it is unused."""
         if not self.quiesced:
             self._quiesced_ms = self._scheduler.now_ms
         self.quiesced = True
@@ -79,28 +79,29 @@
 
     @property
     def drain_overdue(self) -> bool:
-        """Whether it has been quiesced for ``DRAIN_OVERDUE_MS``."""
+        """Whether callers have been drained for ``DRAIN_OVERDUE_MS``."""
         return self.quiesced and self._scheduler.now_ms - self._quiesced_ms >= DRAIN_OVERDUE_MS
 
     def resume(self) -> None:
-        """Stop sending callers away."""
+        """Stop draining callers."""
         self.quiesced = False
 
     def close_writing(self) -> None:
-        """End every connection for writing, and read on for what crosses that."""
+        """Close every connection for writing, and keep reading data already in flight."""
         for stream in list(self.streams):
             stream.close_writing()
 
     def unsent(self) -> int:
-        """Bytes still to be sent to callers."""
+        """The number of bytes still to be sent to callers."""
         return sum(stream.unsent for stream in self.streams)
 
     def make_room(self) -> None:
         """Close connections past the limit, so that callers never take every descriptor.
 
-        Those without an open set-up go: first whoever has sent no message yet, then those that carry the
-        fewest established calls, whose releases are best sent there, and of these the longest unused.  Where
-        all are busy, the newest goes.  Those closed for writing are aborted past a number of their own.
+        Connections without an open set-up are closed: first those that have sent no message in time, then
+        those with the fewest established calls, since their releases are best sent on the connection of the
+        call, and of these the longest unused.  If all have open set-ups, the newest is closed.  Connections
+        closed for writing are aborted past a limit of their own.
         """
         open_streams = [s for s in self.streams if s.is_open]
         excess = len(open_streams) - self._max_connections
@@ -124,7 +125,7 @@
             stream.close_writing()
 
     def close_idle_connections(self) -> None:
-        """Close, periodically, what is long unused or sends no complete message where one is due."""
+        """Close connections that are idle or whose next complete message is overdue; runs periodically."""
         now_ms = self._scheduler.now_ms
         idle_ms = QUIESCED_IDLE_MS if self.quiesced else self._idle_ms
         for stream in [s for s in self.streams if s.is_open]:
--- a/canvasplank/network/caller_releases.py
+++ b/canvasplank/network/caller_releases.py
@@ -1,4 +1,7 @@
-"""Releases of established calls to callers: on the call's own connection, on another, or on the next."""
+"""Sends releases of established calls to callers, and sends them again until they are delivered.
+
+A release goes out on the connection of its call, on another open one ("foreign"), or on the next one opened.
+"""
 
 from __future__ import annotations
 
@@ -15,40 +18,40 @@
 )
 from canvasplank.runtime.scheduler import Scheduler, Timer
 
-MAX_PENDING_RELEASES = 20_000  # that wait for a connection
-MAX_UNDELIVERED_RELEASES = 20_000  # past it the oldest is forgotten, and its server never gets a confirmation
-# For so long a pending release waits for a connection that carries calls; then any will do.
+MAX_PENDING_RELEASES = 20_000  # releases that wait for a connection
+MAX_UNDELIVERED_RELEASES = 20_000  # past it the oldest is dropped, and its server never gets a confirmation
+# How long a pending release waits for a connection that carries calls before it may go out on any.
 PENDING_RELEASE_DELAY_MS = 500.0
-# One that went on another connection than its call's, and that nobody confirms, is sent again on a third.
-RETRY_DELAY_MS = 250.0
+RETRY_DELAY_MS = 250.0  # an unconfirmed release on a foreign connection is then sent again on another
 CHECK_INTERVAL_MS = 50.0
 MAX_FOREIGN_SENDS = 3  # on connections on which calls were set up, and as many on others
-MAX_RETRY_AGE_MS = 8000.0  # for so long an unconfirmed release waits for another connection
+MAX_RETRY_AGE_MS = 8000.0  # how long after it was last written an unconfirmed release may be sent again
 
 
 @dataclass(slots=True)
 class UndeliveredRelease:
-    """A release of which it is not known that its caller has it."""
+    """A release that is not known to have reached its caller."""
 
     on_delivered: Callable[[], None] | None = None
     written_ms: float | None = None  # when it was last written to a connection; None: it waits for one
-    is_foreign: bool = False  # whether that was another connection than its call's
-    foreign_sends: list[CallerStream] = field(default_factory=list)  # the other connections, in this order
+    is_foreign: bool = False  # whether it was last written to a connection other than its call's
+    foreign_sends: list[CallerStream] = field(default_factory=list)  # all such connections, in sending order
 
-    def is_due(self, now_ms: float) -> bool:
-        """Whether it counts as delivered by now, since the connection has not ended and nobody confirms."""
+    def counts_as_delivered(self, now_ms: float) -> bool:
+        """Whether it was written long ago to a connection that is still open, and needs no confirmation."""
         window_ms = MAX_RETRY_AGE_MS if self.is_foreign else CONFIRMATION_WINDOW_MS
         return self.written_ms is not None and now_ms - self.written_ms >= window_ms
 
     def may_retry(self, now_ms: float) -> bool:
-        """Whether it may be sent again: on connections of callers it has not been sent often enough."""
+        """Whether it is recent, and was sent on too few connections on which calls were set up."""
         is_recent = self.written_ms is not None and now_ms - self.written_ms < MAX_RETRY_AGE_MS
         return is_recent and self.is_foreign and self._remaining_sends(to_callers=True) > 0
 
     def next_connections(self, usable: list[CallerStream], current: CallerStream) -> list[CallerStream]:
-        """Where it may be sent again, the best first, and those first that it was not sent on.
+        """The connections on which to send it again: in the order of ``usable``, untried ones first.
 
-        Sends on connections where no call was set up take none from those of callers, which may come later.
+        ``MAX_FOREIGN_SENDS`` applies separately to connections on which calls were set up and to the others:
+        sends on the others must not use up those for callers that may connect later.
         """
         others = [stream for stream in usable if stream is not current]
         untried = [stream for stream in others if stream not in self.foreign_sends]
@@ -67,19 +70,19 @@
 
 
 class CallerReleases:
-    """Sends releases to callers, and again where the first may not have been read."""
+    """Sends releases to callers, and sends them again if they may not have been read."""
 
     def __init__(self, scheduler: Scheduler, counters: Counters, pool: CallerPool) -> None:
         self._scheduler, self._counters, self._pool = scheduler, counters, pool
-        self._pending: dict[str, CallerRelease] = {}  # those that wait for a connection, by call
-        self._undelivered: dict[str, UndeliveredRelease] = {}  # all, by call, the oldest first
-        self._check: Timer | None = None  # while a release may be sent again, or may count as delivered
+        self._pending: dict[str, CallerRelease] = {}  # releases that wait for a connection, by call
+        self._undelivered: dict[str, UndeliveredRelease] = {}  # all, by call, oldest first
+        self._check: Timer | None = None  # set while releases are to be checked by ``_check_unconfirmed``
 
     def send(self, stream: CallerStream | None, release: CallerRelease) -> None:
-        """Send here where it can be written to, else on the newest that carries calls, or later.
+        """Send a release on the connection of its call, else on the best that carries calls, or later.
 
-        It counts as delivered once it was confirmed, or was written long ago to a connection that has not
-        ended.
+        The release counts as delivered once it is confirmed, or a time after it was written to a connection
+        that has not ended.
         """
         undelivered = self._undelivered.setdefault(release.call_id, UndeliveredRelease())
         undelivered.on_delivered = release.on_delivered or undelivered.on_delivered
@@ -97,7 +100,7 @@
             self._undelivered.pop(release.call_id, None)
 
     def wait_for_delivery(self, call_id: str, on_delivered: Callable[[], None]) -> bool:
-        """Replace the callback of an undelivered release; False: none is undelivered."""
+        """Replace the callback of an undelivered release; False if this call has none."""
         undelivered = self._undelivered.get(call_id)
         if undelivered is None:
             return False
@@ -105,30 +108,30 @@
         return True
 
     def on_delivered(self, call_id: str) -> None:
-        """A caller has confirmed this release, or it counts as delivered."""
+        """Called when a caller has confirmed a release, or the release counts as delivered."""
         undelivered = self._undelivered.pop(call_id, None)
         if undelivered is not None and undelivered.on_delivered is not None:
             undelivered.on_delivered()
 
     def on_connected(self) -> None:
-        """A connection is up: pending releases go there unless one that carries calls comes first."""
+        """Called when a caller connects; schedules pending releases to be sent on any connection."""
         if self._pending:
             self._send_pending_later()
 
     def send_pending(self, stream: CallerStream) -> None:
-        """Write all that have waited for a connection."""
+        """Send all pending releases on this connection."""
         pending, self._pending = self._pending, {}
         for release in pending.values():
             self._send_on(stream, release, is_foreign=True)
 
     def resend_unconfirmed(self, stream: CallerStream) -> None:
-        """Send again what may have crossed the caller's end of this connection."""
+        """Send recent releases again that the caller may not have read before it closed this connection."""
         since_ms = self._scheduler.now_ms - CONFIRMATION_WINDOW_MS
         for call_id, cause in stream.unconfirmed.take_sent_after(since_ms):
             self.send(None, CallerRelease(call_id, cause))
 
     def flush(self) -> None:
-        """Write what no caller is known to have on several connections, which are about to be ended.
+        """Send each undelivered release on several connections, before all connections are closed.
 
         No time is left to wait for a confirmation, or for a connection that carries calls.
         """
@@ -144,9 +147,9 @@
                 self._write(other, call_id, cause, is_foreign=True)
 
     def _check_unconfirmed(self) -> None:
-        """Send again what was not confirmed in time, since the peer may not know the call.
+        """Send releases again that were not confirmed in time, since the peer may not know the call.
 
-        What was written long ago to a connection that has not ended counts as delivered.
+        Those written long ago to a connection that has not ended are treated as delivered.
         """
         self._check = None
         now_ms = self._scheduler.now_ms
@@ -164,13 +167,13 @@
         for stream, call_id, cause in ignored:
             self._retry(stream, call_id, cause, usable)
         for call_id, undelivered in list(self._undelivered.items()):
-            if undelivered.is_due(now_ms):
+            if undelivered.counts_as_delivered(now_ms):
                 self.on_delivered(call_id)
             elif undelivered.written_ms is not None:
                 self._check_later()
 
     def _foreign_unconfirmed(self) -> list[tuple[CallerStream, str, int]]:
-        """Connection, call and cause of releases that may be sent again."""
+        """The connection, call and cause of each release that may be sent again."""
         now_ms = self._scheduler.now_ms
         return [
             (stream, call_id, sent.cause)
@@ -183,7 +186,7 @@
         others = self._undelivered[call_id].next_connections(usable, stream)
         if not others:
             return
-        stream.unconfirmed.pop(call_id, None)  # the oldest may have given way meanwhile
+        stream.unconfirmed.pop(call_id, None)  # may be gone: past its limit the oldest entry is dropped
         self._counters.add("sent.releases_again")
         self._write(others[0], call_id, cause, is_foreign=True)
 
--- a/canvasplank/network/callers.py
+++ b/canvasplank/network/callers.py
@@ -1,4 +1,4 @@
-"""The server side: connections from callers, in the binary messages of ``codecs.isup``."""
+"""Connections from callers, in the binary messages of ``codecs.isup``."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 class Callers:
-    """All connections from callers: the messages on them, for the exchange and from it (``CallerSide``)."""
+    """Passes messages between the connections from callers and the exchange (see ``CallerSide``)."""
 
     def __init__(
         self,
@@ -37,19 +37,23 @@
         budget: BufferBudget,
         is_ready: Callable[[], bool] = lambda: True,
     ) -> None:
-        """``sockets``: the program's limit; ``is_ready``: whether new callers are to come here at all."""
+        """Create the callers' side; it listens only after ``listen``.
+
+        ``sockets``: the program's limit; ``idle_ms``: see ``CallerPool``; ``is_ready``: whether the program
+        accepts new callers.
+        """
         self.exchange = exchange
         self.budget = budget
         self._bounds = bounds
         self._pool = CallerPool(exchange.scheduler, exchange.counters, sockets, idle_ms)
-        self.streams = self._pool.streams  # the oldest first
+        self.streams = self._pool.streams  # oldest first
         self.releases = CallerReleases(exchange.scheduler, exchange.counters, self._pool)
         self._is_ready = is_ready
         self._listener: Listener | None = None
 
     @property
     def quiesced(self) -> bool:
-        """Whether the operators are sending callers away."""
+        """Whether callers are being drained, on an operator's command."""
         return self._pool.quiesced
 
     @property
@@ -58,10 +62,10 @@
         return self._pool.drain_overdue
 
     def listen(self, host: str, port: int) -> None:
-        """Open the listener, on this address only; raises ``OSError``.
+        """Open the listener on this address; raises ``OSError``.
 
-        It accepts few connections in one go, so that room is made meanwhile: a crowd could take every
-        descriptor, and the listener then pauses for a second.
+        The listener accepts few connections per iteration, so that the pool can close others in between.
+        Otherwise a burst could take every descriptor, and the listener would pause for a second.
         """
         self._listener = Listener(
             self.exchange.scheduler, host, port, self._pool.max_accepts, lambda: CallerStream(self)
@@ -69,40 +73,40 @@
         self._pool.close_idle_connections()
 
     def limit(self, sockets: int) -> None:
-        """Take a new limit of the program's sockets."""
+        """Apply a new limit of the program's sockets."""
         self._pool.limit(sockets)
         if self._listener is not None:
             self._listener.limit(self._pool.max_accepts)
 
     def stop_listening(self) -> None:
-        """Accept those who wait in the kernel's queue already, and nobody after them."""
+        """Accept the connections in the kernel's queue, then close the listener."""
         if self._listener is not None:
             self._listener.close()
 
     def disconnect(self) -> None:
-        """Shut down, with all answered: end every connection, and read on for what crosses that.
+        """Close every connection for writing once all calls are answered, and keep reading.
 
-        Otherwise a set-up could be written to a connection which nobody reads any more while the process
-        winds down, and which is then closed without an answer.
+        Otherwise a caller could write a set-up to a connection that is no longer read while the process
+        ends, and would get no answer.
         """
         self.releases.flush()
         self._pool.close_writing()
 
     @property
     def takes_callers(self) -> bool:
-        """Whether a test passes: new callers may be sent here."""
+        """Whether new callers are accepted: the result of a TEST message."""
         return not self._pool.quiesced and self._is_ready()
 
     def quiesce(self) -> None:
-        """Send callers away: each connection is closed once it carries nothing, from now on."""
+        """Drain callers: from now on each connection is closed once it is unused."""
         self._pool.quiesce()
 
     def resume(self) -> None:
-        """Stop sending callers away."""
+        """Stop draining callers."""
         self._pool.resume()
 
     def unsent(self) -> int:
-        """Bytes still to be sent to callers."""
+        """The number of bytes still to be sent to callers."""
         return self._pool.unsent()
 
     # ------------------------------------------------------------------------------ from the exchange
@@ -125,7 +129,7 @@
         cast(CallerStream, origin).send_final_answer(call_id, rejection)
 
     def release(self, origin: Hashable | None, release: CallerRelease) -> None:
-        """See ``CallerSide``; no connection owns an established call: any will do, or the next."""
+        """See ``CallerSide``; a release may go out on any connection, or on the next one to be opened."""
         stream = cast("CallerStream | None", origin)
         if stream is not None:
             stream.established.discard(release.call_id)
@@ -154,13 +158,13 @@
         self.releases.resend_unconfirmed(stream)
 
     def on_message(self, stream: CallerStream, message: isup.Message) -> None:
-        """See ``CallerStreamOwner``; a message type that no caller sends is a bad message."""
+        """See ``CallerStreamOwner``; a message type that callers do not send is a bad message."""
         if message.kind != isup.Kind.TEST and not stream.carries_calls:
             stream.on_first_call_message()
             self.releases.send_pending(stream)
         match message.kind:
             case isup.Kind.SET_UP if stream.writing_closed:
-                pass  # it crossed our end: its caller sends it again on a new connection
+                pass  # sent before the caller saw our close: it is sent again on a new connection
             case isup.Kind.SET_UP:
                 self._on_set_up(stream, message)
             case isup.Kind.RELEASE:
@@ -172,16 +176,16 @@
             case isup.Kind.TEST:
                 stream.write(isup.test_result(message.call_id, self.takes_callers))
             case isup.Kind.PROGRESS:
-                pass  # free, means nothing
+                pass  # carries no information for the proxy
             case _:
-                raise BadMessageError(f"a message of type {message.kind} is no caller's")
+                raise BadMessageError(f"message type {message.kind} is not expected from a caller")
 
     def _on_set_up(self, stream: CallerStream, message: isup.Message) -> None:
         call = parse_set_up(stream, message, self._bounds, self.exchange.scheduler)
         new = call.id not in stream.open_set_ups
         stream.last_set_up_ms = self.exchange.scheduler.now_ms
         if new and not is_within_bounds(call, message, self._bounds):
-            # No server can use it: forwarding it would only cost servers, and other callers' set-ups.
+            # No server can use it: forwarding it would only burden the servers and delay other calls.
             self.exchange.reject_invalid(call)
             return
         stream.has_set_up_calls = True
--- a/canvasplank/network/discovery.py
+++ b/canvasplank/network/discovery.py
@@ -1,4 +1,4 @@
-"""The client of service discovery: a watch, resumed from the last event received.
+"""The client of service discovery: a long-lived watch that resumes after the last event received.
 
 Times are in milliseconds, on the scheduler's clock.
 """
@@ -24,21 +24,21 @@
 LOG = logging.getLogger(__name__)
 PATH = "/board/poll"
 CONNECT_TIMEOUT_MS = 1000.0
-# A comment is due every second; what a silent service does not send is not known here.
+# A healthy service sends a comment every second; a silent watch may be dead, and events would be missed.
 SILENCE_TIMEOUT_MS = 1500.0
 CHECK_INTERVAL_MS = 100.0
-# By the protocol, an event counts as known here 4 s after a move of the service, and 7 s after the event.
-# Where a service that has moved is connected and has sent no event yet, it is polled again after so long,
-# then after doubling times.
+# By the protocol, a proxy has to know an event 4 s after a move of the service, and 7 s after the event.
+# A watch on the service's new address that has received no event is replaced after this time, which doubles
+# with each replacement.
 UNCONFIRMED_MOVE_MS, MAX_UNCONFIRMED_MOVE_MS = 3500.0, 60_000.0
-UNCONFIRMED_MOVE_JITTER = (0.75, 1.0)  # of that, drawn each time: proxies that moved at once poll apart
+UNCONFIRMED_MOVE_JITTER = (0.75, 1.0)  # random factor, so that proxies do not poll a new address in step
 MIN_RECONNECT_DELAY_MS, MAX_RECONNECT_DELAY_MS = 50.0, 800.0
-EVENT_ID = re.compile(r"[0-9]{1,18}")
-MAX_READS = 3  # of one event that cannot be read; it may have been torn on its way
+EVENT_ID_PATTERN = re.compile(r"[0-9]{1,18}")
+MAX_READS = 3  # attempts to read an event that cannot be read; it may have been truncated in transit
 
 
 class DiscoveryWatchOwner(Protocol):
-    """What holds the watch and acts on its events: see ``Discovery``."""
+    """Holds the watch and handles its events: see ``Discovery``."""
 
     scheduler: Scheduler
     budget: BufferBudget
@@ -46,23 +46,23 @@
     last_id: int
 
     def on_watch_started(self) -> None:
-        """It is connected."""
+        """Called when the watch is connected."""
 
     def on_received(self, watch: DiscoveryWatch) -> None:
-        """Something was read, if only a comment."""
+        """Called when any data was read, even a comment."""
 
     def on_event(self, event: sse.Event) -> None:
-        """An event was read; raises ``BadMessageError``."""
+        """Called when an event was read; raises ``BadMessageError``."""
 
     def on_oversized_event(self, error: sse.OversizedEventError) -> None:
-        """An event is too long to be read; raises ``BadMessageError``, or returns to have it discarded."""
+        """Called for an event too long to be read; raises ``BadMessageError``, or returns to discard it."""
 
     def on_watch_ended(self, watch: DiscoveryWatch) -> None:
-        """It has ended, or never came up."""
+        """Called when the watch has ended, or could not be established."""
 
 
 class DiscoveryWatch(Stream[sse.Event]):
-    """One connection to service discovery."""
+    """A connection to service discovery."""
 
     def __init__(self, owner: DiscoveryWatchOwner) -> None:
         self._events = sse.Parser()
@@ -72,11 +72,11 @@
 
     @property
     def retry_after_ms(self) -> float:
-        """The wait that a refusal of the service has named; 0: none."""
+        """The Retry-After of a refusal by the service; 0 if there was none."""
         return self._events.retry_after_ms
 
     def on_connected(self) -> None:
-        """See ``Stream``: request the events after the last one received."""
+        """See ``Stream``; requests the events after the last one received."""
         self.connected_ms = self.scheduler.now_ms
         self._owner.on_watch_started()
         self.write(sse.request(PATH, self._owner.address, self._owner.last_id))
@@ -87,7 +87,7 @@
         try:
             for event in self.messages(data):
                 self._owner.on_event(event)
-        except sse.OversizedEventError as error:  # raised behind all complete events of the data
+        except sse.OversizedEventError as error:  # raised after all complete events of the data
             self._owner.on_oversized_event(error)
 
     def on_disconnected(self, error: Exception | None) -> None:
@@ -96,23 +96,23 @@
 
 
 class PollBackoff(Protocol):
-    """When to poll a service that all of a fleet poll; delays in milliseconds."""
+    """Computes the delays, in milliseconds, before polls of a service that a whole fleet polls."""
 
     def initial_delay(self) -> float:
-        """Before the first poll of all."""
+        """The delay before the first poll."""
 
     def retry_delay(self, now_ms: float, retry_after_ms: float) -> float:
-        """After a failure or a break; ``retry_after_ms``: the service's own Retry-After, or 0."""
+        """The delay after a failure or a break; ``retry_after_ms``: the service's Retry-After, or 0."""
 
     def reset(self) -> None:
-        """An event was received."""
+        """Reset the backoff, since an event was received."""
 
     def early_poll_delay(self, now_ms: float) -> float | None:
-        """Another proxy receives from the service and this one does not; None: it has just polled."""
+        """The delay where another proxy receives events and this one does not; None: it has just polled."""
 
 
 class Discovery:
-    """Follows service discovery from the last event received."""
+    """Watches service discovery, and resumes after the last event received."""
 
     def __init__(
         self,
@@ -123,7 +123,7 @@
         budget: BufferBudget,
         rng: random.Random | None = None,
     ) -> None:
-        """``last_id``: the number of the last event known; 0: none.  ``on_event`` is given each later one."""
+        """``last_id``: the number of the last known event, or 0; ``on_event`` gets each later event."""
         self.scheduler = scheduler
         self.budget = budget
         self.address = address
@@ -133,52 +133,53 @@
         self._watch: DiscoveryWatch | None = None
         self._attempt: ConnectionAttempt | None = None
         self._backoff = ReconnectBackoff(scheduler, MIN_RECONNECT_DELAY_MS, MAX_RECONNECT_DELAY_MS)
-        self._poll_backoff: PollBackoff | None = None  # None: by the doubling delays alone
-        # After a move and until the first event: how long the next watch may send none.
+        self._poll_backoff: PollBackoff | None = None  # None: the delays of ``_backoff`` apply
+        # From a move until the first event: how long the next watch may receive no event.
         self._unconfirmed_move_ms: float | None = None
-        self._rewatch_at_ms = float("inf")  # when the watch is ended for another
-        self._failed_reads = 0  # of the next event, in a row
-        # Unreadable events without a number, after the last event received: they are sent again to each poll.
-        self._skipped_unnumbered = 0  # for good
-        self._skipped_unnumbered_on_watch = 0  # of these, on this watch so far
+        self._replace_watch_at_ms = float("inf")  # when the watch is replaced by a new one
+        self._failed_reads = 0  # consecutive failures to read the next event
+        # The service sends unreadable events without a number, after the last event received, on each poll.
+        self._skipped_unnumbered = 0  # how many of these are skipped
+        self._skipped_unnumbered_on_watch = 0  # how many of these the current watch has sent so far
 
     def use_poll_backoff(self, poll_backoff: PollBackoff) -> None:
-        """Poll after this backoff's delays instead of the doubling ones; before ``start``."""
+        """Use the delays of this backoff instead of the default ones; to be called before ``start``."""
         self._poll_backoff = poll_backoff
 
     @property
     def last_received_ms(self) -> float | None:
-        """When anything was last read on the open watch; None: there is none, or no event came ever."""
+        """When data was last read on the open watch; None without an open watch or any event so far."""
         watch = self._watch
         return watch.last_received_ms if watch is not None and watch.is_open and self.last_id else None
 
     def start(self) -> None:
-        """Connect, and check periodically that the service still sends."""
+        """Connect, and check the connection periodically."""
         self._connect_first()
         self._check_connection()
 
     def _connect_first(self) -> None:
-        """Connect at once, or where a fleet polls at the same time, after this proxy's delay."""
+        """Connect at once, or with a poll backoff after its initial delay."""
         if self._poll_backoff is None:
             self._connect()
         else:
             self.scheduler.call_later(self._poll_backoff.initial_delay(), self._connect)
 
     def on_others_see_discovery(self) -> None:
-        """Another proxy receives from the service; if this one does not, poll sooner than it would."""
+        """Called when another proxy receives from the service; if this one does not, it polls early."""
         if self.last_received_ms is None and self._poll_backoff is not None:
             delay_ms = self._poll_backoff.early_poll_delay(self.scheduler.now_ms)
             if delay_ms is not None:
                 self.scheduler.call_later(delay_ms, self._connect)
 
     def move_to(self, address: str) -> None:
-        """The service has moved: poll there at once, from the last event received.
+        """Watch the service at its new address, from the last event received.
 
-        The old address sends nothing more: waiting until it closes, or is found silent, would lose time.
+        The old watch is aborted: the old address sends no more events, and waiting until it closes or times
+        out would lose time.
         """
         if address == self.address:
             return
-        LOG.info("service discovery: now at %s", address)
+        LOG.info("service discovery: moved to %s", address)
         self.address = address
         watch, self._watch = self._watch, None
         if self._attempt is not None:
@@ -190,7 +191,7 @@
         self._connect_first()
 
     def _connect(self) -> None:
-        if self._watch is not None:  # a delay from before the service moved has ended
+        if self._watch is not None:  # this timer was set before the service moved
             return
         watch = self._watch = DiscoveryWatch(self)
         self._attempt = ConnectionAttempt(
@@ -203,7 +204,7 @@
         self.on_watch_ended(watch)
 
     def on_watch_ended(self, watch: DiscoveryWatch) -> None:
-        """See ``DiscoveryWatchOwner``: poll again after the backoff's delay."""
+        """See ``DiscoveryWatchOwner``; polls again after the backoff's delay."""
         if self._watch is not watch:
             return
         self._watch = None
@@ -213,27 +214,27 @@
         self._backoff.schedule(self._connect, delay_ms)
 
     def on_received(self, watch: DiscoveryWatch) -> None:
-        """See ``DiscoveryWatchOwner``: a watch that has lasted for a while resets the backoff.
+        """See ``DiscoveryWatchOwner``; a watch older than ``MAX_RECONNECT_DELAY_MS`` resets the backoff.
 
-        Not a new one: a service that answers with errors would be polled at the shortest delay for ever.
+        If a new watch did so, a service that answers with errors would be polled at the shortest delay.
         """
         if self.scheduler.now_ms - watch.connected_ms > MAX_RECONNECT_DELAY_MS:
             self._backoff.on_success()
 
     def on_watch_started(self) -> None:
-        """See ``DiscoveryWatchOwner``: after a move, set the time by which the first event must come.
+        """See ``DiscoveryWatchOwner``; after a move, sets the time by which the first event must arrive.
 
-        The service may have accepted the watch where it has moved to, and then lost it.  One that has sent an
-        event is known to work, and polling that again would only be load.
+        The service may have accepted the watch at its new address and then lost it.  A watch that has sent an
+        event is known to work, and replacing it would only add load.
         """
         self._skipped_unnumbered_on_watch = 0
         if self._unconfirmed_move_ms is not None:
             jitter = self._rng.uniform(*UNCONFIRMED_MOVE_JITTER)
-            self._rewatch_at_ms = self.scheduler.now_ms + self._unconfirmed_move_ms * jitter
+            self._replace_watch_at_ms = self.scheduler.now_ms + self._unconfirmed_move_ms * jitter
             self._unconfirmed_move_ms = min(MAX_UNCONFIRMED_MOVE_MS, 2 * self._unconfirmed_move_ms)
 
     def on_event(self, event: sse.Event) -> None:
-        """See ``DiscoveryWatchOwner``: pass a new event on; one received before a break is dropped."""
+        """See ``DiscoveryWatchOwner``; passes a new event on and drops one that was received before."""
         number = _event_number(event.id)
         if number is None:
             self._on_unreadable(None, f"id {event.id[:20]!r} is not a number")
@@ -255,19 +256,19 @@
             self._on_unreadable(number, str(error))
 
     def _advance_to(self, number: int) -> None:
-        """Resume after this event from now on."""
+        """Make this event the last one received, after which the next poll resumes."""
         self._failed_reads = self._skipped_unnumbered = self._skipped_unnumbered_on_watch = 0
         self._backoff.on_success()
-        self._unconfirmed_move_ms, self._rewatch_at_ms = None, float("inf")
+        self._unconfirmed_move_ms, self._replace_watch_at_ms = None, float("inf")
         if self._poll_backoff is not None:
             self._poll_backoff.reset()
         self.last_id = number
 
     def _on_unreadable(self, number: int | None, reason: str) -> None:
-        """Raise ``BadMessageError``, which has the event requested again, or skip it after ``MAX_READS``.
+        """Raise ``BadMessageError`` to request the event again, or skip it after ``MAX_READS`` attempts.
 
-        An event that can never be read must not withhold all later ones from this proxy.  One without a
-        number leaves the resume token; after a break it is known by its place behind the last event received.
+        An event that can never be read must not block all later ones.  An event without a number does not
+        change ``last_id``; on the next watch it is recognised by its position after the last event received.
         """
         if number is None and self._skipped_unnumbered_on_watch < self._skipped_unnumbered:
             self._skipped_unnumbered_on_watch += 1
@@ -285,14 +286,14 @@
             self._advance_to(number)
 
     def _check_connection(self) -> None:
-        """End a watch that is open and dead, or unconfirmed after a move; periodically."""
+        """Replace an open watch that is silent, or unconfirmed after a move; runs periodically."""
         watch, now_ms = self._watch, self.scheduler.now_ms
         if watch is not None and watch.is_open:
             if now_ms - watch.last_received_ms > SILENCE_TIMEOUT_MS:
-                LOG.info("service discovery: silent, connecting again")
+                LOG.info("service discovery: no data received, connecting again")
                 watch.abort()
                 self.on_watch_ended(watch)
-            elif now_ms >= self._rewatch_at_ms:
+            elif now_ms >= self._replace_watch_at_ms:
                 watch.abort()
                 self._watch = None
                 self._connect()
@@ -300,5 +301,5 @@
 
 
 def _event_number(event_id: str) -> int | None:
-    """The number that an event's id is; None: it is none."""
-    return int(event_id) if EVENT_ID.fullmatch(event_id) else None
+    """Returns the id of an event as a number; None if it is not a number."""
+    return int(event_id) if EVENT_ID_PATTERN.fullmatch(event_id) else None
--- a/canvasplank/network/listener.py
+++ b/canvasplank/network/listener.py
@@ -1,4 +1,4 @@
-"""A listener that loses nobody when it closes: what the kernel has queued is accepted before."""
+"""A listener that accepts the connections in the kernel's queue before it closes, so that none is lost."""
 
 from __future__ import annotations
 
@@ -11,27 +11,27 @@
 from canvasplank.runtime.scheduler import Scheduler
 
 LOG = logging.getLogger(__name__)
-BACKLOG = 512  # connections that the kernel queues
-EXHAUSTION_PAUSE_MS = 1000.0  # after accept(2) has failed for want of descriptors or memory
+BACKLOG = 512  # connections in the kernel's accept queue
+EXHAUSTION_PAUSE_MS = 1000.0  # pause after accept(2) failed for lack of descriptors or memory
 EXHAUSTION_ERRORS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
 
 
 def is_port_in_use(host: str, port: int) -> bool:
-    """Whether another process listens there, such as the old version on an upgrade."""
+    """Whether another process listens at this address, such as the old version on an upgrade."""
     with socket.socket(socket.AF_INET6 if ":" in host else socket.AF_INET, socket.SOCK_STREAM) as probe:
         probe.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         try:
-            probe.bind((host, port))  # not shared, so this fails beside a listener
+            probe.bind((host, port))  # without SO_REUSEPORT, so it fails if another process listens
         except OSError as error:
             return error.errno == errno.EADDRINUSE
         return False
 
 
 class Listener:
-    """Accepts connections, a limited number in one go, and gives each a protocol of its own.
+    """Accepts connections, a limited number per loop iteration, and creates a protocol for each.
 
-    asyncio's own server, closed in the iteration in which it has accepted somebody, drops them, and the
-    kernel resets those in its queue: found with a process that was stopped through its last moments.
+    asyncio's server loses connections when it is closed: it drops those accepted in the same iteration, and
+    the kernel resets those in its queue.  Both happen where a process is suspended during its shutdown.
     """
 
     def __init__(
@@ -42,14 +42,15 @@
         max_accepts: int,
         protocol: Callable[[], asyncio.BaseProtocol],
     ) -> None:
-        """Listen; raises ``OSError``.
+        """Start to listen; raises ``OSError``.
 
         The port is shared (``SO_REUSEPORT``): on an upgrade the new process listens beside the old one.
+        ``max_accepts`` limits the connections accepted in one loop iteration.
         """
         self._max_accepts = max_accepts
         self._scheduler, self._protocol = scheduler, protocol
         self._loop = asyncio.get_running_loop()
-        self._tasks: set[asyncio.Task[object]] = set()  # of connections being handed to their protocols
+        self._tasks: set[asyncio.Task[object]] = set()  # each attaches an accepted connection to its protocol
         self._socket = socket.socket(
             socket.AF_INET6 if ":" in host else socket.AF_INET, socket.SOCK_STREAM, socket.IPPROTO_TCP
         )
@@ -65,11 +66,11 @@
         self._start_accepting()
 
     def limit(self, max_accepts: int) -> None:
-        """Accept no more than so many connections in one go."""
+        """Set how many connections are accepted in one loop iteration."""
         self._max_accepts = max_accepts
 
     def close(self) -> None:
-        """Accept those in the kernel's queue, and nobody after them."""
+        """Accept the connections in the kernel's queue, then stop listening."""
         if self._socket.fileno() < 0:
             return
         self._loop.remove_reader(self._socket)
@@ -88,9 +89,9 @@
                 return
             except OSError as error:
                 if error.errno not in EXHAUSTION_ERRORS:
-                    continue  # the connection broke in the queue, and accept(2) reports its error
-                # Pause, or the loop would do nothing but fail to accept.
-                LOG.error("no connection is taken for a second: %s", error)
+                    continue  # accept(2) reports the error of a connection that broke in the queue
+                # Without a pause the event loop would be busy with failing accepts.
+                LOG.error("accepting connections is paused for 1 s: %s", error)
                 self._loop.remove_reader(self._socket)
                 self._scheduler.call_later(EXHAUSTION_PAUSE_MS, self._start_accepting)
                 return
--- a/canvasplank/network/set_up_parser.py
+++ b/canvasplank/network/set_up_parser.py
@@ -1,4 +1,4 @@
-"""Parses a caller's set-up, and checks it against the bounds that the settings give."""
+"""Parses a caller's set-up, and checks it against the bounds in the settings."""
 
 from __future__ import annotations
 
@@ -12,20 +12,20 @@
 from canvasplank.runtime.scheduler import Scheduler
 
 NO_CALL_ID = "0" * 16
-NUMBER = re.compile(r"[A-Za-z0-9*#+._-]{1,64}")  # what a server can read in the request line
-FIGURES = ("dest", "width", "via", "again")
-FIGURE = re.compile(r"-?[0-9]{1,9}")
-MAX_WAIT_MS = 3_600_000.0  # no caller waits for an hour; a longer wait is a bad message
-MAX_DESCRIPTION_BYTES = 15 * 1024  # with the headers of a server's INVITE it still fits one message
+NUMBER_PATTERN = re.compile(r"[A-Za-z0-9*#+._-]{1,64}")  # valid in the request line to a server
+FIGURE_NAMES = ("dest", "width", "via", "again")
+FIGURE_PATTERN = re.compile(r"-?[0-9]{1,9}")
+MAX_WAIT_MS = 3_600_000.0  # no caller waits for an hour
+MAX_DESCRIPTION_BYTES = 15 * 1024  # fits one message together with the headers of an INVITE
 
 
 def parse_set_up(
     stream: CallerStream, message: isup.Message, bounds: RequestBounds, scheduler: Scheduler
 ) -> CallRecord:
-    """The call that a set-up requests; raises ``BadMessageError`` for what no server could read.
+    """Returns the call that a set-up requests; raises ``BadMessageError`` for values that no server can read.
 
-    A figure that is none (a wait of 'nan' would spoil the order of the timers) ends the caller's connection
-    here, before it can make a server end a connection that other callers' calls share.
+    An invalid value ends only the caller's connection.  Forwarded, it could make a server end a connection
+    that carries other callers' calls, and a wait of 'nan' would corrupt the order of the timers.
     """
     figures = _parse_figures(message)
     wait_text = message.text(isup.Parameter.WAIT)
@@ -33,14 +33,16 @@
         wait_ms = float(wait_text)
     except ValueError as error:
         raise BadMessageError(f"set-up {message.call_id}: {error}") from error
-    if not 0 < wait_ms <= MAX_WAIT_MS:  # a 'nan' is not, either
-        raise BadMessageError(f"set-up {message.call_id}: a wait of {wait_text[:20]!r}")
+    if not 0 < wait_ms <= MAX_WAIT_MS:  # also rejects 'nan'
+        raise BadMessageError(f"set-up {message.call_id}: the wait {wait_text[:20]!r} is out of range")
     number = message.text(isup.Parameter.NUMBER)
-    if message.call_id == NO_CALL_ID or not NUMBER.fullmatch(number):
-        raise BadMessageError(f"set-up {message.call_id}: no id, or a number of {number[:20]!r}")
+    if message.call_id == NO_CALL_ID or not NUMBER_PATTERN.fullmatch(number):
+        raise BadMessageError(f"set-up {message.call_id}: no call id, or bad number {number[:20]!r}")
     description = message.parameters.get(isup.Parameter.DESCRIPTION, b"")
     if not 0 < len(description) <= MAX_DESCRIPTION_BYTES:
-        raise BadMessageError(f"set-up {message.call_id}: a description of {len(description)} bytes")
+        raise BadMessageError(
+            f"set-up {message.call_id}: a description of {len(description)} bytes is empty or too long"
+        )
     return CallRecord(
         id=message.call_id,
         class_name=message.text(isup.Parameter.CLASS),
@@ -48,7 +50,7 @@
         number=number,
         preferred_pool=figures.get("dest", -1),
         was_cut=figures.get("again") == 1,
-        # The wait counts from when the caller sent it: earlier than now by as much as it was read late.
+        # The wait counts from when the caller sent the set-up; ``lateness_ms`` is how late it was read.
         expires_ms=scheduler.now_ms - scheduler.lateness_ms + wait_ms,
         description=description,
         origin=stream,
@@ -56,7 +58,7 @@
 
 
 def is_within_bounds(call: CallRecord, message: isup.Message, bounds: RequestBounds) -> bool:
-    """Whether class, tenant, pool and width are ones that the settings know."""
+    """Whether class, tenant, pool and width are within the settings."""
     if call.class_name not in bounds.classes or (bounds.tenants and call.tenant not in bounds.tenants):
         return False
     width = _parse_figures(message).get("width", 1)
@@ -69,12 +71,12 @@
 
 
 def _parse_figures(message: isup.Message) -> dict[str, int]:
-    """The figures of a set-up that are used here, each an integer; raises ``BadMessageError``."""
+    """Returns the figures in ``FIGURE_NAMES`` that a set-up holds; raises ``BadMessageError``."""
     figures: dict[str, int] = {}
     for field in message.text(isup.Parameter.FIGURES).rstrip(";").split(";"):
         name, colon, value = field.partition(":")
-        if not colon or (name in FIGURES and not FIGURE.fullmatch(value)):
+        if not colon or (name in FIGURE_NAMES and not FIGURE_PATTERN.fullmatch(value)):
             raise BadMessageError(f"set-up {message.call_id}: the figure {field[:40]!r} cannot be read")
-        if name in FIGURES:
+        if name in FIGURE_NAMES:
             figures[name] = int(value)
     return figures
--- a/canvasplank/network/stream.py
+++ b/canvasplank/network/stream.py
@@ -1,4 +1,4 @@
-"""What every connection has in common: reading messages, bounds on what is buffered, and the ways to end.
+"""The base class of all connections: reads messages, bounds buffered bytes, and closes or aborts.
 
 All times are in milliseconds, on the scheduler's clock; all sizes are in bytes.
 """
@@ -18,18 +18,18 @@
 from canvasplank.runtime.scheduler import Scheduler
 
 LOG = logging.getLogger(__name__)
-MAX_UNSENT_BYTES = 1024 * 1024  # a peer that leaves more unread loses its connection
-PAUSE_READING_UNSENT_BYTES = 16 * 1024  # a peer that leaves more unread is not read from meanwhile
-UNSENT_CHECK_INTERVAL_MS = 10.0  # while an action waits for bytes that the kernel has not taken
-LINGER_MS = 2000.0  # how long a peer may take to read the rest once its connection is to end
-MAX_READS_AFTER_RESET = 256  # of what had arrived on a connection before it was reset
-BUFFERED_FRACTION = 1 / 8  # of the memory: the bound on what all connections together hold
+MAX_UNSENT_BYTES = 1024 * 1024  # a connection with more unsent bytes is aborted
+PAUSE_READING_UNSENT_BYTES = 16 * 1024  # reading from a peer is paused while more bytes are unsent
+UNSENT_CHECK_INTERVAL_MS = 10.0  # between checks of the unsent bytes while an action waits for them
+LINGER_MS = 2000.0  # how long a peer may take to read the remaining bytes of a closing connection
+MAX_READS_AFTER_RESET = 256  # reads of the data that had arrived before a connection was reset
+BUFFERED_FRACTION = 1 / 8  # share of the program's memory that all connections together may buffer
 
 Message_co = TypeVar("Message_co", covariant=True)
 
 
 class Parser(Protocol[Message_co]):
-    """A codec's incremental reader of messages."""
+    """An incremental message parser of a codec."""
 
     @property
     def in_message(self) -> bool:
@@ -37,20 +37,20 @@
 
     @property
     def buffered(self) -> int:
-        """Bytes of the incomplete message."""
+        """The number of bytes held of the incomplete message."""
 
     def feed(self, data: memoryview) -> Iterator[Message_co]:
-        """Messages completed by these bytes; raises ``BadMessageError``."""
+        """Yields the messages that these bytes complete; raises ``BadMessageError``."""
 
     def clear(self) -> None:
         """Discard the incomplete message."""
 
 
 class BufferBudget:
-    """Bounds what all connections buffer together, unsent bytes and incomplete messages.
+    """Bounds the unsent bytes and incomplete messages that all connections buffer together.
 
-    Past the bound the connection that holds most is ended, and so on until the rest fits: hundreds of peers
-    may each stay within the bounds of one connection and together take more memory than is configured.
+    Past the bound, the connections that buffer most are aborted until the rest fits.  Hundreds of peers may
+    each stay within the bounds of one connection and together exceed the configured memory.
     """
 
     def __init__(self, memory_bytes: float) -> None:
@@ -59,11 +59,11 @@
         self.limit(memory_bytes)
 
     def limit(self, memory_bytes: float) -> None:
-        """Take a new limit of the program's memory."""
+        """Apply a new limit of the program's memory."""
         self._max_bytes = BUFFERED_FRACTION * memory_bytes
 
     def update(self, stream: Stream[object], size: int) -> None:
-        """Record what a connection holds now."""
+        """Record how many bytes a connection buffers now, and abort connections past the bound."""
         self.total += size - self._by_stream.pop(stream, 0)
         if size:
             self._by_stream[stream] = size
@@ -71,7 +71,7 @@
             self._shrink()
 
     def _shrink(self) -> None:
-        """Measure all again, since bytes that were sent meanwhile are not recorded; then end the largest."""
+        """Measure all connections again, since sent bytes are not recorded at once, and abort the largest."""
         self._by_stream = {stream: stream.buffered for stream in self._by_stream if stream.buffered}
         self.total = sum(self._by_stream.values())
         while self.total > self._max_bytes:
@@ -84,47 +84,48 @@
 class Stream(asyncio.BufferedProtocol, Generic[Message_co]):
     """One connection; subclasses implement ``on_connected``, ``on_received`` and ``on_disconnected``."""
 
-    # Bytes read are here only until ``buffer_updated``, which follows ``get_buffer`` at once, hands them to a
-    # parser: one buffer serves all connections, instead of 16 KiB for each of hundreds of idle ones.
+    # All connections share one read buffer, instead of 16 KiB for each of hundreds of idle ones:
+    # ``buffer_updated`` follows ``get_buffer`` at once and hands the bytes to a parser.
     _buffer = bytearray(MAX_MESSAGE_BYTES)
 
     def __init__(
         self, scheduler: Scheduler, label: str, parser: Parser[Message_co], budget: BufferBudget
     ) -> None:
-        """``label`` names the peer in log lines."""
+        """Create a connection that is not established yet; ``label`` names the peer in log lines."""
         self.scheduler = scheduler
         self.parser = parser
         self.budget = budget
         self.label = label
-        self.transport: asyncio.Transport | None = None  # None: not connected yet
+        self.transport: asyncio.Transport | None = None  # None until connected
         self.last_received_ms = scheduler.now_ms
         self.last_used_ms = scheduler.now_ms  # when anything was last read or written
-        self.message_started_ms = scheduler.now_ms  # when the incomplete message started, if there is one
-        self.unreadable = False  # whether it was ended for a bad message
-        self.writing_closed = False  # whether it is only read any more
+        self.message_started_ms = scheduler.now_ms  # when the incomplete message, if any, started
+        self.unreadable = False  # whether it was aborted for a bad message
+        self.writing_closed = False  # whether it is closed for writing and only read from
         self._written_bytes = 0
-        self._when_sent: deque[tuple[int, Callable[[], None]]] = deque()  # by the bytes written before each
+        # Actions that wait until all bytes written before them are sent, each with the number of those bytes.
+        self._on_sent: deque[tuple[int, Callable[[], None]]] = deque()
 
     @property
     def is_open(self) -> bool:
-        """Whether something may still be written."""
+        """Whether the connection can still be written to."""
         return self.transport is not None and not self.writing_closed and not self.transport.is_closing()
 
     def on_connected(self) -> None:
-        """The connection is established."""
+        """Called when the connection is established."""
 
     def on_received(self, data: memoryview) -> None:
-        """Bytes were read; raises ``BadMessageError`` for what the peer must not send."""
+        """Called with bytes that were read; raises ``BadMessageError`` for an invalid message."""
         raise NotImplementedError
 
     def on_unread(self, data: memoryview | bytes) -> None:
-        """These bytes came behind a bad message on a connection that its peer has ended."""
+        """Called with bytes that followed a bad message on a connection that the peer has ended."""
 
     def on_disconnected(self, error: Exception | None) -> None:
-        """The connection has ended."""
+        """Called when the connection has ended."""
 
     def messages(self, data: memoryview) -> Iterator[Message_co]:
-        """Messages completed by these bytes; maintains ``message_started_ms``."""
+        """Yields the messages that these bytes complete, and maintains ``message_started_ms``."""
         was_in_message = self.parser.in_message
         for message in self.parser.feed(data):
             was_in_message = False
@@ -133,7 +134,7 @@
             self.message_started_ms = self.scheduler.now_ms
 
     def write(self, data: bytes) -> None:
-        """Send, unless it is closed; a peer that leaves too much unread is disconnected."""
+        """Send data unless the connection is closed; abort it past ``MAX_UNSENT_BYTES``."""
         transport = self.transport
         if transport is None or self.writing_closed or transport.is_closing():
             return
@@ -145,83 +146,83 @@
             self.abort_unsent()
 
     def call_when_sent(self, action: Callable[[], None]) -> None:
-        """Call it once the kernel has taken all that is written by now, or the connection has ended."""
+        """Call an action once the kernel has taken all bytes written so far, or the connection has ended."""
         if not self.unsent:
             action()
             return
-        if not self._when_sent:
+        if not self._on_sent:
             self.scheduler.call_later(UNSENT_CHECK_INTERVAL_MS, self._check_sent)
-        self._when_sent.append((self._written_bytes, action))
+        self._on_sent.append((self._written_bytes, action))
 
     def _check_sent(self) -> None:
         sent_bytes = self._written_bytes - self.unsent
-        while self._when_sent and self._when_sent[0][0] <= sent_bytes:
-            self._when_sent.popleft()[1]()
-        if self._when_sent:
+        while self._on_sent and self._on_sent[0][0] <= sent_bytes:
+            self._on_sent.popleft()[1]()
+        if self._on_sent:
             self.scheduler.call_later(UNSENT_CHECK_INTERVAL_MS, self._check_sent)
 
     @property
     def buffered(self) -> int:
-        """Bytes held for this connection: unsent, or of an incomplete message."""
+        """The number of bytes held for this connection: unsent, or of an incomplete message."""
         return self.unsent + self.parser.buffered
 
     @property
     def unsent(self) -> int:
-        """Bytes written that the kernel has not taken yet."""
+        """The number of bytes written that the kernel has not taken yet."""
         return self.transport.get_write_buffer_size() if self.transport is not None else 0
 
     def close(self) -> None:
-        """End it once all is sent, or after ``LINGER_MS`` where the peer does not read the rest."""
+        """Close the connection once all is sent; abort it after ``LINGER_MS``."""
         if self.transport is not None and self.is_open:
             if self.unsent:
                 self.scheduler.call_later(LINGER_MS, self.transport.abort)
             self.transport.close()
 
     def close_writing(self) -> None:
-        """Send no more, and read until the peer has ended it too, or for ``LINGER_MS``.
+        """Shut down writing, and keep reading until the peer closes too, for ``LINGER_MS`` at most.
 
-        What crosses our end of the connection, such as the release of an established call, is still read: a
-        socket that is closed answers it with a reset.
+        Data already in flight from the peer, such as the release of an established call, is still read: a
+        closed socket would answer it with a reset.
         """
         if self.transport is not None and self.is_open:
             self.writing_closed = True
-            with contextlib.suppress(OSError):  # the peer has reset it: what came before that is read next
+            with contextlib.suppress(OSError):  # the peer has reset it: data received before is read next
                 self.transport.write_eof()
             self.scheduler.call_later(LINGER_MS, self.abort_lingering)
 
     def abort_lingering(self) -> None:
-        """End it after ``LINGER_MS``, unless its peer has ended it too."""
+        """Abort a connection closed for writing whose peer has not closed it within ``LINGER_MS``."""
         if self.transport is not None:
             self.transport.abort()
 
     def abort_unsent(self) -> None:
-        """End it at once, since its peer does not read, with a line in the log."""
+        """Abort the connection, since its peer does not read, and log a warning."""
         LOG.warning("%s: closed, leaves %d bytes unread", self.label, self.unsent)
         self.abort()
 
     def abort(self) -> None:
-        """End it at once, whatever is unsent."""
+        """End the connection at once and discard unsent bytes."""
         if self.transport is not None:
             self.transport.abort()
             self._shut_down_socket()
 
     def _shut_down_socket(self) -> None:
-        """Let the peer know now that it has ended: asyncio closes the socket in a later iteration.
+        """Shut down the socket now, since asyncio closes it only in a later iteration.
 
-        So it does before anything is sent elsewhere because this connection has ended.
+        The peer thus sees the end before anything is sent elsewhere because of it.
         """
         if self.transport is not None:
-            with contextlib.suppress(OSError):  # the peer has ended it already
+            with contextlib.suppress(OSError):  # already closed by the peer
                 self.transport.get_extra_info("socket").shutdown(socket.SHUT_RDWR)
 
     def abort_unreadable(self, reason: str) -> None:
-        """End it at once, since nothing that the peer sends can be of further use, with a line in the log."""
+        """Abort the connection, since further data of the peer cannot be used, and log the reason."""
         LOG.warning("%s: closed, %s", self.label, reason)
         self.unreadable = True
-        self.parser.clear()  # now, and not only after an iteration that brings hundreds like it
+        self.parser.clear()  # frees the memory now: one iteration may abort hundreds of connections
         self.abort()
 
-    # ------------------------------------------------------------------------------ called by asyncio
+    # ------------------------------------------------------------------------------ asyncio protocol methods
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """See asyncio."""
@@ -236,7 +237,7 @@
         return self._buffer
 
     def buffer_updated(self, nbytes: int) -> None:
-        """See asyncio; an error of reading ends this connection and no other."""
+        """See asyncio; an error while reading ends only this connection."""
         self.scheduler.begin_iteration()
         self.last_received_ms = self.last_used_ms = self.scheduler.now_ms
         try:
@@ -245,22 +246,22 @@
         except BadMessageError as error:
             self.abort_unreadable(str(error))
         except Exception:
-            # A fault of ours must not pass for an ordinary end: calls that may be established are released.
+            # Aborted as unreadable, and not as an ordinary end: calls that may be established are released.
             LOG.exception("%s: reading failed", self.label)
-            self.abort_unreadable("its message met a fault of ours")
+            self.abort_unreadable("internal error while reading a message")
 
     def pause_writing(self) -> None:
-        """See asyncio: the peer does not read, so nothing more is read from it meanwhile."""
+        """See asyncio; pauses reading while the peer does not read."""
         if self.transport is not None and self.is_open:
             self.transport.pause_reading()
 
     def resume_writing(self) -> None:
-        """See asyncio: the peer reads again; a connection closed for writing is read until its end, too."""
+        """See asyncio; resumes reading, also on a connection closed for writing, which is read to its end."""
         if self.transport is not None and not self.transport.is_closing():
             self.transport.resume_reading()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """See asyncio, which closes the socket only after this."""
+        """See asyncio, which closes the socket after this call."""
         self.scheduler.begin_iteration()
         if exc is not None and self.transport is not None:
             with contextlib.suppress(OSError):
@@ -273,10 +274,10 @@
 
 
 def read_remaining(stream: Stream[object], remaining: socket.socket) -> None:
-    """Let a stream read what had arrived before its connection was reset.
+    """Hand a stream the data that had arrived before its connection was reset.
 
-    asyncio reads no more once a write of ours, or the end of connecting, has met the reset; the release of an
-    established call may be among it.
+    asyncio stops reading once a write, or the completion of connecting, has failed with the reset.  The data
+    left unread may hold the release of an established call.
     """
     buffer = stream.get_buffer(MAX_MESSAGE_BYTES)
     with contextlib.suppress(OSError):
@@ -288,4 +289,4 @@
                 stream.on_unread(memoryview(buffer)[:count])
             else:
                 stream.buffer_updated(count)
-    stream.budget.update(stream, 0)  # an ended connection must not count against the budget for good
+    stream.budget.update(stream, 0)  # or the ended connection would count against the budget for good
--- a/canvasplank/program.py
+++ b/canvasplank/program.py
@@ -1,4 +1,4 @@
-"""Wires the components of the proxy together, and handles signals and the shutdown."""
+"""Connects the components of the proxy, and handles signals and the shutdown."""
 
 from __future__ import annotations
 
@@ -42,18 +42,17 @@
 
 LOG = logging.getLogger(__name__)
 MIB = 2**20
-# An old version beside this process is told to stop once this one is ready, and has ended by then.
+# On an upgrade the old process is stopped once this one is ready; it has ended by this time.
 PREDECESSOR_END_MS = 5000.0
-SUCCESSOR_TIMEOUT_S = 0.2  # for another process at this address to confirm what is passed on to it
-# For call servers to detect that the connections of the old version have ended.
-END_DETECTION_MS = 400.0
+SUCCESSOR_TIMEOUT_S = 0.2  # for the next process at this address to confirm the releases passed on to it
+END_DETECTION_MS = 400.0  # for call servers to detect that the old process's connections have ended
 MAX_LOGGED_CALLS = 10  # in one line
-# Changes of these hold from the next start on.
+# Fields of the configuration whose changes take effect at the next start only.
 APPLIED_AT_START = ("name", "listen", "admin", "settings")
 
 
 class Program:
-    """One signalling proxy; its components are open to its extensions (``ExtensionContext``)."""
+    """A signalling proxy; extensions use its components through ``ExtensionContext``."""
 
     def __init__(
         self,
@@ -71,10 +70,10 @@
         memory = configuration.limits.memory_mb * MIB
         self.exchange = Exchange(self.scheduler, controller.handle, self.counters, limits.max_open, memory)
         self._budget = BufferBudget(memory)
-        figures = read_request_bounds(settings, configuration.settings)
+        bounds = read_request_bounds(settings, configuration.settings)
         self._callers = Callers(
             self.exchange,
-            figures,
+            bounds,
             configuration.limits.sockets,
             limits.conn_idle_ms,
             self._budget,
@@ -102,7 +101,7 @@
         self._extensions: list[Extension] = [create(self) for create in factories]
 
     async def run(self) -> None:
-        """Serve until told to stop."""
+        """Serve until the program is told to stop."""
         loop = asyncio.get_running_loop()
         loop.add_signal_handler(signal.SIGTERM, self._terminate)
         loop.add_signal_handler(signal.SIGINT, self._terminate)
@@ -123,7 +122,7 @@
             LOG.info("%s listens on %s", self.configuration.name, self.configuration.listen)
         if self.configuration.admin and self._serving:
             await self._admin.listen(self.configuration.admin)
-            LOG.info("the operators' address is %s", self.configuration.admin)
+            LOG.info("admin address is %s", self.configuration.admin)
         await self._done.wait()
         self._admin.close()
         remaining_s = self._shutdown.remaining_ms(self.scheduler.now_ms) / 1000
@@ -133,7 +132,10 @@
             await extension.drain(self._shutdown.remaining_ms(self.scheduler.now_ms) / 1000)
 
     async def _watch_predecessor(self, host: str, port: int) -> None:
-        """Have the servers send what the process that listens there leaves unconfirmed at its end."""
+        """Renew the server connections when the process that listens at this address has ended.
+
+        Call servers then send the releases again that the old process has left unconfirmed.
+        """
         self.scheduler.call_later(PREDECESSOR_END_MS, self.servers.renew_connections)
         predecessor = PredecessorStream(self.scheduler, self._budget, self._on_predecessor_ended)
         await predecessor.connect(host, port)
@@ -142,7 +144,7 @@
     def _on_predecessor_ended(self) -> None:
         self.scheduler.call_later(END_DETECTION_MS, self.servers.renew_connections)
 
-    # -------------------------------------------------------------------------------- for the extensions
+    # -------------------------------------------------------------------------------- ExtensionContext
 
     def use_fleet_view(self, fleet_view: FleetView) -> None:
         """See ``ExtensionContext``."""
@@ -168,24 +170,24 @@
     def _serving(self) -> bool:
         return self._shutdown.phase is Phase.SERVING
 
-    # -------------------------------------------------------------------------------- for the operators
+    # -------------------------------------------------------------------------------- AdminCommands
 
     def ready(self) -> bool:
-        """See ``Operated``."""
+        """See ``AdminCommands``."""
         return self._listening and self._callers.takes_callers
 
     def figures(self) -> list[str]:
-        """See ``Operated``; a call is in flight from its set-up until it is rejected or has ended."""
+        """See ``AdminCommands``; a call is in flight from its set-up until it is rejected or has ended."""
         in_flight = self.exchange.open_calls + self.exchange.established_calls
         return self.counters.figures(in_flight, *self.servers.known_and_excluded())
 
     def quiesce(self) -> None:
-        """See ``Operated``."""
+        """See ``AdminCommands``."""
         self.scheduler.begin_iteration()
         self._callers.quiesce()
 
     def resume(self) -> None:
-        """See ``Operated``."""
+        """See ``AdminCommands``."""
         self.scheduler.begin_iteration()
         self._callers.resume()
 
@@ -203,37 +205,37 @@
             extension.on_discovery_event(event)
 
     def _reload(self) -> None:
-        """On SIGHUP: read the configuration again, and apply the address of discovery and the limits.
+        """Read the configuration again, on SIGHUP, and apply the address of discovery and the limits.
 
-        Other changes hold from the next start, and are logged.  A file that cannot be used changes nothing.
+        Other changes are logged and take effect at the next start.  An invalid file changes nothing.
         """
         self.scheduler.begin_iteration()
         try:
-            fresh = self._reread_configuration()
-            read_connection_limits(fresh.settings)
-            read_request_bounds(read_settings(fresh.settings), fresh.settings)
-            read_load_report_reader(fresh.settings)
+            reloaded = self._reread_configuration()
+            read_connection_limits(reloaded.settings)
+            read_request_bounds(read_settings(reloaded.settings), reloaded.settings)
+            read_load_report_reader(reloaded.settings)
         except (ConfigurationError, api.SettingsError) as error:
             LOG.warning("not reloaded, the old configuration stays: %s", one_line(error))
             return
-        waiting = [
-            name for name in APPLIED_AT_START if getattr(fresh, name) != getattr(self.configuration, name)
+        deferred = [
+            name for name in APPLIED_AT_START if getattr(reloaded, name) != getattr(self.configuration, name)
         ]
-        for_later = f"; for the next start: {', '.join(waiting)}" if waiting else ""
-        LOG.info("configuration read again%s", for_later)
-        for name in waiting:  # so that the next reload logs it again
-            setattr(fresh, name, getattr(self.configuration, name))
-        self.configuration = fresh
-        self._callers.limit(fresh.limits.sockets)
-        self.servers.limit(fresh.limits.sockets)
-        self.exchange.set_memory_limit(fresh.limits.memory_mb * MIB)
-        self._budget.limit(fresh.limits.memory_mb * MIB)
-        self.discovery.move_to(fresh.discovery)
+        deferred_text = f"; for the next start: {', '.join(deferred)}" if deferred else ""
+        LOG.info("configuration read again%s", deferred_text)
+        for name in deferred:  # so that the next reload logs it again
+            setattr(reloaded, name, getattr(self.configuration, name))
+        self.configuration = reloaded
+        self._callers.limit(reloaded.limits.sockets)
+        self.servers.limit(reloaded.limits.sockets)
+        self.exchange.set_memory_limit(reloaded.limits.memory_mb * MIB)
+        self._budget.limit(reloaded.limits.memory_mb * MIB)
+        self.discovery.move_to(reloaded.discovery)
         for extension in self._extensions:
             extension.on_configuration_reloaded()
 
     def _terminate(self) -> None:
-        """On SIGTERM and SIGINT: shut down gracefully, phase by phase (``runtime.shutdown``)."""
+        """Begin a graceful shutdown (see ``runtime.shutdown``), on SIGTERM and SIGINT."""
         self.scheduler.begin_iteration()
         if self._shutdown.begin(self.scheduler.now_ms):
             LOG.info("told to stop")
@@ -243,7 +245,7 @@
         self.scheduler.call_later(self._shutdown.next_check_ms(self.scheduler.now_ms), self._advance_shutdown)
 
     def _advance_shutdown(self) -> None:
-        """Do what the phase of the shutdown requires, until it has stopped."""
+        """Advance the shutdown, act on a new phase, and schedule the next check unless it has stopped."""
         before, now_ms = self._shutdown.phase, self.scheduler.now_ms
         if before is Phase.DRAINING and self._shutdown.is_out_of_time(now_ms):
             self.exchange.fail_all()
@@ -263,7 +265,7 @@
                     if unsettled:
                         ids = " ".join(unsettled[:MAX_LOGGED_CALLS])
                         LOG.warning(
-                            "%d failed calls may yet be released by a server: %s", len(unsettled), ids
+                            "%d failed calls may still be released by a server: %s", len(unsettled), ids
                         )
                     self.servers.disconnect()
                     self._callers.disconnect()
@@ -273,10 +275,11 @@
             self._schedule_shutdown_check()
 
     def _settle_calls(self) -> list[str]:
-        """Have no server release a failed call to the next process; gives those that may yet be.
+        """Pass the releases of unsettled calls on to the successor; returns the calls that stay unsettled.
 
-        Nobody listens here any more but the successor.  Where releases of established calls could be passed
-        on to nobody, their servers are not waited for, so that they go to the next process.
+        Unsettled calls are failed calls that a server may still release, to the next process if this one has
+        ended.  By now only the successor listens at this address.  If calls are established but no caller is
+        connected to get their releases, none is waited for: their servers release them to the next process.
         """
         self._successor.release(self.servers.unsettled_calls())
         if self.exchange.established_calls and not self._callers.streams:
@@ -286,9 +289,9 @@
 
 
 def serve() -> int:
-    """Run by the environment's configuration; gives the exit status.
+    """Run the program, configured by the environment, and return the exit status.
 
-    A configuration that cannot be used is one line on standard error, and exit status 2.
+    An invalid configuration is reported in one line on standard error, with exit status 2.
     """
     signals.block()
     try:
@@ -316,14 +319,14 @@
 
 
 def one_line(error: Exception) -> str:
-    """The message of an error as one line."""
+    """Returns the message of an error as one line."""
     return " ".join(str(error).split())
 
 
 async def _serve(configuration: Configuration, factories: list[ExtensionFactory]) -> None:
     program = Program(configuration, _configuration, factories)
-    gc.freeze()  # what is made at the start stays: collections need not traverse it
+    gc.freeze()  # objects created at the start are permanent: garbage collections need not traverse them
     with contextlib.suppress(asyncio.CancelledError):
         await program.run()
     program.print_counters()
-    signals.block()  # one that comes now must not change the exit status
+    signals.block()  # a signal that arrives from now on must not change the exit status
--- a/canvasplank/runtime/__init__.py
+++ b/canvasplank/runtime/__init__.py
@@ -1,1 +1,1 @@
-"""What the program runs on: the event loop, the scheduler, a worker thread, signals, logging and shutdown."""
+"""The runtime of the program: event loop, scheduler, worker thread, signals, logging and shutdown."""
--- a/canvasplank/runtime/event_loop.py
+++ b/canvasplank/runtime/event_loop.py
@@ -1,8 +1,7 @@
 """An event loop that is woken through a pipe instead of a pair of Unix sockets.
 
-asyncio wakes its loop, and learns of signals, through a socket pair of its own, which is a pair of Unix
-sockets.  Some platforms that this proxy runs on allow sockets over IPv4 alone; a pipe does the same work
-there, and everywhere else too.
+asyncio wakes its event loop, also for signals, through a socket pair, which consists of Unix sockets.  Some
+platforms that this proxy runs on only allow IPv4 sockets; a pipe works there and everywhere else.
 """
 
 from __future__ import annotations
@@ -12,7 +11,7 @@
 
 
 class _PipeEnd:
-    """One end of a non-blocking pipe, with the few methods of a socket that the event loop calls."""
+    """One end of a non-blocking pipe, with the socket methods that the event loop calls."""
 
     def __init__(self, descriptor: int) -> None:
         os.set_blocking(descriptor, False)
@@ -37,13 +36,13 @@
 
 
 class PipeEventLoop(asyncio.SelectorEventLoop):
-    """asyncio's own event loop, but for what wakes it."""
+    """asyncio's selector event loop, woken through a pipe."""
 
-    # asyncio's own names from here on; its stubs do not declare them.
+    # The names below are internal to asyncio; its type stubs do not declare them.
     _internal_fds: int
 
     def _make_self_pipe(self) -> None:
-        reading, writing = os.pipe()
-        self._ssock, self._csock = _PipeEnd(reading), _PipeEnd(writing)
+        read_descriptor, write_descriptor = os.pipe()
+        self._ssock, self._csock = _PipeEnd(read_descriptor), _PipeEnd(write_descriptor)
         self._internal_fds += 1
         self._add_reader(self._ssock.fileno(), self._read_from_self)  # type: ignore[attr-defined]
--- a/canvasplank/runtime/shutdown.py
+++ b/canvasplank/runtime/shutdown.py
@@ -1,47 +1,47 @@
-"""Graceful shutdown as a state machine: which phase follows when.  No I/O and no clock.
+"""Graceful shutdown as a state machine, without I/O and without a clock.
 
-All times are in milliseconds.  They lie within what the platform's protocol allows between SIGTERM and
-SIGKILL: the longest deadline of a call, at most 3 s, and 0.7 s.
+All times are in milliseconds.  A shutdown ends within the time that the platform's protocol allows between
+SIGTERM and SIGKILL: the longest deadline of a call, at most 3 s, plus 0.7 s.
 """
 
 from __future__ import annotations
 
 import enum
 
-LAME_DUCK_MS = 700.0  # after SIGTERM callers may still come for so long
-MAX_CALL_DEADLINE_MS = 3000.0  # a call's deadline counts as no longer than this
-FAIL_BEFORE_KILL_MS = 300.0  # calls that are open so long before the process may be killed are failed
-FLUSH_MS = 100.0  # after that, for the last bytes to be sent
-SETTLE_BEFORE_KILL_MS = 500.0  # until then servers may settle calls that have failed
-SETTLED_MS = 250.0  # so long after the last was settled, for what its server has sent to be read
-DISCONNECT_MS = 100.0  # for callers to see their connections end; what crosses the end arrives within 50 ms
-FINISH_BEFORE_KILL_MS = 100.0  # everything is done so long before the process may be killed
+LAME_DUCK_MS = 700.0  # how long after SIGTERM callers may still connect
+MAX_CALL_DEADLINE_MS = 3000.0  # longer deadlines of calls do not extend the shutdown
+FAIL_BEFORE_KILL_MS = 300.0  # how long before the process may be killed open calls are failed
+FLUSH_MS = 100.0  # time to send the last bytes after open calls are failed
+SETTLE_BEFORE_KILL_MS = 500.0  # how long before the process may be killed to stop waiting for unsettled calls
+SETTLED_MS = 250.0  # time to read what servers have sent, after the last unsettled call is settled
+DISCONNECT_MS = 100.0  # time for callers to see their connections end; data in flight arrives within 50 ms
+FINISH_BEFORE_KILL_MS = 100.0  # how long before the process may be killed extensions have to be done
 CHECK_INTERVAL_MS = 20.0
 
 
 class Phase(enum.IntEnum):
-    """The phases in their order; none is entered twice."""
+    """The phases in order; each is entered at most once."""
 
     SERVING = 0
-    LAME_DUCK = 1  # health tests fail, calls are still served, since callers may still come
-    DRAINING = 2  # no new connection is taken, open calls are answered
-    DISCONNECTING = 3  # all is answered: connections are ended for writing and still read
+    LAME_DUCK = 1  # health checks fail, but calls are served, since callers may still connect
+    DRAINING = 2  # no new connections are accepted, open calls are answered
+    DISCONNECTING = 3  # all calls are answered; connections are closed for writing and still read
     STOPPED = 4
 
 
 class Shutdown:
-    """The phase that the program is in, and when the next one begins."""
+    """Holds the current phase of the program, and decides when the next one begins."""
 
     def __init__(self, max_deadline_ms: float) -> None:
-        """``max_deadline_ms``: the longest deadline of a call, by the settings."""
+        """``max_deadline_ms``: the longest deadline of a call in the settings."""
         self.phase = Phase.SERVING
         self._kill_after_ms = min(MAX_CALL_DEADLINE_MS, max_deadline_ms) + LAME_DUCK_MS
         self._started_ms = 0.0
         self._entered_ms = 0.0
-        self._unsettled_ms = float("-inf")  # when a call was last unsettled
+        self._unsettled_ms = float("-inf")  # when there was last an unsettled call
 
     def begin(self, now_ms: float) -> bool:
-        """Begin to shut down, on SIGTERM; False: it had begun already, and nothing changes."""
+        """Begin the shutdown, on SIGTERM; returns False, without any effect, if it has already begun."""
         if self.phase is not Phase.SERVING:
             return False
         self._started_ms = now_ms
@@ -49,15 +49,15 @@
         return True
 
     def is_out_of_time(self, now_ms: float) -> bool:
-        """Whether open calls are to be failed, since the process may be killed soon."""
+        """Whether open calls have to be failed, since the process may be killed soon."""
         return now_ms - self._started_ms >= self._kill_after_ms - FAIL_BEFORE_KILL_MS
 
     def remaining_ms(self, now_ms: float) -> float:
-        """The time that extensions may take to finish."""
+        """How long extensions may take to finish."""
         return max(0.0, self._kill_after_ms - FINISH_BEFORE_KILL_MS - (now_ms - self._started_ms))
 
     def next_check_ms(self, now_ms: float) -> float:
-        """How long until ``advance`` may enter another phase."""
+        """How long to wait before the next call of ``advance``."""
         if self.phase is Phase.LAME_DUCK:
             return max(1.0, self._started_ms + LAME_DUCK_MS - now_ms)
         return CHECK_INTERVAL_MS
@@ -65,14 +65,14 @@
     def advance(
         self, now_ms: float, *, open_calls: int, unsent: int, connections: int, unsettled: int = 0
     ) -> Phase:
-        """Enter the next phase if it is time, and give back the phase from now on.
+        """Enter the next phase if it is time, and return the current phase.
 
-        ``unsent`` counts bytes to callers, ``connections`` callers' connections, ``unsettled`` calls that
-        have failed and that a server may yet release, to the next process if this one has ended.
+        ``unsent``: bytes still to be sent to callers; ``connections``: open connections from callers;
+        ``unsettled``: failed calls that a server may still release, to the next process after this one ends.
 
-        A call enters one phase at most, so what is queued at the listener is read before connections are
-        ended.  A call that comes while the last bytes are sent is therefore answered, and a caller that reads
-        late gets its complete answer.
+        Each invocation enters one phase at most, so that connections queued at the listener are read before
+        any is closed.  Set-ups that arrive while the last bytes are sent are therefore answered, and a caller
+        that reads late gets its complete answer.
         """
         elapsed_ms = now_ms - self._started_ms
         if unsettled:
--- a/canvasplank/runtime/signals.py
+++ b/canvasplank/runtime/signals.py
@@ -1,4 +1,4 @@
-"""The signals that the program handles, blocked while it cannot: none is lost, or ends it by default."""
+"""Blocks the signals that the program handles while it cannot, so that none is lost or kills the process."""
 
 from __future__ import annotations
 
@@ -8,10 +8,10 @@
 
 
 def block() -> None:
-    """Keep the handled signals pending; for the last time before the event loop restores their defaults."""
+    """Keep the handled signals pending; at exit, before the event loop restores the default actions."""
     signal.pthread_sigmask(signal.SIG_BLOCK, HANDLED_SIGNALS)
 
 
 def unblock() -> None:
-    """Let the handled signals arrive, the pending ones first."""
+    """Deliver the handled signals, the pending ones first."""
     signal.pthread_sigmask(signal.SIG_UNBLOCK, HANDLED_SIGNALS)
--- a/canvasplank/runtime/streams.py
+++ b/canvasplank/runtime/streams.py
@@ -1,4 +1,4 @@
-"""Helpers for asyncio's streams, as the listeners for operators and for new instances use them."""
+"""Helpers for asyncio streams, used by the admin listener and the warm-start listener."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
 
 
 def end_quietly(handler: ConnectionHandler) -> ConnectionHandler:
-    """A handler for ``asyncio.start_server`` that returns where it is cancelled, as at the program's end.
+    """Wrap a handler for ``asyncio.start_server`` so that it returns when it is cancelled.
 
-    asyncio's own callback on the task of a handler logs a traceback for one that was cancelled.
+    asyncio logs a traceback for a handler's task that was cancelled, as at the end of the program.
     """
 
     async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -23,7 +23,7 @@
 
 
 async def close_writer(writer: asyncio.StreamWriter) -> None:
-    """Close a connection and wait until it is closed; a reset by the peer meanwhile is no error."""
+    """Close a connection and wait until it is closed; a reset by the peer is ignored."""
     writer.close()
     with contextlib.suppress(OSError):
         await writer.wait_closed()
--- a/canvasplank/runtime/structured_logging.py
+++ b/canvasplank/runtime/structured_logging.py
@@ -1,6 +1,6 @@
-"""Log lines for people, or as JSON for machines: one event name and its fields a line.
+"""Logging as text, or as JSON: each event is one line with its name and fields.
 
-``CANVASPLANK_LOG=json`` writes every line as JSON, by python-json-logger; without it lines are for people.
+``CANVASPLANK_LOG=json`` writes every line as JSON, with python-json-logger; the default is text.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 
 def _json_formatter() -> logging.Formatter:
-    from pythonjsonlogger.json import JsonFormatter  # imported only where it is asked for
+    from pythonjsonlogger.json import JsonFormatter  # needed for JSON only
 
     formatter: logging.Formatter = JsonFormatter(
         "{created}{levelname}{name}{message}",
@@ -34,6 +34,6 @@
 
 
 def log_event(log: logging.Logger, name: str, *, text: str = "", **fields: Any) -> None:
-    """Log one event; ``text`` is what people read of it, by default its name and fields."""
+    """Log an event; ``text`` is the message, which defaults to the name and the fields."""
     message = text or " ".join([name, *(f"{key}={value}" for key, value in fields.items())])
     log.info("%s", message, extra={"event": name, **fields})
--- a/canvasplank/runtime/worker_thread.py
+++ b/canvasplank/runtime/worker_thread.py
@@ -1,4 +1,4 @@
-"""A thread for calls that block: a disk, or a library that waits."""
+"""A thread for blocking calls, such as disk access or a blocking library."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 
 
 class WorkerThreadBusyError(Exception):
-    """The previous job is still running, though whoever waited for it may have given it up."""
+    """The previous call is still running, even if its caller no longer waits for it."""
 
 
 class _Job(NamedTuple):
-    """A call to be made on the thread, and the future that takes its result on the event loop."""
+    """A call to be made on the thread, and the future that gets its result on the event loop."""
 
     call: Callable[[], Any]
     future: asyncio.Future[Any]
@@ -25,7 +25,7 @@
 
 
 class WorkerThread:
-    """Runs one job after another on a daemon thread: a disk that hangs cannot delay the process's end."""
+    """Runs one call at a time on a daemon thread, so that a hanging disk cannot delay the process's exit."""
 
     def __init__(self, name: str) -> None:
         self._jobs: queue.SimpleQueue[_Job] = queue.SimpleQueue()
@@ -33,12 +33,13 @@
         threading.Thread(target=self._run_jobs, name=name, daemon=True).start()
 
     async def run(self, call: Callable[[], Result]) -> Result:
-        """Make the call on the thread and wait for its result; an exception of the call is raised here.
+        """Make a call on the thread, and return its result or raise its exception.
 
-        Raises ``WorkerThreadBusyError`` while an earlier call goes on: one that was given up may hang.
+        Raises ``WorkerThreadBusyError`` while an earlier call is running, such as one that hangs and whose
+        caller no longer waits.
         """
         if self.busy:
-            raise WorkerThreadBusyError("the last one is still going on")
+            raise WorkerThreadBusyError("the previous call is still running")
         self.busy = True
         loop = asyncio.get_running_loop()
         future: asyncio.Future[Result] = loop.create_future()
@@ -51,16 +52,16 @@
             result, error = None, None
             try:
                 result = job.call()
-            except Exception as caught:  # raised again where the result is awaited
+            except Exception as caught:  # raised in ``run``
                 error = caught
-            with contextlib.suppress(RuntimeError):  # the event loop has ended meanwhile
+            with contextlib.suppress(RuntimeError):  # the event loop may be closed by now
                 job.loop.call_soon_threadsafe(self._deliver, job.future, result, error)
 
     def _deliver(self, future: asyncio.Future[Any], result: object, error: Exception | None) -> None:
-        """Runs on the event loop."""
+        """Set the result of a call; runs on the event loop."""
         self.busy = False
         if future.done():
-            return  # given up
+            return  # cancelled: nobody waits for the result
         if error is None:
             future.set_result(result)
         else:
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -99,10 +99,10 @@
 
 
 def test_health_quiesce_and_resume(tmp_path, started):
-    """On a drain day the proxy still answered yes 4 s after quiesce, with its callers connected."""
+    """The proxy still reported ready 4 s after a quiesce, with its callers connected."""
     port, admin = free_port(), free_port()
     started.append(proxy := Proxy(tmp_path, port, admin))
-    proxy.wait_for("operators' address")
+    proxy.wait_for("admin address")
     assert send_command(admin, "health")[0].startswith("200")
     with socket.create_connection(("127.0.0.1", port), timeout=WAIT_S) as caller:
         assert send_command(admin, "quiesce")[0].startswith("200")
@@ -115,7 +115,7 @@
 def test_counters_and_an_unknown_command(tmp_path, started):
     port, admin = free_port(), free_port()
     started.append(proxy := Proxy(tmp_path, port, admin))
-    proxy.wait_for("operators' address")
+    proxy.wait_for("admin address")
     lines = send_command(admin, "counters")
     assert lines[0].startswith("200") and lines[-1] == "EOF"
     assert {"edge_in_flight 0", "edge_call_servers_known 1"} <= set(lines)
