--- a/canvasplank/runtime/streams.py
+++ b/canvasplank/runtime/streams.py
@@ -9,7 +9,7 @@
 ConnectionHandler = Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
 
 
-def end_quietly(handler: ConnectionHandler) -> ConnectionHandler:
+def suppress_cancellation(handler: ConnectionHandler) -> ConnectionHandler:
     """Wrap a handler for ``asyncio.start_server`` so that it returns when it is cancelled.
 
     asyncio logs a traceback for a handler's task that was cancelled, as at the end of the program.
