--- a/tests/two_processes.py
+++ b/tests/two_processes.py
@@ -34,9 +34,7 @@
     stops_when_confirmed: bool = True
     listener: socket.socket = field(default_factory=lambda: socket.create_server(("127.0.0.1", 0)))
     connections: list[socket.socket] = field(default_factory=list)  # open, oldest first
-    established: dict[str, socket.socket] = field(
-        default_factory=dict
-    )  # by call: its set-up's connection
+    established: dict[str, socket.socket] = field(default_factory=dict)  # by call: its set-up's connection
     to_send_again: set[str] = field(
         default_factory=set
     )  # calls whose release is sent again on the next connection
