--- a/canvasplank/network/caller_pool.py
+++ b/canvasplank/network/caller_pool.py
@@ -10,7 +10,7 @@
 from canvasplank.network.release_retransmission import ReleaseHandling
 from canvasplank.runtime.scheduler import Scheduler
 
-FIRST_REQUEST_GRACE_MS = 500.0  # time that a new connection has to send its first message
+FIRST_REQUEST_GRACE_MS = 500.0  # past the limit, older connections without a message are closed first
 MAX_SOCKETS_FRACTION = 0.6  # of the configured sockets; servers, discovery and files need the rest
 ACCEPT_FRACTION = 0.1  # of the allowed connections: how many are accepted in one loop iteration
 IDLE_CHECK_INTERVAL_MS = 250.0
--- a/canvasplank/network/caller_releases.py
+++ b/canvasplank/network/caller_releases.py
@@ -43,7 +43,7 @@
         return self.written_ms is not None and now_ms - self.written_ms >= window_ms
 
     def may_retry(self, now_ms: float) -> bool:
-        """Whether it is recent, and was sent on too few connections on which calls were set up."""
+        """Whether it may be sent again: a recent foreign release with sends left for connections with calls."""
         is_recent = self.written_ms is not None and now_ms - self.written_ms < MAX_RETRY_AGE_MS
         return is_recent and self.is_foreign and self._remaining_sends(to_callers=True) > 0
 
@@ -131,7 +131,7 @@
             self.send(None, CallerRelease(call_id, cause))
 
     def flush(self) -> None:
-        """Send each undelivered release on several connections, before all connections are closed.
+        """Send pending and unconfirmed foreign releases on several connections, before all are closed.
 
         No time is left to wait for a confirmation, or for a connection that carries calls.
         """
--- a/canvasplank/network/caller_stream.py
+++ b/canvasplank/network/caller_stream.py
@@ -10,7 +10,7 @@
 from canvasplank.network.stream import BufferBudget, Stream
 
 MESSAGE_TIMEOUT_MS = 2000.0  # for the first complete message, and for the rest of a started one
-RECENT_SET_UP_MS = 2000.0  # a caller whose last set-up here is more recent is likely to send more
+RECENT_SET_UP_MS = 2000.0  # a caller that has sent a set-up within this time is likely to send more
 # A caller that has disconnected is detected after two intervals, so its call is not forwarded 0.3 s later.
 HALF_CLOSED_PROBE_INTERVAL_MS = 100.0
 
@@ -81,7 +81,7 @@
 
     @property
     def message_is_overdue(self) -> bool:
-        """Whether the first message, or the rest of a started one, is overdue by ``MESSAGE_TIMEOUT_MS``."""
+        """Whether the first message, or a started one, is still incomplete after ``MESSAGE_TIMEOUT_MS``."""
         since_ms = self.message_started_ms if self.has_received_message else self.created_ms
         late = self.scheduler.now_ms - since_ms > MESSAGE_TIMEOUT_MS
         return late and not self.open_set_ups and (not self.has_received_message or self.parser.in_message)
@@ -131,7 +131,7 @@
         self._close_if_unused()
 
     def remove_call(self, call_id: str) -> None:
-        """Remove a call that no longer uses this connection."""
+        """Remove a call from this connection, on which no more messages about it are expected."""
         self.open_set_ups.discard(call_id)
         self.established.discard(call_id)
         self._close_if_unused()
