--- a/canvasplank/network/caller_releases.py
+++ b/canvasplank/network/caller_releases.py
@@ -43,7 +43,7 @@
         return self.written_ms is not None and now_ms - self.written_ms >= window_ms
 
     def may_retry(self, now_ms: float) -> bool:
-        """Whether it may be sent again: a recent foreign release with sends left for connections with calls."""
+        """Whether a recent foreign release may be sent again on a connection on which calls were set up."""
         is_recent = self.written_ms is not None and now_ms - self.written_ms < MAX_RETRY_AGE_MS
         return is_recent and self.is_foreign and self._remaining_sends(to_callers=True) > 0
 
--- a/canvasplank/program.py
+++ b/canvasplank/program.py
@@ -42,7 +42,7 @@
 
 LOG = logging.getLogger(__name__)
 MIB = 2**20
-# An old process at this address is stopped once this one is ready, and is taken to have ended after this time.
+# An old process at this address is stopped once this one is ready, and counts as ended after this time.
 PREDECESSOR_END_MS = 5000.0
 SUCCESSOR_TIMEOUT_S = 0.2  # for the next process at this address to confirm the releases passed on to it
 END_DETECTION_MS = 400.0  # for call servers to detect that the old process's connections have ended
