--- a/canvasplank/cold_start/extension.py
+++ b/canvasplank/cold_start/extension.py
@@ -7,7 +7,7 @@
 
 from canvasplank import interface as api
 from canvasplank.cold_start.config import ColdStartSettings, load_cold_start_settings
-from canvasplank.cold_start.poll_backoff import SECOND_MS, PollBackoff
+from canvasplank.cold_start.poll_backoff import MS_PER_S, PollBackoff
 from canvasplank.cold_start.rendezvous_subset import RendezvousSubset
 from canvasplank.config.discovery_events import Endpoint
 from canvasplank.config.platform_settings import read_settings
@@ -92,7 +92,7 @@
         """See ``EndpointFilter``: uniform, so that the fleet connects at ``connections_per_s``."""
         if not (per_s := self._settings.connections_per_s):
             return 0.0
-        return self._rng.uniform(0.0, SECOND_MS * self._fleet_size() / per_s)
+        return self._rng.uniform(0.0, MS_PER_S * self._fleet_size() / per_s)
 
     def is_still_listed(self, server_id: str) -> bool:
         """See ``EndpointFilter``."""
--- a/canvasplank/cold_start/poll_backoff.py
+++ b/canvasplank/cold_start/poll_backoff.py
@@ -12,7 +12,7 @@
 import random
 from collections.abc import Callable
 
-SECOND_MS = 1000.0
+MS_PER_S = 1000.0
 # A longer Retry-After is cut to this.
 MAX_RETRY_AFTER_MS = 60_000.0
 # Retries after the first, in poll periods.  Drawn from 0 to 2 periods instead, the unluckiest of 300 proxies
@@ -46,12 +46,12 @@
         self._retry_after_until_ms = float("-inf")
 
     def _poll_period_ms(self) -> float:
-        return SECOND_MS * self._fleet_size() / self._polls_per_s
+        return MS_PER_S * self._fleet_size() / self._polls_per_s
 
     def initial_delay(self) -> float:
         """Before the first poll of all, or the first after discovery has moved."""
         self._is_spread = False
-        return self._rng.uniform(0.0, SECOND_MS * self._fleet_size() / self._initial_polls_per_s)
+        return self._rng.uniform(0.0, MS_PER_S * self._fleet_size() / self._initial_polls_per_s)
 
     def retry_delay(self, now_ms: float = 0.0, retry_after_ms: float = 0.0) -> float:
         """After a failed poll or a broken stream; ``retry_after_ms``: the response's Retry-After (RFC 9110,
--- a/canvasplank/cold_start/rendezvous_hashing.py
+++ b/canvasplank/cold_start/rendezvous_hashing.py
@@ -56,7 +56,7 @@
     return min(servers, max(servers_per_class, math.ceil(min_fraction * servers)))
 
 
-def choose(
+def select_subset(
     name: str,
     ready: Sequence[Endpoint],
     groups: Iterable[Pools | None],
--- a/canvasplank/cold_start/rendezvous_subset.py
+++ b/canvasplank/cold_start/rendezvous_subset.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from canvasplank.cold_start.rendezvous_hashing import Pools, choose, max_sharers
+from canvasplank.cold_start.rendezvous_hashing import Pools, max_sharers, select_subset
 from canvasplank.config.discovery_events import (
     DRAINING,
     READY,
@@ -51,7 +51,7 @@
         it.
         """
         apply_event(self._listed, DiscoveryEvent(0, EndpointListUpdate(instances, reset=complete)))
-        chosen = self._choose()
+        chosen = self._select_subset()
         selected = []
         for server_id, instance in self._listed.items():
             if server_id in chosen or (instance.lifecycle != READY and server_id in self._selected):
@@ -81,15 +81,15 @@
             self.is_listed(server_id)
             and self._listed[server_id].lifecycle == READY
             and not self._has_calls(server_id)
-            for server_id in self._selected - self._choose()
+            for server_id in self._selected - self._select_subset()
         )
 
     def is_listed(self, server_id: str) -> bool:
         """Whether the endpoint list names it, in the subset or not."""
         return server_id in self._listed
 
-    def _choose(self) -> set[str]:
-        return choose(
+    def _select_subset(self) -> set[str]:
+        return select_subset(
             self._name,
             self._ready(),
             self._groups,
--- a/canvasplank/fleet/__init__.py
+++ b/canvasplank/fleet/__init__.py
@@ -1,1 +1,4 @@
-"""Fleet-wide budgets, membership and task leadership, in a database of all proxies.  Off by default."""
+"""Fleet-wide budgets, membership and task leadership through a database that all proxies share.
+
+The subsystem is off by default.
+"""
--- a/canvasplank/fleet/backend.py
+++ b/canvasplank/fleet/backend.py
@@ -1,4 +1,4 @@
-"""The operations on the fleet's database, and the fencing of effects by terms."""
+"""The interface to the fleet's database, and fencing tokens for the effects of tasks."""
 
 from __future__ import annotations
 
@@ -10,49 +10,52 @@
 from canvasplank.fleet.schema import Statement
 from canvasplank.fleet.state import FleetState
 
-# A plain pair of SQL and parameters serves as well.  The iterable is read within the transaction.
+# A plain pair of SQL and parameters is accepted too.  The iterable is consumed within the transaction.
 Statements = Iterable[Statement | tuple[str, tuple[object, ...]]]
-Row = tuple[Any, ...]  # the columns that a statement names
+Row = tuple[Any, ...]  # the selected columns
 
 
 class FencingToken(NamedTuple):
-    """Identifies one ownership of a task; each of its effects is carried out under it."""
+    """Identifies one period of ownership of a task; the store checks it before each effect of the task."""
 
     task: str
     term: int
-    owner: int  # an incarnation
+    owner: int  # the owner's incarnation
 
 
 class StaleTermError(Exception):
-    """The token's owner does not own the task in this term any more; nothing of the effect was done."""
+    """The token's term has ended, so the store did not execute any of the statements."""
 
     def __init__(self, token: FencingToken) -> None:
         super().__init__(f"term {token.term} of {token.task} is over")
 
 
 class Backend(Protocol):
-    """The fleet's state behind one lock; methods raise ``StoreUnavailableError`` or ``StoreRefusedError``."""
+    """The fleet's state in a database, which serializes all transactions on it.
+
+    All methods may raise ``StoreUnavailableError`` or ``StoreRefusedError``.
+    """
 
     async def open(self) -> None:
-        """Connect and bring the tables up to date."""
+        """Connect and migrate the fleet's tables to the current schema version."""
 
     async def transact(self, request: LeaseRequest) -> LeaseResponse:
-        """Apply a request in one durable transaction; see ``lease_transaction.apply``."""
+        """Apply a request in one durable transaction and return its response; see ``lease_transaction``."""
 
     async def migrate(self, schema: Schema) -> None:
-        """Bring another subsystem's tables in the same database up to date."""
+        """Migrate another subsystem's tables in the same database to the current schema version."""
 
     async def execute_fenced(self, token: FencingToken, statements: Statements) -> None:
-        """Carry out all statements in one transaction, or none: raises ``StaleTermError``."""
+        """Execute all statements in one transaction; raises ``StaleTermError`` if the term has ended."""
 
     async def read(self, sql: str, parameters: tuple[object, ...] = ()) -> list[Row]:
-        """The rows of one statement that changes nothing."""
+        """Return the rows of one read-only statement."""
 
     async def read_state(self) -> FleetState:
-        """The current state, for the operators' commands."""
+        """Return the current state, for the command line."""
 
     async def remove_member(self, incarnation: int) -> bool:
-        """Remove a member, for the operators' commands; whether there was one."""
+        """Remove a member, for the command line; returns False if there is no such member."""
 
     async def close(self) -> None:
-        """Close the connection; it may be opened again."""
+        """Close the connection; the backend may be opened again."""
--- a/canvasplank/fleet/extension.py
+++ b/canvasplank/fleet/extension.py
@@ -1,4 +1,4 @@
-"""The fleet's coordination as an extension of the program."""
+"""The extension that connects the fleet's coordination to the proxy."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 
 
 def load(path: str) -> ExtensionFactory:
-    """Read the fleet's configuration file; see ``load_fleet``."""
+    """Read the fleet's configuration file and return a factory of the extension; see ``load_fleet``."""
     settings = load_fleet(path)
     return lambda context: FleetExtension(context, settings)
 
 
 class FleetExtension(Extension):
-    """Renews this proxy's leases and provides the module's gate with the budgets' delays."""
+    """Renews this proxy's leases and tells the controller how long budgets delay a set-up."""
 
     def __init__(self, context: ExtensionContext, settings: Fleet) -> None:
         configuration = context.configuration
@@ -47,7 +47,7 @@
         self._context.discovery.on_others_see_discovery()
 
     async def start(self) -> None:
-        """See ``Extension``; until its first lease the proxy has its unleased quota."""
+        """See ``Extension``; until its first lease the proxy has only its unleased quota."""
         self._renewer.start()
 
     def export_metrics(self) -> None:
--- a/canvasplank/fleet/fair_division.py
+++ b/canvasplank/fleet/fair_division.py
@@ -1,8 +1,8 @@
-"""Divides a total fairly among demands, in whole numbers.
+"""Max-min fair division of a total among demands, in integers.
 
-Max-min fairness: each gets its demand, or an equal level where the demands sum to more than the total; what
-nobody demands is spread evenly, so that a share is there before its demand is.  Quotas never sum to more than
-the total.
+If the demands sum to more than the total, each quota is the demand, but at most a common level.  Otherwise
+each quota is the demand plus an even part of the surplus, so that a share is granted before it is demanded.
+Quotas never sum to more than the total.
 """
 
 from __future__ import annotations
@@ -11,14 +11,14 @@
 from typing import TypeVar
 
 Key = TypeVar("Key", bound=Hashable)
-FLOOR_DIVISOR = 8  # an idle one gets an even quota divided by this, so that its first set-ups need not wait
+FLOOR_DIVISOR = 8  # the floor is an even quota divided by this: an idle member's first set-ups need not wait
 
 
 def divide(total: int, demands: Mapping[Key, int | None]) -> dict[Key, int]:
-    """Quotas of ``total`` by demand; a demand of None is not known yet and counts as an even quota.
+    """Return the quotas of ``total``; a demand of None is not known yet and counts as an even quota.
 
-    A remainder goes to the first keys of ``demands``: give it sorted where the result must not depend on the
-    order of arrival.
+    The remainder of the division goes to the first keys of ``demands``.  Callers sort ``demands`` if the
+    result must not depend on the order in which members joined.
     """
     if not demands or total <= 0:
         return dict.fromkeys(demands, 0)
--- a/canvasplank/fleet/lease_holder.py
+++ b/canvasplank/fleet/lease_holder.py
@@ -1,8 +1,8 @@
-"""What this proxy may use of each budget now, and its next request to the store.
+"""One process's leased shares of the budgets, and its next request to the store.
 
-No I/O and no clock: each method is given the time, in milliseconds on a clock that is never set and that goes
-on while the machine sleeps.  A share is lowered before the request that reports it, and raised only by the
-response to the newest request.
+This module does no I/O and reads no clock: each method is given the time, in milliseconds on a clock that is
+never set and that keeps running while the machine sleeps.  A share is lowered before the request that reports
+it, and raised only by the response to the newest request.
 """
 
 from __future__ import annotations
@@ -14,73 +14,74 @@
 from canvasplank.fleet.lease_messages import Heartbeat, LeaseRequest, LeaseResponse
 from canvasplank.fleet.state import Allocation
 
-NEVER = float("-inf")  # a time before all others
+NEVER = float("-inf")  # earlier than any time
 
 
 @dataclass(frozen=True, slots=True)
 class BudgetLimits:
-    """One budget by this proxy's configuration; rates in thousandths of a unit a second."""
+    """One budget by this proxy's configuration; rates are in thousandths of a unit per second."""
 
     total: int
-    reserve: int  # of the total, for proxies without a lease
-    max_members: int  # processes that may run at once
+    reserve: int  # the part of the total that is reserved for proxies without a lease
+    max_members: int  # the maximum number of processes at once
 
     @property
     def unleased_quota(self) -> int:
-        """This proxy's quota of the reserve, which it may use without a lease."""
+        """The part of the reserve that this proxy may use without a lease."""
         return self.reserve // self.max_members
 
 
 @dataclass(frozen=True, slots=True)
 class Lease:
-    """How long a share may be used, and the tolerances for clocks and pauses."""
+    """The duration of a lease, and the tolerances for clock drift and pauses."""
 
     lease_ms: float
-    margin_ms: float  # for the time between reading the clock and acting on it
-    drift: float  # how much a steady clock may gain or lose at most, as a fraction
+    margin_ms: float  # covers the time between reading the clock and acting on it
+    drift: float  # the maximum drift of a clock, as a fraction
 
     def usable_ms(self) -> float:
-        """How long after a request was sent its response's shares may be used."""
+        """Return how long the shares of a response may be used, counted from sending its request."""
         return self.lease_ms * (1 - self.drift) - self.margin_ms
 
     def expiry_ms(self, member_lease_ms: float) -> float:
-        """How long after a heartbeat was first seen, and has not changed, its member uses no share any more.
+        """Return how long a heartbeat must be unchanged before its member certainly uses no share.
 
-        The longer of the two leases counts, since the member's configuration may differ from ours.
+        The longer of the two lease durations counts, since the member's configuration may differ from this
+        process's.
         """
         return max(self.lease_ms, member_lease_ms) * (1 + self.drift) + self.margin_ms
 
 
 class LeaseHolder:
-    """One proxy's side of all budgets."""
+    """One process's shares of all budgets, with the requests and responses that change them."""
 
     def __init__(
         self, name: str, limits: Mapping[str, BudgetLimits], lease: Lease, max_members: int | None = None
     ) -> None:
-        """``max_members``: processes that may run at once; needed by one that holds no budgets."""
+        """``max_members``, the maximum number of processes at once, is required if ``limits`` is empty."""
         self.name, self.limits, self._lease = name, dict(limits), lease
         self._max_members = max_members or min(each.max_members for each in limits.values())
         self.incarnation: int | None = None
-        self.until_ms = NEVER  # the shares may be used before this time
+        self.until_ms = NEVER  # the end of the lease
         self._seq = 0
         self._sent_ms = NEVER
         self._in_use = dict.fromkeys(limits, 0)
         self._target = dict.fromkeys(limits, 0)
 
     def allowance(self, budget: str, now_ms: float) -> int:
-        """What it may use now, in thousandths a second: its unleased quota and its share."""
+        """Return the unleased quota plus the current share, in thousandths per second."""
         return self.limits[budget].unleased_quota + self.share(budget, now_ms)
 
     def share(self, budget: str, now_ms: float) -> int:
-        """The leased share; 0 once the lease has expired."""
+        """Return the leased share, or 0 once the lease has expired."""
         return self._in_use[budget] if now_ms < self.until_ms else 0
 
     def in_use(self, budget: str) -> int:
-        """The leased share, whether or not the lease has expired."""
+        """Return the leased share, whether or not the lease has expired."""
         return self._in_use[budget]
 
     def is_below_target(self) -> bool:
-        """Whether a share is below its target: others are still to release the difference."""
+        """Return whether a share is below its target, so that other members still have to release some."""
         return any(self._in_use[budget] < self._target[budget] for budget in self.limits)
 
     def next_request(
@@ -91,9 +92,9 @@
         *,
         leaving: bool = False,
     ) -> LeaseRequest:
-        """The next request; responses to earlier ones are ignored from here on.
+        """Return the next request; responses to earlier requests are ignored from then on.
 
-        ``now_ms`` must be read before the request is sent: the lease runs from there.
+        ``now_ms`` must be read before the request is sent, since the lease starts at that time.
         """
         self._seq += 1
         self._sent_ms = now_ms
@@ -115,7 +116,7 @@
         )
 
     def on_response(self, response: LeaseResponse) -> bool:
-        """Take over a response's grants; False: it answers an earlier request and was ignored."""
+        """Apply the response's grants; returns False if it answers an earlier request and was ignored."""
         if response.seq != self._seq:
             return False
         if response.incarnation is None:
@@ -126,16 +127,16 @@
         self.until_ms = self._sent_ms + self._lease.usable_ms()
         for budget, grant in response.grants.items():
             self._target[budget] = grant.target
-            # The excess over the target is not used from here on; the next request reports it as released.
+            # The excess over the target is unused from now on; the next request reports it as released.
             self._in_use[budget] = min(grant.share, grant.target)
         return True
 
     def has_excess(self, response: LeaseResponse) -> bool:
-        """Whether it was granted more than it uses now: others may be waiting for the excess."""
+        """Return whether a granted share exceeds its target: others may be waiting for the excess."""
         return any(grant.share > grant.target for grant in response.grants.values())
 
     def copy(self) -> LeaseHolder:
-        """An independent holder in the same state, for the model checker."""
+        """Return an independent holder in the same state, for the model checker."""
         duplicate = copy.copy(self)
         duplicate._in_use, duplicate._target = dict(self._in_use), dict(self._target)
         return duplicate
--- a/canvasplank/fleet/lease_messages.py
+++ b/canvasplank/fleet/lease_messages.py
@@ -10,7 +10,7 @@
 
 
 class Heartbeat(msgspec.Struct, frozen=True, order=True):
-    """A member's newest sequence number as one transaction saw it, and the duration of its leases."""
+    """A member's newest sequence number in one transaction, and the duration of its leases."""
 
     incarnation: int
     seq: int
@@ -21,34 +21,34 @@
     """A request to join, renew or leave."""
 
     name: str
-    incarnation: int | None  # None: it is not a member, and joins
-    seq: int  # grows with each request of a process
+    incarnation: int | None  # None if the process is not a member: it joins
+    seq: int  # increases with each request of a process
     max_members: int
     lease_ms: float
-    in_use: Mapping[str, Allocation]  # by budget; ``held``: the largest share that it uses from now on
-    expired: tuple[Heartbeat, ...] = ()  # members whose lease has expired, as it last saw them
+    in_use: Mapping[str, Allocation]  # by budget; ``held`` is the maximum share used from now on
+    expired: tuple[Heartbeat, ...] = ()  # the last heartbeats of members whose lease has expired
     leaving: bool = False
-    capabilities: tuple[str, ...] = ()  # tasks that it can own
-    ready: Mapping[str, int] = {}  # tasks that it would own now, with the failures that it knows of
-    given_up: tuple[str, ...] = ()  # tasks that it owned and that failed here
-    done: tuple[str, ...] = ()  # tasks that it owns and that succeeded since the last request
-    sees_discovery: bool = False  # service discovery sends it events
+    capabilities: tuple[str, ...] = ()  # tasks that the sender can own
+    ready: Mapping[str, int] = {}  # tasks that the sender would own now, with their failures known to it
+    given_up: tuple[str, ...] = ()  # tasks that the sender owned and failed to run
+    done: tuple[str, ...] = ()  # tasks that the sender owns and that succeeded since its last request
+    sees_discovery: bool = False  # whether service discovery sends events to the sender
 
 
 class Grant(msgspec.Struct, frozen=True):
-    """The share of a budget that a member may use, and the share that it should come to have."""
+    """The share of a budget that a member may use now, and its fair share as the target."""
 
     share: int
-    target: int  # where it is below the share, the member releases the difference
+    target: int  # the member releases the part of its share that exceeds the target
 
 
 class LeaseResponse(msgspec.Struct, frozen=True):
-    """The result of a transaction."""
+    """The store's response to a request."""
 
-    incarnation: int | None  # None: it is not a member, or no longer
-    seq: int  # the request's
+    incarnation: int | None  # None if the sender is not a member, or no longer one
+    seq: int  # of the request
     grants: Mapping[str, Grant] = {}  # by budget
     heartbeats: tuple[Heartbeat, ...] = ()  # of all members
-    reason: str = ""  # why it is not a member
+    reason: str = ""  # why the sender is not a member
     tasks: Mapping[str, Task] = {}  # all tasks, by name
-    members_seeing_discovery: int = 0  # how many other members service discovery sends events to
+    members_seeing_discovery: int = 0  # the number of other members to which discovery sends events
--- a/canvasplank/fleet/lease_renewer.py
+++ b/canvasplank/fleet/lease_renewer.py
@@ -1,4 +1,4 @@
-"""The renewal loop: the only part of the fleet's coordination that waits for the store."""
+"""The lease renewal loop: the only part of the fleet's coordination that waits for the store."""
 
 from __future__ import annotations
 
@@ -25,18 +25,18 @@
 from canvasplank.fleet.task_leadership import TaskLeadership
 
 LOG = logging.getLogger(__name__)
-MS = 1000.0  # in a second
-CLOSE_S = 0.2  # how long closing a connection to the store may take
-MAX_WAIT_MS = 1000.0  # a set-up without any allowance tries again after this time
+MS_PER_S = 1000.0
+CLOSE_TIMEOUT_S = 0.2  # for closing the connection to the store
+MAX_BUDGET_WAIT_MS = 1000.0  # the retry interval of a set-up while its budget has no allowance
 
 
 def steady_ms() -> float:
-    """Milliseconds on a clock that is never set and that goes on while the machine sleeps."""
-    return time.clock_gettime(time.CLOCK_BOOTTIME) * MS
+    """Return milliseconds on a clock that is never set and that keeps running while the machine sleeps."""
+    return time.clock_gettime(time.CLOCK_BOOTTIME) * MS_PER_S
 
 
 class LeaseRenewer:
-    """One process's coordination with the fleet: renews its leases and limits its set-ups by them."""
+    """Renews one process's leases and limits its set-ups by them."""
 
     def __init__(
         self,
@@ -46,19 +46,19 @@
         counters: Counters,
         clock: Callable[[], float] = steady_ms,
         *,
-        works: Iterable[str] = (),
+        capabilities: Iterable[str] = (),
         sees_discovery: Callable[[], bool] = lambda: False,
         on_others_see_discovery: Callable[[], None] = lambda: None,
     ) -> None:
-        """``works``: tasks of the fleet that this process does; with any, it holds no budgets.
+        """``capabilities`` are the fleet's tasks that this process can own; with any, it holds no budgets.
 
-        ``sees_discovery``: whether service discovery sends events to this proxy; ``on_others_see_discovery``
-        is called when a response reports that it sends them to others.
+        ``sees_discovery`` returns whether service discovery sends events to this proxy.
+        ``on_others_see_discovery`` is called when a response reports that discovery sends events to others.
         """
         self._fleet, self._clock = fleet, clock
         self._backend: Backend = fleet.create_backend()
         self._connected = False
-        self.leadership = TaskLeadership(works, random.Random(seed))
+        self.leadership = TaskLeadership(capabilities, random.Random(seed))
         limits = {} if self.leadership.capabilities else fleet.budget_limits()
         self.holder = LeaseHolder(name, limits, fleet.lease(), fleet.max_members)
         self.failure_detector = FailureDetector(fleet.lease())
@@ -74,43 +74,46 @@
         self._task: asyncio.Task[None] | None = None
         self._closing = asyncio.Event()
 
-    # ------------------------------------------------------------------------------------ for the module
+    # ------------------------------------------------------------------------------------ admission
 
     def spend(self, tenant: str | None, attempt: int, server_id: str, take: bool) -> float:
-        """Milliseconds until the budgets admit a set-up; 0: now, and with ``take`` its units are spent."""
+        """Return the milliseconds until the budgets admit a set-up; 0 if they admit it now.
+
+        If ``take`` is set and the set-up is admitted, its units are spent.
+        """
         now_ms = self._clock()
-        budgets = self.limiter.covering(tenant, attempt, server_id)
+        budgets = self.limiter.applicable_budgets(tenant, attempt, server_id)
         if take and self.limiter.spend(budgets, now_ms):
             self._reporter.on_units_spent(budgets, now_ms)
             return 0.0
         wait_ms = self.limiter.wait_ms(budgets, now_ms)
         if wait_ms > 0:
             self._reporter.on_budget_exhausted()
-        return min(wait_ms, MAX_WAIT_MS)
+        return min(wait_ms, MAX_BUDGET_WAIT_MS)
 
     def set_up_fraction(self) -> float | None:
-        """This proxy's allowance as a fraction of the fleet's; None: no budget covers all set-ups."""
+        """Return this proxy's fraction of the budget of all set-ups; None if there is no such budget."""
         if (budget := self._set_up_budget) is None:
             return None
         return self.holder.allowance(budget, self._clock()) / self.holder.limits[budget].total
 
     def export_metrics(self) -> None:
-        """Set the counters that show the fleet's size and this proxy's allowances."""
+        """Set the counters for the fleet's size and this proxy's allowances."""
         self._reporter.export_metrics(len(self.failure_detector))
 
-    # ------------------------------------------------------------------------------------ the loop
+    # ------------------------------------------------------------------------------------ renewal loop
 
     def start(self) -> None:
-        """Start the renewal loop, without waiting for its first request."""
+        """Start the renewal loop without waiting for its first request."""
         self._reporter.log_shares()
         self._task = asyncio.get_running_loop().create_task(self._run())
 
     async def close(self, within_s: float) -> None:
-        """End the loop and leave the fleet, so that others get the share at once.
+        """End the loop and leave the fleet, so that the other members get the shares at once.
 
-        A request in flight is completed first: interrupted, it may leave an open transaction or a busy thread
-        behind, in which the departure would be lost, or a member that nobody knows of.
-        A store that does not answer ``within_s`` is not waited for; nothing is raised.
+        A request in flight is completed first.  If it were interrupted, it could leave an open transaction or
+        a busy thread, on which the leaving request would fail, or a new member whose incarnation this process
+        does not know.  The store is given up after ``within_s`` seconds without an error.
         """
         if self._task is None:
             return
@@ -124,7 +127,7 @@
 
     async def _leave(self, within_s: float) -> None:
         now_ms = self._clock()
-        self.limiter.settle(now_ms)
+        self.limiter.refill(now_ms)
         request = self.holder.next_request(now_ms, {}, leaving=True)
         self._reporter.log_shares()
         await self._transact(request, within_s)
@@ -133,27 +136,27 @@
         while not self._closing.is_set():
             pause_ms = await self._renew()
             with contextlib.suppress(TimeoutError):
-                async with asyncio.timeout(pause_ms / MS):
+                async with asyncio.timeout(pause_ms / MS_PER_S):
                     await self._closing.wait()
 
     async def _renew(self) -> float:
-        """Carry out one request; gives the pause until the next, in milliseconds."""
+        """Execute one request and return the pause until the next, in milliseconds."""
         request = self._next_request()
-        response = await self._transact(request, self._fleet.request_ms / MS)
+        response = await self._transact(request, self._fleet.request_ms / MS_PER_S)
         if response is None:
             return self._schedule.after_failure(len(self.failure_detector))
         previous_incarnation = self.holder.incarnation
         self._apply_response(response)
         self._reporter.on_response(previous_incarnation, request, response)
-        if response.incarnation is None:  # the next request joins anew, at once unless there are too many
+        if response.incarnation is None:  # the next request joins; early, if this process was a member
             eager = previous_incarnation is not None
         else:
             eager = self.holder.has_excess(response) or self.holder.is_below_target()
         return self._schedule.after_response(len(self.failure_detector), eager=eager)
 
     def _next_request(self) -> LeaseRequest:
-        sent_ms = self._clock()  # before anything is sent, or a connection made: the lease runs from here
-        self.limiter.settle(sent_ms)
+        sent_ms = self._clock()  # the lease starts here, before a connection is opened and the request sent
+        self.limiter.refill(sent_ms)
         request = self.holder.next_request(
             sent_ms, self.limiter.demands(sent_ms), self.failure_detector.expired(sent_ms)
         )
@@ -163,17 +166,17 @@
 
     def _apply_response(self, response: LeaseResponse) -> None:
         now_ms = self._clock()
-        self.limiter.settle(now_ms)  # under the allowance until now, before the response changes it
+        self.limiter.refill(now_ms)  # at the previous allowance, before the response changes it
         if self.holder.on_response(response):
             self.leadership.on_response(response, now_ms)
         self.failure_detector.observe(response.heartbeats, now_ms)
         if response.members_seeing_discovery:
             self._on_others_see_discovery()
 
-    # ------------------------------------------------------------------------------------ the store
+    # ------------------------------------------------------------------------------------ store access
 
     async def _transact(self, request: LeaseRequest, within_s: float) -> LeaseResponse | None:
-        """The store's response, or None after a failure, which is reported."""
+        """Return the store's response, or None after a failure, which is reported."""
         try:
             async with asyncio.timeout(within_s):
                 if not self._connected:
@@ -183,8 +186,8 @@
         except (StoreUnavailableError, StoreRefusedError, TimeoutError) as error:
             await self._on_failure(str(error) or f"no answer within {within_s:g} s")
             return None
-        except Exception as error:  # a defect of ours must not end the loop: the leases would expire
-            LOG.exception("fleet: a request failed")
+        except Exception as error:  # a software defect must not end the loop, or the leases would expire
+            LOG.exception("fleet: a request failed unexpectedly")
             await self._on_failure(type(error).__name__)
             return None
         self._reporter.on_request_completed()
@@ -196,4 +199,4 @@
 
     async def _disconnect(self) -> None:
         self._connected = False
-        await close_within(self._backend, CLOSE_S)
+        await close_within(self._backend, CLOSE_TIMEOUT_S)
--- a/canvasplank/fleet/lease_transaction.py
+++ b/canvasplank/fleet/lease_transaction.py
@@ -1,7 +1,8 @@
-"""What one transaction does to the fleet's state: the only code that grants a share or a task.
+"""The lease transaction: applies one request to the fleet's state.  Only this code grants shares and tasks.
 
-Both engines and the model checker run it on the state that they have locked.  No I/O and no clock: the
-request names the members whose lease has expired, by the sender's failure detector.
+Both database engines run it on the locked state, and the model checker runs it on its own state.  This module
+does no I/O and reads no clock: the sender's failure detector decides which members' leases have expired, and
+the request names them.
 """
 
 from __future__ import annotations
@@ -17,24 +18,24 @@
 
 
 def apply(state: FleetState, request: LeaseRequest) -> tuple[FleetState, LeaseResponse]:
-    """The state after a request, and the response to it; ``state`` itself is not changed."""
-    remaining = _without_expired(state, request)
+    """Return the state after a request, and the response; ``state`` itself is not changed."""
+    unexpired = _without_expired(state, request)
     if request.incarnation is None:
-        return _join(remaining, request)
-    known = remaining.members.get(request.incarnation)
+        return _join(unexpired, request)
+    known = unexpired.members.get(request.incarnation)
     if known is None:
-        return remaining, _without_lease(remaining, request, "the lease has expired")
-    if request.seq <= known.seq:  # it comes late, or a second time, and must not undo a newer one
-        return state, _without_lease(state, request, "a stale request")
+        return unexpired, _response_without_lease(unexpired, request, "the lease has expired")
+    if request.seq <= known.seq:  # a delayed or duplicate request must not undo a newer one
+        return state, _response_without_lease(state, request, "a stale request")
     if request.leaving:
-        return _remove(remaining, request, known, "left")
-    if _uses_more_than_granted(known, request):  # its belief about its shares is not to be built on
-        return _remove(remaining, request, known, "it uses more than it was granted")
-    return _renew(remaining, request, known.incarnation)
+        return _remove(unexpired, request, known, "left")
+    if _uses_more_than_granted(known, request):  # the sender's view of its shares cannot be relied on
+        return _remove(unexpired, request, known, "the member uses more than it was granted")
+    return _renew(unexpired, request, known.incarnation)
 
 
 def _without_expired(state: FleetState, request: LeaseRequest) -> FleetState:
-    """Remove the members that the request reports as expired, unless they have renewed since."""
+    """Remove the members that the request reports as expired, unless they have renewed meanwhile."""
     expired = {
         (heartbeat.incarnation, heartbeat.seq)
         for heartbeat in request.expired
@@ -49,7 +50,7 @@
 ) -> tuple[FleetState, LeaseResponse]:
     members = {key: member for key, member in state.members.items() if key != known.incarnation}
     after = replace(state, members=members)
-    return after, _without_lease(after, request, reason)
+    return after, _response_without_lease(after, request, reason)
 
 
 def _uses_more_than_granted(known: Member, request: LeaseRequest) -> bool:
@@ -59,7 +60,7 @@
 def _join(state: FleetState, request: LeaseRequest) -> tuple[FleetState, LeaseResponse]:
     max_members = min([request.max_members, *(member.max_members for member in state.members.values())])
     if len(state.members) + len(state.unreadable) >= max_members:
-        return state, _without_lease(state, request, f"there are {max_members} already")
+        return state, _response_without_lease(state, request, f"there are {max_members} members already")
     incarnation = state.next_incarnation
     without_shares = {
         budget: msgspec.structs.replace(allocation, held=0) for budget, allocation in request.in_use.items()
@@ -69,7 +70,7 @@
 
 
 def _renew(state: FleetState, request: LeaseRequest, incarnation: int) -> tuple[FleetState, LeaseResponse]:
-    """Store the member's use of each budget, and grant shares and tasks that are free."""
+    """Store the member's use of each budget, and grant it free shares and tasks."""
     others = {key: member for key, member in state.members.items() if key != incarnation}
     grants = {
         budget: _grant(budget, own, others, incarnation, nothing_free=bool(state.unreadable))
@@ -102,9 +103,9 @@
 def _grant(
     budget: str, own: Allocation, others: Mapping[int, Member], incarnation: int, *, nothing_free: bool
 ) -> Grant:
-    """The share of one budget: what is in use already, and up to the target what no other member holds.
+    """Return the member's share of one budget: at least what it uses, and what is free up to its target.
 
-    ``nothing_free``: members that cannot be read may hold all of the rest.
+    ``nothing_free`` is set while there are unreadable members, since they may hold all of the rest.
     """
     allocations = {key: m.allocations[budget] for key, m in others.items() if budget in m.allocations}
     total = leased([own, *allocations.values()])
@@ -117,26 +118,30 @@
 
 
 def _assign(state: FleetState, request: LeaseRequest, incarnation: int) -> FleetState:
-    """Release the tasks that the member gives up, and assign it free ones; each new owner gets a new term."""
+    """Release the tasks that the member gives up, and assign free ones to it, each with a new term."""
     tasks = dict(state.tasks)
     for name, task in state.tasks.items():
         if task.owner == incarnation and name in request.given_up:
             tasks[name] = Task(task.term, None, task.failures + 1, incarnation)
         elif task.owner == incarnation and name not in request.capabilities:
-            tasks[name] = msgspec.structs.replace(task, owner=None)  # it can no longer own it: handed over
+            tasks[name] = msgspec.structs.replace(task, owner=None)  # the member can no longer own the task
         elif task.owner == incarnation and name in request.done and task.failures:
             tasks[name] = msgspec.structs.replace(task, failures=0, failed_by=None)
     for name, failures in request.ready.items():
         task = tasks.get(name, Task())
         free = task.owner not in state.members and name not in request.given_up
-        # A member that does not know of the newest failure has not waited for its backoff.
+        # A member that does not know of the newest failure has not waited for the backoff after it.
         if free and task.failures == failures and _is_next_owner(state, tasks, name, incarnation):
             tasks[name] = msgspec.structs.replace(task, term=task.term + 1, owner=incarnation)
     return replace(state, tasks=tasks)
 
 
 def _is_next_owner(state: FleetState, tasks: Mapping[str, Task], name: str, incarnation: int) -> bool:
-    """Whether no other capable member comes first: one with fewer tasks, or not the last to fail."""
+    """Return whether the member is the preferred owner among the members capable of the task.
+
+    A member that was the last to fail at the task yields to any other, and a member that owns more tasks
+    yields to one that owns fewer.
+    """
     failed_by = tasks.get(name, Task()).failed_by
     others = [
         key
@@ -152,9 +157,9 @@
 
 
 def leased(allocations: list[Allocation]) -> int:
-    """What may be leased of a budget, in thousandths a second.
+    """Return how much of a budget may be leased, in thousandths per second.
 
-    Where configurations differ, it is the smallest total less the largest reserve.
+    If configurations differ, this is the smallest total minus the largest reserve.
     """
     return max(0, min(each.total for each in allocations) - max(each.reserve for each in allocations))
 
@@ -168,5 +173,5 @@
     return tuple(Heartbeat(key, member.seq, member.lease_ms) for key, member in sorted(state.members.items()))
 
 
-def _without_lease(state: FleetState, request: LeaseRequest, reason: str) -> LeaseResponse:
+def _response_without_lease(state: FleetState, request: LeaseRequest, reason: str) -> LeaseResponse:
     return LeaseResponse(None, request.seq, {}, _heartbeats(state), reason)
--- a/canvasplank/fleet/postgresql.py
+++ b/canvasplank/fleet/postgresql.py
@@ -10,17 +10,17 @@
 from canvasplank.fleet.lease_messages import LeaseRequest, LeaseResponse
 from canvasplank.fleet.state import FleetState
 
-# PostgreSQL ends a session that is idle in a transaction for so long: a proxy that is stopped within one
-# would otherwise hold the fleet's lock until it goes on.
-IDLE_MS = 500
+# PostgreSQL ends a session that has been idle in a transaction for this time.  A proxy that is suspended
+# within a transaction would otherwise hold the fleet's lock until it resumes.
+IDLE_IN_TRANSACTION_TIMEOUT_MS = 500
 
 
 class Postgresql(PostgresqlEngine):
-    """See ``Backend``; one connection, since a process has one request in flight at a time."""
+    """See ``Backend``; one connection suffices, since a process has one request in flight at a time."""
 
     def __init__(self, dsn: str, timeout_s: float) -> None:
         limits = {
-            "idle_in_transaction_session_timeout": str(IDLE_MS),
+            "idle_in_transaction_session_timeout": str(IDLE_IN_TRANSACTION_TIMEOUT_MS),
             "statement_timeout": str(int(timeout_s * 1000)),
         }
         super().__init__(dsn, timeout_s, schema.SCHEMA, limits)
@@ -33,7 +33,7 @@
             async with connection.transaction():
                 before = await self._read(connection, schema.LOCK_STATE)
                 after, response = lease_transaction.apply(before, request)
-                for sql, parameters in schema.changes(before, after):
+                for sql, parameters in schema.diff_statements(before, after):
                     await connection.execute(sql, *parameters)
             return response
 
--- a/canvasplank/fleet/renewal_reporter.py
+++ b/canvasplank/fleet/renewal_reporter.py
@@ -1,7 +1,7 @@
-"""What operators see of the lease renewals: log events and counters.
+"""Log events and counters of the lease renewals.
 
-The reporter only reads the lease holder.  Event names and fields are read by ``verification.spending`` and by
-the experiments.
+The reporter does not change the lease holder.  The names and fields of the events are parsed by
+``verification.spending`` and the experiments.
 """
 
 from __future__ import annotations
@@ -15,40 +15,40 @@
 from canvasplank.runtime.structured_logging import log_event
 
 LOG = logging.getLogger(__name__)
-THOUSANDTHS = 1000.0  # rates are whole thousandths of a unit a second
+THOUSANDTHS_PER_UNIT = 1000.0  # rates are in thousandths of a unit per second
 
 
 class RenewalReporter:
-    """Log events and counters of one process's lease renewals and of the units that it spends."""
+    """Reports one process's lease renewals and spent units as log events and counters."""
 
     def __init__(
         self, holder: LeaseHolder, counters: Counters, clock: Callable[[], float], *, trace: bool
     ) -> None:
-        """``clock`` gives milliseconds; with ``trace`` each spent unit and each renewed share is an event."""
+        """``clock`` returns milliseconds; ``trace`` logs an event for each spent unit and renewed share."""
         self._holder, self._counters, self._clock = holder, counters, clock
         self._trace = trace
         self._store_unavailable = False
-        self._logged_shares: dict[str, int] = {}  # the share last logged, by budget
+        self._logged_shares: dict[str, int] = {}  # the last logged share, by budget
 
     def on_units_spent(self, budgets: list[str], now_ms: float) -> None:
-        """A set-up was admitted and took a unit of each of these budgets."""
+        """Count a set-up that was admitted and took one unit from each of these budgets."""
         self._counters.add("fleet.spent")
         if self._trace:
             log_event(LOG, "budget.spent", budgets=budgets, at_ms=now_ms)
 
     def on_budget_exhausted(self) -> None:
-        """A set-up has to wait for its budgets."""
+        """Count a set-up that has to wait for its budgets."""
         self._counters.add("fleet.waits")
 
     def on_request_completed(self) -> None:
-        """The store answered a request."""
+        """Count a request that the store answered, and log the end of an outage."""
         self._counters.add("fleet.requests")
         if self._store_unavailable:
             self._store_unavailable = False
             log_event(LOG, "fleet.available", text="fleet: the store is available again")
 
     def on_request_failed(self, reason: str) -> None:
-        """The store did not answer; the first failure in a row is logged, with its reason on one line."""
+        """Count a failed request; the first in a row is logged, with its reason on one line."""
         self._counters.add("fleet.failures")
         if not self._store_unavailable:
             one_line = " ".join(reason.split())
@@ -58,7 +58,7 @@
     def on_response(
         self, previous_incarnation: int | None, request: LeaseRequest, response: LeaseResponse
     ) -> None:
-        """Log what a response changed: membership, members removed with this request, and shares."""
+        """Log what a request and its response changed: membership, expired members and shares."""
         if response.incarnation is None:
             log_event(LOG, "fleet.out", text=f"fleet: not a member: {response.reason}", why=response.reason)
         elif response.incarnation != previous_incarnation:
@@ -69,7 +69,7 @@
         self.log_shares()
 
     def log_shares(self) -> None:
-        """Log each share that has changed; with ``trace`` also those whose lease was extended."""
+        """Log each share that has changed; with ``trace``, log all shares."""
         until_ms = max(0.0, self._holder.until_ms)
         for budget, limits in self._holder.limits.items():
             share = self._holder.in_use(budget) if until_ms else 0
@@ -78,7 +78,7 @@
                 self._log_share(budget, limits.unleased_quota, share, until_ms)
 
     def export_metrics(self, members: int) -> None:
-        """Set the counters for the fleet's size and for each budget's current allowance."""
+        """Set the counters for the fleet's size and the current allowance of each budget."""
         now_ms = self._clock()
         self._counters.set("fleet.members", members)
         for budget in self._holder.limits:
@@ -88,7 +88,7 @@
         log_event(
             LOG,
             "fleet.in",
-            text=f"fleet: joined as {incarnation}, one of {members} members",
+            text=f"fleet: joined as incarnation {incarnation}, one of {members} members",
             incarnation=incarnation,
             members=members,
         )
@@ -98,13 +98,13 @@
         log_event(
             LOG,
             "fleet.removed",
-            text=f"fleet: leases expired, members removed: {incarnations}",
+            text=f"fleet: leases expired, incarnations removed: {incarnations}",
             incarnations=incarnations,
             at_ms=self._clock(),
         )
 
     def _log_share(self, budget: str, unleased_quota: int, share: int, until_ms: float) -> None:
-        unleased_per_s, share_per_s = unleased_quota / THOUSANDTHS, share / THOUSANDTHS
+        unleased_per_s, share_per_s = unleased_quota / THOUSANDTHS_PER_UNIT, share / THOUSANDTHS_PER_UNIT
         log_event(
             LOG,
             "budget.share",
--- a/canvasplank/fleet/renewal_schedule.py
+++ b/canvasplank/fleet/renewal_schedule.py
@@ -1,20 +1,21 @@
-"""The pauses between requests to the store, in milliseconds.  No clock.
+"""The pauses between requests to the store, in milliseconds.  This module reads no clock.
 
-Normally the configured period with jitter; shorter, a few times, while a share is moving from one proxy to
-another; after a failure exponential backoff with full jitter, over a span that also grows with the fleet, so
-that the requests of all proxies are spread out when a store becomes available again.
+The steady pause is the configured period with jitter.  A few eager (shorter) pauses follow each other while
+shares move from one proxy to another.  After a failure the pause is an exponential backoff with full jitter.
+Its upper bound also grows with the fleet, so that the requests of all proxies are spread out when the store
+becomes available again.
 """
 
 from __future__ import annotations
 
 import random
 
-STEADY_JITTER = (0.85, 1.0)  # of the renewal period
+STEADY_JITTER = (0.85, 1.0)  # as fractions of the renewal period
 EAGER_FRACTION = 0.2  # of the renewal period
-MAX_EAGER_PAUSES = 6  # in a row: after them the others have had time to release
-EAGER_MS_PER_MEMBER = 5.0  # the store's time for each proxy while all are eager; docs/fleet.md, Measured
-RETRY_MS_PER_MEMBER = 20.0  # the store's time for each proxy when all retry together
-MAX_DOUBLINGS = 10  # of the backoff, which is bounded long before
+MAX_EAGER_PAUSES = 6  # in a row; by then the other members have had time to release shares
+EAGER_MS_PER_MEMBER = 5.0  # of the store's time while all proxies are eager; docs/fleet.md, Measured
+RETRY_MS_PER_MEMBER = 20.0  # of the store's time when all proxies retry together
+MAX_DOUBLINGS = 10  # keeps the power of two small; the backoff reaches its upper bound long before
 
 
 class RenewalSchedule:
@@ -26,21 +27,21 @@
         self._eager_pauses = 0  # in a row
 
     def after_response(self, members: int, *, eager: bool) -> float:
-        """The pause after a response; ``eager``: a share is moving and the next request moves it on.
+        """Return the pause after a response; ``eager`` if the next request may release or receive a share.
 
-        An eager pause grows with the number of members: hundreds that join at once, each waiting for shares
-        that others are to release, would send more requests than a store can carry out.
+        An eager pause grows with the number of members.  Hundreds of proxies that join at once all wait for
+        shares that others must release, and would otherwise send more requests than the store can execute.
         """
         self._failures = 0
         self._eager_pauses = self._eager_pauses + 1 if eager else 0
-        steady_ms = self._renew_ms * self._rng.uniform(*STEADY_JITTER)
+        steady_pause_ms = self._renew_ms * self._rng.uniform(*STEADY_JITTER)
         if 0 < self._eager_pauses <= MAX_EAGER_PAUSES:
             eager_ms = max(self._renew_ms * EAGER_FRACTION, EAGER_MS_PER_MEMBER * members)
-            return min(steady_ms, eager_ms * self._rng.uniform(0.5, 1.0))
-        return steady_ms
+            return min(steady_pause_ms, eager_ms * self._rng.uniform(0.5, 1.0))
+        return steady_pause_ms
 
     def after_failure(self, members: int) -> float:
-        """The pause after a failed request, in a fleet of ``members`` as last known."""
+        """Return the pause after a failed request; ``members`` is the last known size of the fleet."""
         self._eager_pauses = 0
         doubled_ms = self._renew_ms * 2 ** min(self._failures, MAX_DOUBLINGS)
         self._failures += 1
--- a/canvasplank/fleet/schema.py
+++ b/canvasplank/fleet/schema.py
@@ -16,7 +16,7 @@
 
 LOG = logging.getLogger(__name__)
 
-CONTENT_FORM = 1  # of ``fleet_member.content``; a member in another form is left unchanged
+CONTENT_FORMAT = 1  # of ``fleet_member.content``; a member in another form is left unchanged
 
 SCHEMA = Schema(
     "fleet_schema_version",
@@ -94,7 +94,7 @@
         unreadable: list[int] = []
         for incarnation, name, seq, form, text in member_rows:
             try:
-                if form != CONTENT_FORM:
+                if form != CONTENT_FORMAT:
                     raise msgspec.ValidationError(f"form {form}")
                 content = msgspec.json.decode(text, type=MemberContent)
             except msgspec.MsgspecError as error:
@@ -129,7 +129,7 @@
             )
 
 
-def changes(before: FleetState, after: FleetState) -> Iterator[Statement]:
+def diff_statements(before: FleetState, after: FleetState) -> Iterator[Statement]:
     """The statements that bring the store from one state to the other."""
     if after.next_incarnation != before.next_incarnation:
         yield Statement(UPDATE_NEXT_INCARNATION, (after.next_incarnation,))
@@ -145,7 +145,7 @@
                 member.sees_discovery,
             )
             text = msgspec.json.encode(content).decode()
-            yield Statement(UPSERT_MEMBER, (incarnation, member.name, member.seq, CONTENT_FORM, text))
+            yield Statement(UPSERT_MEMBER, (incarnation, member.name, member.seq, CONTENT_FORMAT, text))
     for name, task in after.tasks.items():
         if before.tasks.get(name) != task:
             yield Statement(UPSERT_TASK, (name, task.term, task.owner, task.failures, task.failed_by))
--- a/canvasplank/fleet/sqlite.py
+++ b/canvasplank/fleet/sqlite.py
@@ -12,7 +12,7 @@
 
 
 class Sqlite(SqliteEngine):
-    """See ``Backend``.  A transaction is one function on the worker thread and waits for nothing."""
+    """See ``Backend``.  A transaction is one function on the worker thread and awaits nothing."""
 
     def __init__(self, path: str) -> None:
         super().__init__(path, schema.SCHEMA, "fleet")
@@ -25,7 +25,7 @@
             with transaction(connection):
                 before = self._read(connection)
                 after, response = lease_transaction.apply(before, request)
-                for sql, parameters in schema.changes(before, after):
+                for sql, parameters in schema.diff_statements(before, after):
                     connection.execute(to_sqlite(sql), parameters)
             return response
 
--- a/canvasplank/fleet/task_leadership.py
+++ b/canvasplank/fleet/task_leadership.py
@@ -33,7 +33,7 @@
     ready_at_ms: float
 
 
-NEVER_SEEN = ObservedFailures(-1, 0.0)
+NOT_OBSERVED = ObservedFailures(-1, 0.0)
 NO_FAILURES = ObservedFailures(0, 0.0)
 
 
@@ -60,7 +60,7 @@
         self._given_up &= self._terms.keys()  # reported, and no longer owned
         self._done.clear()
         for name, task in response.tasks.items():
-            if self._observed_failures.get(name, NEVER_SEEN).failures != task.failures:
+            if self._observed_failures.get(name, NOT_OBSERVED).failures != task.failures:
                 self._observed_failures[name] = ObservedFailures(
                     task.failures, now_ms + self._backoff_ms(task)
                 )
--- a/canvasplank/worker/task_runner.py
+++ b/canvasplank/worker/task_runner.py
@@ -51,7 +51,7 @@
     def __init__(self, fleet: Fleet, settings: WorkerSettings, name: str, seed: int) -> None:
         self._settings = settings
         self._folder = Path(settings.export_folder)
-        self._renewer = LeaseRenewer(fleet, name, seed, Counters(), works=TASKS)
+        self._renewer = LeaseRenewer(fleet, name, seed, Counters(), capabilities=TASKS)
         self._backend: Backend = fleet.create_backend()
         self._schemas: tuple[Schema, ...] = (store_schema.SCHEMA, usage_ledger.SCHEMA)
         self._connected = False
--- a/tests/test_budget_limiter.py
+++ b/tests/test_budget_limiter.py
@@ -20,7 +20,7 @@
 
     def test_a_pause_past_the_lease_saves_up_nothing_of_the_share(self):
         bucket = TokenBucket(250.0, 0.0)
-        bucket.settle(10_000.0, unleased_quota=2_000, share=40_000, until_ms=200.0)
+        bucket.refill(10_000.0, unleased_quota=2_000, share=40_000, until_ms=200.0)
         spent = 0
         while bucket.wait_ms(2_000) == 0:
             bucket.spend()
@@ -30,12 +30,12 @@
     def test_the_rate_and_the_burst_are_bounded(self):
         bucket, spent = TokenBucket(250.0, 0.0), 0
         for now in range(0, 4000, 5):
-            allowance = bucket.settle(float(now), 0, 40_000, 1e9)
+            allowance = bucket.refill(float(now), 0, 40_000, 1e9)
             while bucket.wait_ms(allowance) == 0:
                 bucket.spend()
                 spent += 1
         assert 155 <= spent <= 160
-        bucket.settle(60_000.0, 0, 40_000, 1e9)
+        bucket.refill(60_000.0, 0, 40_000, 1e9)
         for _ in range(10):
             assert bucket.wait_ms(40_000) == 0
             bucket.spend()
@@ -73,12 +73,12 @@
 
         def used(count, now_ms):
             for _ in range(count):
-                demand.spent()
+                demand.record_spent()
             return demand.report(now_ms, 10_000)
 
         assert used(8, 1000.0) == 10_000
         assert used(7, 2000.0) == 10_000, "within the band: unchanged"
-        demand.saturated()
+        demand.record_wait()
         assert used(10, 3000.0) == 20_000
         assert used(0, 4000.0) == 10_000 and used(0, 5000.0) == 5_000, "down by halves"
 
--- a/tests/test_fleet_config.py
+++ b/tests/test_fleet_config.py
@@ -1,4 +1,4 @@
-"""The fleet's configuration file."""
+"""Tests of the fleet's configuration file."""
 
 from __future__ import annotations
 
@@ -24,16 +24,16 @@
         ("whole_per_s = 40.0", "whole_per_s = -1.0", "Expected `float` > 0"),
         ("whole_per_s = 40.0", "whole_per_s = 3.0", "less than one unit a second for each of 4"),
         ("set-ups", "wishes", "Invalid enum value 'wishes'"),
-        ("set-ups", "member", "do not fit"),
+        ("set-ups", "member", "kind member with of '': the kinds member and server require of"),
         ("[[budget]]", "budget = []\n[other]", "unknown field"),
-        (BUDGET_TABLE, "budget = []", "no budget is named"),
-        ("whole_per_s = 40.0\n", "whole_per_s = 40.0\n" + BUDGET_TABLE, "named twice"),
+        (BUDGET_TABLE, "budget = []", "no budget is defined"),
+        ("whole_per_s = 40.0\n", "whole_per_s = 40.0\n" + BUDGET_TABLE, "two budgets have the same name"),
         ('path = "x.db"', "", "needs a path"),
         ('"sqlite"', '"postgresql"', "needs a dsn"),
         ("proxies_most = 4", "proxies_most = 4\nrenew_ms = 2000.0", "less than two times renew_ms"),
     ],
 )
-def test_a_bad_file_is_one_line(tmp_path, old, new, message):
+def test_an_invalid_file_is_reported_on_one_line(tmp_path, old, new, message):
     path = tmp_path / "fleet.toml"
     path.write_text(VALID_FILE.replace(old, new, 1))
     with pytest.raises(ConfigurationError, match=message) as raised:
--- a/tests/test_fleet_departure.py
+++ b/tests/test_fleet_departure.py
@@ -15,11 +15,11 @@
 from emulators.postgresql import PostgresqlEmulator
 
 WAIT_S = 20.0
-CLOSE_S = 2.0  # what a shutdown leaves to its extensions, about
+CLOSE_TIMEOUT_S = 2.0  # what a shutdown leaves to its extensions, about
 MAX_WAITS = 40  # for answers, in one request
 
 
-class Stepped:
+class WaitObserver:
     """Awaits an operation, and sets an event when the operation waits for the given time, counted from 1."""
 
     def __init__(self, operation, number, reached):
@@ -80,7 +80,7 @@
         transact = renewer._backend.transact
 
         async def stepped(request):
-            response = await Stepped(transact(request), number, reached)
+            response = await WaitObserver(transact(request), number, reached)
             answered.set()
             return response
 
@@ -92,7 +92,7 @@
             wait.cancel()
         renewer._backend.transact = transact
         was_reached = reached.is_set()
-        await renewer.close(CLOSE_S)
+        await renewer.close(CLOSE_TIMEOUT_S)
         assert await members(reader) == [], f"left amid a request, at its wait {number}"
         return was_reached
 
@@ -128,7 +128,7 @@
             store.faults.drop_before_commit = 1
             async with asyncio.timeout(WAIT_S):
                 await failed.wait()
-            await renewer.close(CLOSE_S)
+            await renewer.close(CLOSE_TIMEOUT_S)
             assert await members(reader) == []
 
     asyncio.run(run())
--- a/tests/test_fleet_store.py
+++ b/tests/test_fleet_store.py
@@ -17,7 +17,7 @@
 from canvasplank.fleet.config import Budget, Fleet
 from canvasplank.fleet.lease_holder import LeaseHolder
 from canvasplank.fleet.lease_renewer import LeaseRenewer
-from canvasplank.fleet.postgresql import IDLE_MS, Postgresql
+from canvasplank.fleet.postgresql import IDLE_IN_TRANSACTION_TIMEOUT_MS, Postgresql
 from canvasplank.fleet.sqlite import Sqlite
 from canvasplank.runtime import structured_logging
 from emulators.postgresql import PostgresqlEmulator
@@ -119,7 +119,7 @@
                 start_s = asyncio.get_running_loop().time()
                 response = await other.transact(holder("b").next_request(0.0, {}))
                 waited_s = asyncio.get_running_loop().time() - start_s
-            assert response.incarnation and waited_s >= 0.9 * IDLE_MS / 1000
+            assert response.incarnation and waited_s >= 0.9 * IDLE_IN_TRANSACTION_TIMEOUT_MS / 1000
             with pytest.raises(StoreUnavailableError):
                 await one.transact(holder("a").next_request(0.0, {}))
 
--- a/tests/test_lease_transaction.py
+++ b/tests/test_lease_transaction.py
@@ -67,7 +67,7 @@
         request = holder.next_request(0.0, {})
         more = {"b": msgspec.structs.replace(request.in_use["b"], held=70_000)}
         after, response = lease_transaction.apply(state, msgspec.structs.replace(request, in_use=more))
-        assert not after.members and response.reason == "it uses more than it was granted"
+        assert not after.members and response.reason == "the member uses more than it was granted"
 
     def test_no_share_grows_beside_an_unreadable_member(self):
         _state, [holder] = join("a", state=FleetState(unreadable=(7,)))
--- a/tests/test_rendezvous_subset.py
+++ b/tests/test_rendezvous_subset.py
@@ -15,7 +15,7 @@
 
 from canvasplank import interface as api
 from canvasplank.cold_start.extension import ColdStartExtension, ColdStartSettings
-from canvasplank.cold_start.rendezvous_hashing import choose, max_sharers, rank
+from canvasplank.cold_start.rendezvous_hashing import max_sharers, rank, select_subset
 from canvasplank.cold_start.rendezvous_subset import RendezvousSubset
 from canvasplank.config.discovery_events import Endpoint, to_server
 from canvasplank.network.release_retransmission import SentRelease
@@ -56,7 +56,7 @@
         ]
         shared: Counter[str] = Counter()
         for name in names(600):
-            mine = choose(name, listed, ALL, 8)
+            mine = select_subset(name, listed, ALL, 8)
             shared.update(mine)
             for zone, size in enumerate(sizes):
                 held = sum(server_id.startswith(f"s-{zone}-") for server_id in mine)
@@ -69,7 +69,7 @@
     )
     def test_sharers_are_about_even_and_bounded_by_max_sharers(self, proxies, servers, per_class):
         listed = instances(servers)
-        shared = Counter(s for name in names(proxies) for s in choose(name, listed, ALL, per_class))
+        shared = Counter(s for name in names(proxies) for s in select_subset(name, listed, ALL, per_class))
         bound = max_sharers(0, listed, ALL, per_class, proxies)
         mean = proxies * per_class / servers
         assert len(shared) == servers and sum(shared.values()) == proxies * per_class
@@ -87,7 +87,7 @@
         per_class, min_fraction = figures["servers_per_proxy"], figures["proxies_per_server"] / proxies
         listed = instances(servers)
         shared = Counter(
-            s for name in names(proxies) for s in choose(name, listed, ALL, per_class, min_fraction)
+            s for name in names(proxies) for s in select_subset(name, listed, ALL, per_class, min_fraction)
         )
         assert len(shared) == servers
         assert max(shared.values()) <= 1.75 * sum(shared.values()) / servers
@@ -96,14 +96,14 @@
     def test_a_server_that_goes_moves_only_the_proxies_that_selected_it(self):
         listed = instances(24)
         for name in names(300):
-            before, after = choose(name, listed, ALL, 6), choose(name, listed[1:], ALL, 6)
+            before, after = select_subset(name, listed, ALL, 6), select_subset(name, listed[1:], ALL, 6)
             assert len(after - before) == ("s-0" in before) and before - after <= {"s-0"}
 
     def test_a_class_that_few_servers_may_take_has_its_own_subset(self):
         listed = instances(24, cells=12)
         groups = (None, frozenset({3, 7}))
         for name in names(50):
-            mine = [int(s[2:]) % 12 for s in choose(name, listed, groups, 3)]
+            mine = [int(s[2:]) % 12 for s in select_subset(name, listed, groups, 3)]
             assert sum(cell in (3, 7) for cell in mine) >= 3
 
     @pytest.mark.parametrize(
@@ -122,7 +122,7 @@
     def test_max_sharers_follows_the_pool_groups_of_a_server(self, groups, cell, bound):
         listed = instances(12, cells=6)
         found = max_sharers(cell, listed, groups, 3, 100)
-        held = sum(any(s in choose(n, listed, groups, 3) for s in ("s-0",)) for n in names(100))
+        held = sum(any(s in select_subset(n, listed, groups, 3) for s in ("s-0",)) for n in names(100))
         assert held <= found <= bound
 
 
@@ -328,7 +328,9 @@
             await asyncio.gather(*(callers.add_proxy(proxy.address) for proxy in started.proxies))
 
             async def connected_to_subsets(listed):
-                expected = Counter(s for n in range(count) for s in choose(f"n{n}", listed, ALL, per_class))
+                expected = Counter(
+                    s for n in range(count) for s in select_subset(f"n{n}", listed, ALL, per_class)
+                )
                 async with asyncio.timeout(WAIT_S):
                     while any(server.connections != expected[server.name] for server in servers):
                         await asyncio.sleep(0.05)
--- a/verification/leases.py
+++ b/verification/leases.py
@@ -85,7 +85,7 @@
             _request_key(proxy.request),
             _request_key(proxy.delayed),
             _response_key(proxy.response),
-            tuple(sorted(proxy.failure_detector._since.items())),
+            tuple(sorted(proxy.failure_detector._unchanged_since.items())),
         )
 
 
