--- a/canvasplank/fleet/lease_transaction.py
+++ b/canvasplank/fleet/lease_transaction.py
@@ -108,7 +108,7 @@
     ``nothing_free`` is set while there are unreadable members, since they may hold all of the rest.
     """
     allocations = {key: m.allocations[budget] for key, m in others.items() if budget in m.allocations}
-    total = leased([own, *allocations.values()])
+    total = leasable_total([own, *allocations.values()])
     demands = {key: each.demand for key, each in (allocations | {incarnation: own}).items()}
     target = divide(total, dict(sorted(demands.items())))[incarnation]
     free = total - own.held - sum(each.held for each in allocations.values())
@@ -156,7 +156,7 @@
     return all(owned[incarnation] <= owned[key] for key in others)
 
 
-def leased(allocations: list[Allocation]) -> int:
+def leasable_total(allocations: list[Allocation]) -> int:
     """Return how much of a budget may be leased, in thousandths per second.
 
     If configurations differ, this is the smallest total minus the largest reserve.
