--- a/canvasplank/cold_start/__init__.py
+++ b/canvasplank/cold_start/__init__.py
@@ -1,1 +1,1 @@
-"""Cold start: limits on what hundreds of proxies that start together do to discovery and the call servers."""
+"""Cold start: limits on the load that hundreds of starting proxies put on discovery and call servers."""
--- a/canvasplank/cold_start/extension.py
+++ b/canvasplank/cold_start/extension.py
@@ -1,4 +1,4 @@
-"""The cold start as an extension: poll backoff, a rendezvous subset, and slow start at the call servers."""
+"""The cold start extension: poll backoff, a rendezvous subset, and slow start at the call servers."""
 
 from __future__ import annotations
 
@@ -13,20 +13,19 @@
 from canvasplank.config.platform_settings import read_settings
 from canvasplank.extensions.extension import Extension, ExtensionContext, ExtensionFactory
 
-CHECK_INTERVAL_MS = 1000.0  # for servers to release, and for the fleet's size
-# The controller is notified again once the fleet's size differs by more than this fraction from the one it
-# has.
+CHECK_INTERVAL_MS = 1000.0  # between checks for servers to release and for a change of the fleet's size
+# The endpoint list is filtered again once the fleet's size has changed by more than this fraction.
 FLEET_SIZE_CHANGE_FRACTION = 0.1
 
 
 def load(path: str) -> ExtensionFactory:
-    """The extension with the settings of this file; raises ``ConfigurationError``."""
+    """Return a factory of the extension with the settings in the file; raises ``ConfigurationError``."""
     settings = load_cold_start_settings(path)
     return lambda context: ColdStartExtension(context, settings)
 
 
 class ColdStartExtension(Extension):
-    """Gives discovery its ``PollBackoff``, and is the call servers' ``EndpointFilter``."""
+    """Installs a ``PollBackoff`` in service discovery, and itself as the servers' ``EndpointFilter``."""
 
     def __init__(self, context: ExtensionContext, settings: ColdStartSettings) -> None:
         self._context, self._settings = context, settings
@@ -41,7 +40,8 @@
             self._has_calls,
             lambda: settings.proxies_per_server / self._fleet_size(),
         )
-        self._announced_fleet_size = 0  # by which the controller knows how many proxies share a server
+        # The fleet's size by which ``annotate`` tells the controller how many proxies share a server.
+        self._announced_fleet_size = 0
         if (polls_per_s := settings.polls_per_s) > 0:
             first_per_s = settings.first_per_s or polls_per_s
             context.discovery.use_poll_backoff(
@@ -70,7 +70,7 @@
         return self._subset.select(complete, instances)
 
     def annotate(self, server: api.Server) -> api.Server:
-        """See ``EndpointFilter``: how many proxies share the server, and this proxy's first rate there."""
+        """See ``EndpointFilter``; adds the number of proxies that share the server, and the initial rate."""
         senders = self._subset.senders(server.pool, self._announced_fleet_size)
         if not (fleet_rate_per_s := self._settings.initial_rate_per_s):
             return replace(server, senders=senders)
@@ -78,10 +78,10 @@
         return replace(server, senders=senders, initial_rate_per_s=rate_per_s)
 
     def _fleet_fraction(self, senders: int | None) -> float:
-        """This proxy's fraction of the fleet's set-ups at one server, which ``senders`` proxies share.
+        """Return this proxy's fraction of the fleet's set-ups at a server that ``senders`` proxies share.
 
-        A lease of a set-ups budget is a fraction of the fleet's set-ups at all servers; this proxy has it for
-        fewer servers, so at each of them its fraction is larger.
+        A lease of a set-ups budget is a fraction of the fleet's set-ups at all servers.  This proxy uses it
+        at fewer servers, so its fraction at each of them is larger.
         """
         leased = self._context.fleet_set_up_fraction()
         if leased is None:
@@ -89,7 +89,7 @@
         return min(1.0, leased * self._subset.ready_per_selected())
 
     def initial_delay_ms(self) -> float:
-        """See ``EndpointFilter``: uniform, so that the fleet connects at ``connections_per_s``."""
+        """See ``EndpointFilter``; uniformly random, so that the fleet connects at ``connections_per_s``."""
         if not (per_s := self._settings.connections_per_s):
             return 0.0
         return self._rng.uniform(0.0, MS_PER_S * self._fleet_size() / per_s)
@@ -101,17 +101,17 @@
     # ------------------------------------------------------------------------------------
 
     def _has_calls(self, server_id: str) -> bool:
-        """Whether a call of ours is at the server, or a release that it may not have received yet."""
+        """Return whether the server has a call of this proxy, or may not have received one's release yet."""
         return self._context.exchange.has_calls_at(server_id) or self._context.servers.has_unsettled_releases(
             server_id
         )
 
     def _fleet_size(self) -> int:
-        """Proxies in the fleet, or in the settings where nothing counts them."""
+        """Return the number of proxies in the fleet, or the configured one if the fleet's is unknown."""
         return max(1, self._context.fleet_size() or self._configured_fleet_size)
 
     def _check_subset(self) -> None:
-        """Select again where a server can be released or the fleet's size has changed; repeats itself."""
+        """Filter the list again if a server can be released or the fleet's size has changed; repeats."""
         change = abs(self._fleet_size() - self._announced_fleet_size)
         if (
             self._subset.can_release_endpoints()
--- a/canvasplank/cold_start/rendezvous_hashing.py
+++ b/canvasplank/cold_start/rendezvous_hashing.py
@@ -1,9 +1,9 @@
 """Rendezvous hashing: which call servers belong to a proxy's subset, and how many proxies share a server.
 
-No I/O and no clock.  Each proxy ranks the servers of each zone by a hash of both names and selects the first
-of each ranking, of each zone in proportion to its size.  So the proxies need not communicate, a server that
-comes or goes changes few subsets but those that contain it, and a proxy whose zone is cut off from the others
-still has servers.
+This module does no I/O and reads no clock.  Each proxy ranks the servers of each zone by a hash of the
+proxy's and the server's name, and selects the first of each ranking in proportion to the zone's size.  The
+proxies need not communicate.  A server that is added or removed changes few subsets besides those that
+contain it.  A proxy whose zone is cut off from the other zones still has servers.
 """
 
 from __future__ import annotations
@@ -15,24 +15,24 @@
 
 from canvasplank.config.discovery_events import Endpoint
 
-# Of the number of sharers, above the mean: about one server in a thousand is shared by more than that.
+# The margin of ``max_sharers`` above the mean: about one server in a thousand is shared by more proxies.
 SHARERS_STANDARD_DEVIATIONS = 3.0
 HASH_RANGE = 2**64
 Pools = frozenset[int]
 
 
 def _hash_fraction(name: str, key: str) -> float:
-    """A hash from 0 to 1, the same on every machine and in every version, which Python's own is not."""
+    """Return a hash from 0 to 1; unlike Python's own, it is the same on all machines and in all versions."""
     return xxhash.xxh64_intdigest(f"{name}\0{key}".encode()) / HASH_RANGE
 
 
 def rank(name: str, servers: Iterable[Endpoint]) -> list[str]:
-    """All servers in this proxy's order of preference; any first few are of each zone in proportion to its
-    size.
+    """Return all servers in this proxy's order of preference.
 
-    The n servers of a zone are placed at u/n, (1 + u)/n, ... (n - 1 + u)/n, with an offset u hashed from the
-    proxy and the zone, and the zones are merged by place.  So every server is as likely to be among the first
-    few, and no zone is missing by chance.
+    Any prefix contains servers of each zone in proportion to the zone's size.  The n servers of a zone are
+    placed at u/n, (1 + u)/n, ... (n - 1 + u)/n, with an offset u hashed from the proxy and the zone, and the
+    zones are merged by place.  Every server is equally likely to be in a prefix, and no zone is missing by
+    chance.
     """
     zones: dict[str, list[str]] = {}
     for server in servers:
@@ -48,10 +48,9 @@
 
 
 def subset_size(servers: int, servers_per_class: int, min_fraction: float) -> int:
-    """The size of a subset of so many servers: ``servers_per_class``, or ``min_fraction`` of them if that is
-    more.
+    """Return the size of a subset: the larger of ``servers_per_class`` and ``min_fraction`` of the servers.
 
-    In a small fleet a fixed size would leave servers to no proxy at all, or to too few.
+    With a fixed size, a small fleet would leave some servers with too few proxies or with none.
     """
     return min(servers, max(servers_per_class, math.ceil(min_fraction * servers)))
 
@@ -63,16 +62,16 @@
     servers_per_class: int,
     min_fraction: float = 0.0,
 ) -> set[str]:
-    """The subset of a proxy: for each class of call, the first of the servers that may take it.
+    """Return a proxy's subset: for each class of call, the first-ranked servers that accept the class.
 
-    ``groups``: the pools of each class of call (None: any).  Chosen from all servers at once, a subset might
-    contain none for a class that few may take.
+    ``groups`` has the pools of each class of call; None means any pool.  If the subset were selected from all
+    servers at once, it might contain none for a class that few servers accept.
     """
-    chosen: set[str] = set()
+    selected: set[str] = set()
     for pools in set(groups):
-        group = [i for i in ready if pools is None or i.cell in pools]
-        chosen.update(rank(name, group)[: subset_size(len(group), servers_per_class, min_fraction)])
-    return chosen
+        group = [instance for instance in ready if pools is None or instance.cell in pools]
+        selected.update(rank(name, group)[: subset_size(len(group), servers_per_class, min_fraction)])
+    return selected
 
 
 def max_sharers(
@@ -83,16 +82,16 @@
     proxies: int,
     min_fraction: float = 0.0,
 ) -> int:
-    """An upper bound, but for rare chance, on the proxies of a fleet that share a server of this cell.
+    """Return an upper bound, exceeded only rarely, on the number of proxies that share a server of this cell.
 
-    A proxy that has a server among the first of a larger group has it, but for a zone's rounding, among those
-    of a smaller group within it; so only the smallest groups add up.
+    A proxy that selects a server from a group of pools also selects it from any smaller group within that
+    group, except for the rounding of zones.  So only the probabilities of the smallest groups are added.
     """
     cells = [instance.cell for instance in ready]
-    every = frozenset(cells)
-    holding = {frozenset(every if pools is None else pools & every) for pools in groups}
-    holding = {group for group in holding if cell in group}
-    smallest = [group for group in holding if not any(other < group for other in holding)]
+    all_cells = frozenset(cells)
+    candidates = {frozenset(all_cells if pools is None else pools & all_cells) for pools in groups}
+    candidates = {group for group in candidates if cell in group}
+    smallest = [group for group in candidates if not any(other < group for other in candidates)]
     sizes = [sum(each in group for each in cells) for group in smallest]
     probability = sum(subset_size(size, servers_per_class, min_fraction) / size for size in sizes)
     if probability >= 1.0:
--- a/canvasplank/cold_start/rendezvous_subset.py
+++ b/canvasplank/cold_start/rendezvous_subset.py
@@ -1,5 +1,6 @@
-"""The subset of the call servers that one proxy connects to, as the endpoint list changes.  No I/O and no
-clock.
+"""The subset of the call servers that one proxy connects to, updated as the endpoint list changes.
+
+This module does no I/O and reads no clock.
 """
 
 from __future__ import annotations
@@ -20,7 +21,7 @@
 
 
 class RendezvousSubset:
-    """One proxy's subset; ``select`` updates it."""
+    """One proxy's endpoint list and its subset of it, which ``select`` updates."""
 
     def __init__(
         self,
@@ -30,10 +31,11 @@
         has_calls: Callable[[str], bool],
         min_fraction: Callable[[], float] = float,
     ) -> None:
-        """The subset of the proxy of this name; ``groups``: the pools of each class of call (None: any).
+        """``name`` is the proxy's.  ``groups`` has the pools of each class of call; None means any pool.
 
-        ``servers_per_class``: servers for each class of call, 0 for all; ``min_fraction``: at least this
-        fraction of them, which may change with the fleet; ``has_calls``: whether a server has calls of ours.
+        ``servers_per_class`` is the number of servers selected for each class, 0 for all.  ``min_fraction``
+        returns the minimum fraction of servers, which may change with the fleet.  ``has_calls`` returns
+        whether this proxy has calls at a server.
         """
         self._name = name
         self._groups = tuple(groups)
@@ -44,17 +46,17 @@
         self._selected: set[str] = set()
 
     def select(self, complete: bool, instances: list[Endpoint]) -> list[Endpoint]:
-        """Apply an update of the endpoint list, which may be empty; the complete subset after it.
+        """Apply an update of the endpoint list, which may be empty, and return the complete subset.
 
-        A server that leaves the subset is draining in it until it has no calls of ours, so that their
-        releases still find a connection.  One that is draining itself stays in the subset of those that have
-        it.
+        A server that leaves the subset is returned as draining until this proxy has no calls there, so that
+        there is still a connection for their releases.  A server that the list itself shows as draining stays
+        in the subset if it was in it.
         """
         apply_event(self._listed, DiscoveryEvent(0, EndpointListUpdate(instances, reset=complete)))
-        chosen = self._select_subset()
+        preferred = self._select_subset()
         selected = []
         for server_id, instance in self._listed.items():
-            if server_id in chosen or (instance.lifecycle != READY and server_id in self._selected):
+            if server_id in preferred or (instance.lifecycle != READY and server_id in self._selected):
                 selected.append(instance)
             elif server_id in self._selected and self._has_calls(server_id):
                 selected.append(msgspec.structs.replace(instance, lifecycle=DRAINING))
@@ -62,7 +64,7 @@
         return selected
 
     def senders(self, cell: int, proxies: int) -> int | None:
-        """How many of the proxies share a server of this cell, at most; None: all do."""
+        """Return the maximum number of proxies that share a server of this cell; None if all do."""
         if not self._servers_per_class:
             return None
         return max_sharers(
@@ -70,13 +72,13 @@
         )
 
     def ready_per_selected(self) -> float:
-        """Ready servers in the list, divided by those of them in the subset; at least 1."""
+        """Return the number of ready servers in the list divided by those in the subset; at least 1."""
         ready = self._ready()
         selected = sum(instance.instance_id in self._selected for instance in ready)
         return max(1.0, len(ready) / selected) if selected else 1.0
 
     def can_release_endpoints(self) -> bool:
-        """Whether ``select`` would drop a server that has left the subset and now has no calls of ours."""
+        """Return whether ``select`` would drop a server that has left the subset and has no more calls."""
         return any(
             self.is_listed(server_id)
             and self._listed[server_id].lifecycle == READY
@@ -85,7 +87,7 @@
         )
 
     def is_listed(self, server_id: str) -> bool:
-        """Whether the endpoint list names it, in the subset or not."""
+        """Return whether the endpoint list contains the server, in the subset or not."""
         return server_id in self._listed
 
     def _select_subset(self) -> set[str]:
--- a/canvasplank/fleet/extension.py
+++ b/canvasplank/fleet/extension.py
@@ -9,7 +9,7 @@
 
 
 def load(path: str) -> ExtensionFactory:
-    """Read the fleet's configuration file and return a factory of the extension; see ``load_fleet_settings``."""
+    """Return a factory of the extension with the settings in the file; see ``load_fleet_settings``."""
     settings = load_fleet_settings(path)
     return lambda context: FleetExtension(context, settings)
 
--- a/canvasplank/fleet/schema.py
+++ b/canvasplank/fleet/schema.py
@@ -1,6 +1,6 @@
-"""The fleet's tables and statements, and the mapping of ``FleetState`` from and to them.
+"""The fleet's tables and SQL statements, and the mapping between their rows and ``FleetState``.
 
-The SQL is that of both engines: see ``database.migrations``.
+The same SQL is used for both database engines: see ``database.migrations``.
 """
 
 from __future__ import annotations
@@ -16,7 +16,8 @@
 
 LOG = logging.getLogger(__name__)
 
-CONTENT_FORMAT = 1  # of ``fleet_member.content``; a member in another form is left unchanged
+# The format of ``fleet_member.content``, stored in the column ``form``; rows in other formats stay unchanged.
+CONTENT_FORMAT = 1
 
 SCHEMA = Schema(
     "fleet_schema_version",
@@ -34,7 +35,7 @@
         ),
     ),
 )
-# Each transaction locks this row first, so that there is one at a time.
+# Each transaction locks this row first, so that transactions are executed one at a time.
 LOCK_STATE = "SELECT next_incarnation FROM fleet_state WHERE id = 1 FOR UPDATE"
 SELECT_MEMBERS = "SELECT incarnation, name, seq, form, content FROM fleet_member ORDER BY incarnation"
 SELECT_TASKS = "SELECT task, term, owner, failures, failed_by FROM fleet_task ORDER BY task"
@@ -51,8 +52,8 @@
     "ON CONFLICT (task) DO UPDATE SET term = excluded.term, owner = excluded.owner, "
     "failures = excluded.failures, failed_by = excluded.failed_by"
 )
-# The first statement of each effect.  It writes, so that the task's row stays locked until the commit; it
-# updates no row where the token's term has ended.
+# The first statement of each fenced transaction.  It writes, so that the task's row stays locked until the
+# commit; it updates no row if the token's term has ended.
 FENCE = (
     "UPDATE fleet_task SET acts = acts + 1 WHERE task = CAST($1 AS text) AND term = CAST($2 AS bigint) "
     "AND owner = CAST($3 AS bigint)"
@@ -60,7 +61,7 @@
 
 
 class MemberContent(msgspec.Struct, frozen=True):
-    """The column ``fleet_member.content``, as JSON.  Unknown keys, of a newer version, are ignored."""
+    """The JSON document in ``fleet_member.content``.  Unknown keys, from a newer version, are ignored."""
 
     max_members: int = msgspec.field(name="most")
     lease_ms: float
@@ -81,7 +82,7 @@
 
 
 class StateReader:
-    """Decodes the fleet's state; logs once each member that this version cannot read."""
+    """Decodes the fleet's state; logs only once for each member that this version cannot read."""
 
     def __init__(self) -> None:
         self._logged_unreadable: set[int] = set()
@@ -89,13 +90,13 @@
     def read(
         self, next_incarnation: int, member_rows: Iterable[MemberRow], task_rows: Iterable[TaskRow]
     ) -> FleetState:
-        """The state from the rows that one transaction read."""
+        """Return the state from the rows that one transaction read."""
         members: dict[int, Member] = {}
         unreadable: list[int] = []
         for incarnation, name, seq, form, text in member_rows:
             try:
                 if form != CONTENT_FORMAT:
-                    raise msgspec.ValidationError(f"form {form}")
+                    raise msgspec.ValidationError(f"unknown form {form}")
                 content = msgspec.json.decode(text, type=MemberContent)
             except msgspec.MsgspecError as error:
                 unreadable.append(incarnation)
@@ -121,8 +122,8 @@
         if incarnation not in self._logged_unreadable:
             self._logged_unreadable.add(incarnation)
             LOG.warning(
-                "fleet: the row of %s (%d) cannot be read and is left alone, and no share grows "
-                "while it is there: %s",
+                "fleet: the row of member %s (incarnation %d) cannot be read and is not changed; "
+                "no share grows while it exists: %s",
                 name,
                 incarnation,
                 error,
@@ -130,7 +131,7 @@
 
 
 def diff_statements(before: FleetState, after: FleetState) -> Iterator[Statement]:
-    """The statements that bring the store from one state to the other."""
+    """Yield the statements that change the stored state from ``before`` to ``after``."""
     if after.next_incarnation != before.next_incarnation:
         yield Statement(UPDATE_NEXT_INCARNATION, (after.next_incarnation,))
     for incarnation in before.members.keys() - after.members.keys():
--- a/canvasplank/fleet/state.py
+++ b/canvasplank/fleet/state.py
@@ -1,7 +1,7 @@
-"""The fleet's state as the store holds it: members with their allocations, and tasks.
+"""The fleet's stored state: members with their allocations, and tasks.
 
-Rates are whole thousandths of a unit a second, so that dividing a total creates nothing by rounding.  Stored
-keys differ from the names of some fields: see ``name=``.
+Rates are integers, in thousandths of a unit per second, so that rounding cannot make quotas exceed a total.
+Some fields have another name in the database, given by ``name=``.
 """
 
 from __future__ import annotations
@@ -13,42 +13,42 @@
 
 
 class Allocation(msgspec.Struct, frozen=True):
-    """One member's allocation of one budget, in thousandths of a unit a second."""
+    """One member's allocation of one budget, in thousandths of a unit per second."""
 
-    # What the fleet may use together, by this member's configuration.
+    # The limit of the whole fleet, by this member's configuration.
     total: int = msgspec.field(name="whole")
-    reserve: int  # of the total, for proxies without a lease
-    held: int  # the largest share that it may be using now
-    demand: int | None = None  # None: not known yet
+    reserve: int  # the part of the total that is reserved for proxies without a lease
+    held: int  # the largest share that the member may be using now
+    demand: int | None = None  # None if not known yet
 
 
 class Task(msgspec.Struct, frozen=True):
-    """A task that one process owns at a time; its term grows with each new owner and never falls."""
+    """A task that one process at a time owns; its term increases with each new owner and never decreases."""
 
     term: int = 0
-    owner: int | None = None  # an incarnation, which may not be a member any more
+    owner: int | None = None  # the owner's incarnation, even if it is no longer a member
     failures: int = 0  # in a row
-    failed_by: int | None = None  # the incarnation that failed last
+    failed_by: int | None = None  # the incarnation that was the last to fail
 
 
 class Member(msgspec.Struct, frozen=True):
-    """One process of the fleet: one start of a proxy or a worker."""
+    """One process of the fleet, a proxy or a worker; it gets a new incarnation whenever it joins."""
 
-    incarnation: int  # from a counter in the store: unique, also among starts under one name
-    name: str  # for operators; several members may have it
-    seq: int  # of its newest request that was applied
-    max_members: int  # processes that may run at once, by its configuration
-    lease_ms: float  # the duration of its leases
+    incarnation: int  # from a counter in the store: unique, even among processes of the same name
+    name: str  # for operators; not unique
+    seq: int  # of the newest applied request
+    max_members: int  # the maximum number of processes at once, by this member's configuration
+    lease_ms: float  # the duration of this member's leases
     allocations: Mapping[str, Allocation]  # by budget
-    capabilities: tuple[str, ...] = ()  # tasks that it can own
-    sees_discovery: bool = False  # service discovery sends it events
+    capabilities: tuple[str, ...] = ()  # tasks that this member can own
+    sees_discovery: bool = False  # whether service discovery sends events to this member
 
 
 @dataclass(slots=True)
 class FleetState:
-    """The fleet as one transaction sees it."""
+    """The fleet's state as one transaction reads it."""
 
     members: dict[int, Member] = field(default_factory=dict)  # by incarnation
     next_incarnation: int = 1
-    unreadable: tuple[int, ...] = ()  # incarnations stored in a form that this version does not know
+    unreadable: tuple[int, ...] = ()  # incarnations whose rows this version cannot read
     tasks: dict[str, Task] = field(default_factory=dict)  # by name
--- a/canvasplank/fleet/task_leadership.py
+++ b/canvasplank/fleet/task_leadership.py
@@ -1,7 +1,8 @@
-"""The tasks that a process owns, would take over, or has failed at.  No I/O and no clock.
+"""The tasks that a process owns, is ready to own, or has failed to run.
 
-Ownership here is a belief that may be out of date, since a process may be stopped at any point: it serves to
-choose what to try.  The store decides by the term whether an effect is carried out (``FencingToken``).
+This module does no I/O and reads no clock.  The ownership recorded here may be out of date, since a process
+may be suspended at any point; it only determines which tasks the process tries to run.  The store decides by
+the term whether an effect is executed (``FencingToken``).
 """
 
 from __future__ import annotations
@@ -14,7 +15,8 @@
 from canvasplank.fleet.lease_messages import LeaseResponse
 from canvasplank.fleet.state import Task
 
-BACKOFF_MS, MAX_BACKOFF_MS = 500.0, 60_000.0  # before a failed task is taken over, doubling with each failure
+# The wait before a failed task may be taken over; it doubles with each failure up to the maximum.
+BACKOFF_MS, MAX_BACKOFF_MS = 500.0, 60_000.0
 
 
 class TaskRequestFields(TypedDict):
@@ -27,7 +29,7 @@
 
 
 class ObservedFailures(NamedTuple):
-    """The failures of a task as last seen, and from when on it may be taken over, in ms."""
+    """The last seen number of failures of a task, and the time from which the task may be taken over."""
 
     failures: int
     ready_at_ms: float
@@ -38,26 +40,26 @@
 
 
 class TaskLeadership:
-    """One process's view of the tasks that it can own: ``capabilities``."""
+    """One process's view of its ``capabilities``, the tasks that it can own."""
 
     def __init__(self, capabilities: Iterable[str], rng: random.Random) -> None:
         self.capabilities = tuple(sorted(capabilities))
         self._rng = rng
         self._incarnation: int | None = None
-        self._terms: dict[str, int] = {}  # of the tasks that it owns
-        self._given_up: set[str] = set()  # failed here, and not yet released by a response
-        self._done: set[str] = set()  # succeeded since the last response
+        self._terms: dict[str, int] = {}  # by owned task
+        self._given_up: set[str] = set()  # tasks that failed here and that the store has not released yet
+        self._done: set[str] = set()  # tasks that succeeded since the last response
         self._observed_failures: dict[str, ObservedFailures] = {}  # by task
 
     def on_response(self, response: LeaseResponse, now_ms: float) -> None:
-        """Take over the ownership that the response to the newest request shows."""
+        """Apply the ownership and the failures in the response to the newest request."""
         self._incarnation = response.incarnation
         self._terms = {
             name: task.term
             for name, task in response.tasks.items()
             if task.owner == self._incarnation and self._incarnation is not None
         }
-        self._given_up &= self._terms.keys()  # reported, and no longer owned
+        self._given_up &= self._terms.keys()  # drop the tasks that the store has released
         self._done.clear()
         for name, task in response.tasks.items():
             if self._observed_failures.get(name, NOT_OBSERVED).failures != task.failures:
@@ -72,7 +74,7 @@
         return max_ms * self._rng.uniform(0.5, 1.0)
 
     def tokens(self) -> list[FencingToken]:
-        """The fencing tokens of the tasks that it owns, sorted by task, without those given up."""
+        """Return the fencing tokens of the owned tasks that are not given up, sorted by task."""
         return [
             FencingToken(name, term, self._incarnation)
             for name, term in sorted(self._terms.items())
@@ -80,12 +82,12 @@
         ]
 
     def ready(self, now_ms: float) -> dict[str, int]:
-        """The tasks that it would take over now, with the failures that it knows of each."""
+        """Return the tasks that this process would take over now, each with its last seen failure count."""
         observed = {name: self._observed_failures.get(name, NO_FAILURES) for name in self.capabilities}
         return {name: each.failures for name, each in observed.items() if each.ready_at_ms <= now_ms}
 
     def request_fields(self, now_ms: float) -> TaskRequestFields:
-        """The fields that concern tasks, for the next request."""
+        """Return the fields of the next request that concern tasks."""
         return {
             "capabilities": self.capabilities,
             "ready": self.ready(now_ms),
@@ -94,15 +96,15 @@
         }
 
     def succeeded(self, token: FencingToken) -> None:
-        """A step of the token's task succeeded; reported with the next request."""
+        """Record a success of the token's task, to be reported with the next request."""
         self._done.add(token.task)
 
     def failed(self, token: FencingToken) -> None:
-        """A step of the token's task failed here: give it up, so that another process tries it."""
+        """Give up the token's task, which failed here, so that another process tries it."""
         if self._terms.get(token.task) == token.term:
             self._given_up.add(token.task)
 
     def on_stale(self, token: FencingToken) -> None:
-        """The store refused an effect since the token's term has ended: it does not own the task."""
+        """Stop owning the token's task, since the store rejected an effect: the term has ended."""
         if self._terms.get(token.task) == token.term:
             del self._terms[token.task]
--- a/tests/test_fleet_store.py
+++ b/tests/test_fleet_store.py
@@ -104,7 +104,7 @@
             assert (await one.read_state()).unreadable == (99,)
 
     asyncio.run(run())
-    assert sum("cannot be read and is left alone" in r.getMessage() for r in caplog.records) == 1
+    assert sum("cannot be read and is not changed" in r.getMessage() for r in caplog.records) == 1
 
 
 def test_a_process_stopped_within_a_transaction_holds_the_lock_no_longer_than_its_limit(tmp_path):
