--- a/canvasplank/fleet/backend.py
+++ b/canvasplank/fleet/backend.py
@@ -27,7 +27,7 @@
     """The token's term has ended, so the store did not execute any of the statements."""
 
     def __init__(self, token: FencingToken) -> None:
-        super().__init__(f"term {token.term} of {token.task} is over")
+        super().__init__(f"term {token.term} of task {token.task} has ended")
 
 
 class Backend(Protocol):
--- a/canvasplank/worker/__init__.py
+++ b/canvasplank/worker/__init__.py
@@ -1,1 +1,1 @@
-"""The worker process: tasks that one leader at a time runs for the fleet."""
+"""The worker process, which runs the fleet's tasks; each task has one leader at a time."""
--- a/canvasplank/worker/export_files.py
+++ b/canvasplank/worker/export_files.py
@@ -1,4 +1,4 @@
-"""Export files of the usage ledger: published atomically and once, with the same bytes whoever writes them.
+"""Export files of the usage ledger, published atomically and only once; every writer writes the same bytes.
 
 A hidden partial file is written and synced, then linked under its final name.  A link never replaces an
 existing file, so a former leader that resumes late cannot restore an old file.
@@ -20,36 +20,38 @@
 
 
 class ExportError(Exception):
-    """Root of the errors of an export."""
+    """Base class of the errors of an export."""
 
 
 class ExportFolderError(ExportError):
-    """The export folder cannot be used; the message gives the reason in one line."""
+    """The export folder cannot be used; the message gives the reason on one line."""
 
 
 class ExportConflictError(ExportError):
-    """An export file exists with other content, which no worker has written."""
+    """An export file exists with other content, which no worker can have written."""
 
 
 def claim_folder(folder: Path) -> None:
     """Mark an empty folder as the export folder, or check that it is marked and writable.
 
-    Raises ``ExportFolderError``; a folder that holds other files is never written to.
+    Nothing is written to an unmarked folder that contains files.  Raises ``ExportFolderError``.
     """
     try:
         names = {path.name for path in folder.iterdir()}
         if FOLDER_MARKER not in names:
             if names:
-                raise ExportFolderError(f"{folder} holds what is not ours: {min(names)}")
+                raise ExportFolderError(
+                    f"{folder} is not an export folder and contains other files: {min(names)}"
+                )
             (folder / FOLDER_MARKER).write_text("exports of the usage ledger\n")
         if not os.access(folder, os.W_OK):
-            raise ExportFolderError(f"{folder} cannot be written to")
+            raise ExportFolderError(f"{folder} is not writable")
     except OSError as error:
         raise ExportFolderError(f"{folder}: {error.strerror}") from error
 
 
 def to_csv(sums: Sequence[UsageSum], period_ms: int) -> bytes:
-    """The sums as CSV with a header line; ``period_start`` is an ISO 8601 time in UTC."""
+    """Encode the sums as CSV with a header line; ``period_start`` is an ISO 8601 time in UTC."""
     text = io.StringIO(newline="")
     writer = csv.writer(text, lineterminator="\n")
     writer.writerow(COLUMNS)
@@ -61,7 +63,7 @@
 
 
 def to_parquet(sums: Sequence[UsageSum], period_ms: int) -> bytes:
-    """The sums as Parquet with the same columns; pyarrow is imported only here."""
+    """Encode the sums as Parquet with the same columns as the CSV; pyarrow is imported only here."""
     import pyarrow
     from pyarrow import parquet
 
@@ -77,7 +79,7 @@
 
 
 def publish(folder: Path, name: str, content: bytes, pause_point: Callable[[str], None]) -> bool:
-    """Publish the file durably; False if it exists already with the same content.
+    """Publish the file durably; returns False if it already exists with the same content.
 
     ``pause_point`` is called between the write and the link (see ``task_runner.pause_at``).  Raises
     ``ExportConflictError`` if the file exists with other content.
@@ -92,7 +94,7 @@
         os.link(partial, folder / name)
     except FileExistsError:
         if (folder / name).read_bytes() != content:
-            raise ExportConflictError(f"{folder / name} is there with other content") from None
+            raise ExportConflictError(f"{folder / name} already exists with other content") from None
         return False
     finally:
         partial.unlink(missing_ok=True)
@@ -105,6 +107,9 @@
 
 
 def remove_partial_files(folder: Path) -> None:
-    """Remove the partial files of killed writers; a writer that is still alive writes its own again."""
+    """Remove the partial files of killed writers.
+
+    If a writer is still alive, its publication fails and the export is retried.
+    """
     for path in folder.glob(".usage-*"):
         path.unlink(missing_ok=True)
--- a/canvasplank/worker/task_runner.py
+++ b/canvasplank/worker/task_runner.py
@@ -1,8 +1,8 @@
-"""The process that runs the fleet's tasks: ``canvasplank worker``.
+"""The worker process, which runs the fleet's tasks (``canvasplank worker``).
 
-It is a member of the fleet like a proxy, without budgets, and leads tasks under fencing tokens.  Every
-transaction for a task names its token: the store rejects it once the term has ended, whatever this process
-still believes.
+A worker is a member of the fleet without budgets, and leads tasks under fencing tokens.  Every transaction of
+a task carries its token: the store rejects the transaction once the term has ended, even if this process does
+not know that yet.
 """
 
 from __future__ import annotations
@@ -34,19 +34,19 @@
 
 LOG = logging.getLogger(__name__)
 MS_PER_S = 1000.0
-HANDOVER_TIMEOUT_S = 1.0  # bound on leaving the fleet at the end
-CLOSE, EXPORT, RETAIN = TASKS = ("close", "export", "retain")  # stored names of the fleet's tasks
+HANDOVER_TIMEOUT_S = 1.0  # for leaving the fleet at shutdown
+CLOSE, EXPORT, RETAIN = TASKS = ("close", "export", "retain")  # the names of the tasks in the database
 
 
 def pause_at(point: str) -> None:
-    """Stop the process (SIGSTOP) if ``CANVASPLANK_PAUSE`` names this point: for tests and experiments."""
+    """Suspend the process (SIGSTOP) if ``CANVASPLANK_PAUSE`` names this point; for tests and experiments."""
     if os.environ.get("CANVASPLANK_PAUSE") == point:
         log_event(LOG, "worker.paused", point=point)
         os.kill(os.getpid(), signal.SIGSTOP)
 
 
 class TaskRunner:
-    """Polls the tasks that this process leads, and runs what is due."""
+    """Runs the due work of the tasks that this process leads."""
 
     def __init__(self, fleet: FleetSettings, settings: WorkerSettings, name: str, seed: int) -> None:
         self._settings = settings
@@ -62,10 +62,10 @@
             RETAIN: self._retain,
         }
         self._stop_requested = asyncio.Event()
-        self._last_closing_ms = float("-inf")  # of this process, by the monotonic clock
+        self._last_closing_ms = float("-inf")  # this process's last closing, by the monotonic clock
 
     async def run(self) -> None:
-        """Run until SIGTERM or SIGINT; then hand all tasks over at once."""
+        """Run tasks until SIGTERM or SIGINT, then leave the fleet so that others take over the tasks."""
         loop = asyncio.get_running_loop()
         for number in (signal.SIGTERM, signal.SIGINT):
             loop.add_signal_handler(number, self._stop_requested.set)
@@ -80,7 +80,7 @@
         await self._backend.close()
 
     async def _run_task(self, token: FencingToken) -> None:
-        """Run a task once, and report its success or failure to the task leadership."""
+        """Run the due work of a task, and report success or failure to the task leadership."""
         leadership = self._renewer.leadership
         try:
             if not self._connected:
@@ -88,14 +88,14 @@
             progressed = await self._handlers[token.task](token)
         except StaleTermError as error:
             leadership.on_stale(token)
-            log_event(LOG, "worker.refused", text=f"refused: {error}", task=token.task, term=token.term)
+            log_event(LOG, "worker.refused", text=f"rejected: {error}", task=token.task, term=token.term)
         except (StoreUnavailableError, TimeoutError) as error:
-            # Not a failure of the task: another worker could not reach the store either.
+            # The task is not given up, since another worker could not reach the store either.
             self._connected = False
             log_event(
                 LOG,
                 "worker.waits",
-                text=f"{token.task}: the store does not answer: {error}",
+                text=f"{token.task}: the store is unavailable: {error}",
                 task=token.task,
             )
         except (StoreRefusedError, ExportError, WorkerThreadBusyError, OSError) as error:
@@ -103,7 +103,7 @@
             log_event(
                 LOG,
                 "worker.failed",
-                text=f"{token.task} failed here and is given up: {error}",
+                text=f"{token.task}: failed and given up: {error}",
                 task=token.task,
                 term=token.term,
             )
@@ -118,10 +118,10 @@
             await self._backend.migrate(schema)
         self._connected = True
 
-    # ------------------------------------------------------------------------------------ the tasks
+    # ------------------------------------------------------------------------------------ tasks
 
     async def _close(self, token: FencingToken) -> bool:
-        """Close the next period of the ledger if it is due and has records; whether it did."""
+        """Close the next period of the ledger if it is due and has records; returns whether it did."""
         settings = self._settings
         [(found,)] = await self._backend.read(usage_ledger.SELECT_LAST_CLOSING)
         last = None if found is None else int(found)
@@ -146,7 +146,7 @@
         return True
 
     async def _export(self, token: FencingToken) -> bool:
-        """Publish the files of every closing that is not marked as exported; whether there was one."""
+        """Publish the files of all closings not marked as exported; returns whether there were any."""
         unexported = await self._backend.read(usage_ledger.SELECT_UNEXPORTED)
         for (number,) in unexported:
             sums = [
@@ -169,7 +169,7 @@
             export_files.publish(self._folder, f"usage-{number}.{format_name}", content, pause_at)
 
     async def _retain(self, token: FencingToken) -> bool:
-        """Delete counted and exported records older than the retention time; whether there were any."""
+        """Delete exported records older than the retention time; returns whether there were any."""
         before_ms = int(time.time() * MS_PER_S - self._settings.retention_ms)
         [(expired,)] = await self._backend.read(usage_ledger.COUNT_EXPIRED, (before_ms,))
         if not int(expired):
@@ -182,6 +182,6 @@
 
 
 def _pause_after(statements: Iterator[Statement], point: str) -> Iterator[Statement]:
-    """The statements, then a pause point before their commit."""
+    """Yield the statements, then pause at the point, which is before their commit."""
     yield from statements
     pause_at(point)
--- a/canvasplank/worker/usage_ledger.py
+++ b/canvasplank/worker/usage_ledger.py
@@ -1,8 +1,8 @@
-"""The usage ledger in SQL: calls by member, class and final answer in each period, closed once.
+"""The usage ledger in SQL: the numbers of calls by tenant, class and final answer in each period.
 
-A closing claims every unclaimed record of a call taken before the end of its period, counts one record per
-call, and inserts the sums under the records' own periods.  A sum of a period that an earlier closing has
-closed is a correction.
+Each period is closed once.  The closing claims all unclaimed records of calls taken before the end of the
+period, counts one record per call, and inserts the sums under the periods in which the calls were taken.  A
+sum for a period that an earlier closing has closed is a correction.
 """
 
 from __future__ import annotations
@@ -40,7 +40,7 @@
 _INSERT_CLOSING = (
     "INSERT INTO usage_closing (closed_in, term) VALUES (CAST($1 AS bigint), CAST($2 AS bigint))"
 )
-# An unserved call may be repeated: its record is claimed only once the repeat window has passed.
+# A caller may repeat an unserved call, so its record is claimed only after the repeat window.
 _CLOSABLE = (
     "closed_in IS NULL AND taken_ms < CAST({before} AS bigint) - CASE WHEN final = 'served' "
     "OR number IS NULL THEN 0 ELSE CAST({repeat} AS bigint) END"
@@ -49,8 +49,8 @@
     "UPDATE call_outcome SET closed_in = CAST($1 AS bigint), counted = 0 WHERE "
     + _CLOSABLE.format(before="$2", repeat="$3")
 )
-# One record per call: one that an earlier closing has counted remains; else one that was served, else the
-# earliest, else that of the instance whose name sorts first.
+# Counts one record per call.  A record that an earlier closing has counted takes precedence; then come served
+# records, then earlier ones, then those of the instance whose name sorts first.
 _SERVED_RANK = "(CASE WHEN {0}.final = 'served' THEN 0 ELSE 1 END)"
 _OTHER_RANK, _OWN_RANK = _SERVED_RANK.format("other"), _SERVED_RANK.format("call_outcome")
 _COUNT_ONE_PER_CALL = (
@@ -62,8 +62,8 @@
     "other.taken_ms < call_outcome.taken_ms "
     "OR other.taken_ms = call_outcome.taken_ms AND other.instance < call_outcome.instance))))"
 )
-# A caller's repeats are one call, counted with its last attempt: neither an unserved attempt that was
-# repeated counts, nor a repeat of an attempt that an earlier closing has counted.
+# A call and the caller's repeats of it count as one call, with the last attempt.  An unserved attempt that was
+# repeated does not count, nor does a repeat of an attempt that an earlier closing has counted.
 _SAME_CALLER = (
     "other.number = call_outcome.number AND other.class_name = call_outcome.class_name "
     "AND COALESCE(other.member, '') = COALESCE(call_outcome.member, '') "
@@ -101,36 +101,36 @@
 
 
 class UsageSum(msgspec.Struct, frozen=True):
-    """One row of ``usage_sum``: the calls of one member and class with one final answer in one period."""
+    """One row of ``usage_sum``: the calls of one tenant and class with one final answer in one period."""
 
-    period: int  # the period starts this many periods after the Unix epoch
+    period: int  # the number of periods from the Unix epoch to the start of this one
     member: str
     class_name: str
     final: str
-    correction: int  # 1 if an earlier closing has closed the period, else 0
+    correction: int  # 1 if an earlier closing had already closed the period, else 0
     calls: int
 
 
 def newest_closable_period(now_ms: float, period_ms: int, grace_ms: float) -> int:
-    """The newest period whose grace has passed, by the leader's own clock (Unix milliseconds)."""
+    """Return the newest period whose grace time has passed, by the leader's clock in Unix milliseconds."""
     return int((now_ms - grace_ms) // period_ms) - 1
 
 
 class Closing(NamedTuple):
     """A closing of the ledger."""
 
-    number: int  # that of its period, unless the clocks of two leaders disagree (see ``next_closing``)
-    before_ms: int  # it claims the records of calls taken before this Unix time
+    number: int  # the number of its period, unless the clocks of two leaders differ (see ``next_closing``)
+    before_ms: int  # the closing claims the records of calls taken before this Unix time
 
 
 def next_closing(
     now_ms: float, period_ms: int, grace_ms: float, last: int | None, overdue: bool
 ) -> Closing | None:
-    """The closing that is due now, if any, after closing number ``last``.
+    """Return the closing that is due now after closing number ``last``, or None.
 
-    If ``last`` is the number of a period that by this clock has not ended, the clock of the leader that
-    closed it was ahead of this one.  The records since are then closed under the next number, once
-    ``overdue``: one period after this process's own last closing.  Otherwise they would wait for as long as
+    If ``last`` is later than the newest closable period by this clock, the clock of the leader that made that
+    closing was ahead.  The records since then are closed under the next number once ``overdue`` is set, which
+    is one period after this process's own last closing.  Otherwise those records would wait for as long as
     that clock was ahead.
     """
     period = newest_closable_period(now_ms, period_ms, grace_ms)
@@ -143,7 +143,7 @@
 def closing_statements(
     closing: Closing, period_ms: int, repeat_ms: int, last_closed: int | None, term: int
 ) -> Iterator[Statement]:
-    """The statements of a closing; if one of this number exists, the first violates its key."""
+    """Yield the statements of a closing; the first violates the primary key if the number is in use."""
     yield Statement(_INSERT_CLOSING, (closing.number, term))
     yield Statement(_CLAIM_RECORDS, (closing.number, closing.before_ms, repeat_ms))
     yield Statement(_COUNT_ONE_PER_CALL, (closing.number,))
@@ -154,10 +154,10 @@
 
 
 def mark_exported_statements(number: int, term: int) -> Iterator[Statement]:
-    """The statement that records that a closing's files are published."""
+    """Yield the statement that marks a closing as exported."""
     yield Statement(_MARK_EXPORTED, (term, number))
 
 
 def retention_statements(before_ms: int) -> Iterator[Statement]:
-    """The statement that deletes counted and exported records of calls taken before this Unix time."""
+    """Yield the statement that deletes exported records of calls taken before this Unix time."""
     yield Statement(_DELETE_EXPIRED, (before_ms,))
--- a/tests/fleet_members.py
+++ b/tests/fleet_members.py
@@ -1,4 +1,4 @@
-"""Members of a fleet in memory, for tests of leases."""
+"""Members of a fleet whose state is in memory, for tests of leases."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def join(*names, state=None):
-    """The state of a fleet with these members, and their holders, each having received its response."""
+    """Return the state of a fleet that these members have joined, and their lease holders."""
     state = state or FleetState()
     holders = []
     for name in names:
@@ -23,12 +23,12 @@
 
 
 def renew(state, holder, now_ms=0.0, expired=(), **demands):
-    """One request of a member, and the response that it receives."""
+    """Send one request of a member; returns the state and the response, which the member has received."""
     state, response = lease_transaction.apply(state, holder.next_request(now_ms, demands, expired))
     holder.on_response(response)
     return state, response
 
 
 def total_held(state):
-    """The sum of the shares that members hold of the budget."""
+    """Return the sum of the members' shares of the budget."""
     return sum(member.allocations["b"].held for member in state.members.values())
--- a/tests/test_export_files.py
+++ b/tests/test_export_files.py
@@ -44,7 +44,9 @@
 
     def test_a_folder_with_other_files_is_never_written_to(self, tmp_path):
         (tmp_path / "somebody's").touch()
-        with pytest.raises(export_files.ExportFolderError, match="holds what is not ours"):
+        with pytest.raises(
+            export_files.ExportFolderError, match="not an export folder and contains other files"
+        ):
             export_files.claim_folder(tmp_path)
         with pytest.raises(export_files.ExportFolderError, match="No such file"):
             export_files.claim_folder(tmp_path / "nowhere")
--- a/tests/test_task_leadership.py
+++ b/tests/test_task_leadership.py
@@ -29,7 +29,7 @@
         one, other = Candidate("a", "x"), Candidate("b", "x")
         state = other.renew(one.renew(FleetState()))
         state, response = lease_transaction.apply(state, other.lease_holder.next_request(0.0, {}))
-        state = other.renew(state, dead=response.heartbeats[:1])
+        state = other.renew(state, expired=response.heartbeats[:1])
         assert other.terms == {"x": 2} and one.terms == {"x": 1}, "the old one believes it still"
         state = one.renew(state)
         assert not one.terms and one.renew(state).tasks["x"].owner == other.lease_holder.incarnation
@@ -78,8 +78,10 @@
                     candidate.leadership.failed(
                         FencingToken(task, candidate.terms[task], candidate.lease_holder.incarnation)
                     )
-                dead = [heartbeat for heartbeat in lease_transaction._heartbeats(state) if rng.random() < 0.1]
-                state = candidate.renew(state, now_ms=step * 1e5, dead=dead)
+                expired = [
+                    heartbeat for heartbeat in lease_transaction._heartbeats(state) if rng.random() < 0.1
+                ]
+                state = candidate.renew(state, now_ms=step * 1e5, expired=expired)
                 for name, task in state.tasks.items():
                     assert task.term >= terms[name]
                     terms[name] = task.term
--- a/tests/test_usage_ledger.py
+++ b/tests/test_usage_ledger.py
@@ -109,7 +109,7 @@
                 token = await lead_closing(fleet)
                 await store.write([self.record(1, 500)])
                 stale = token._replace(term=token.term - 1)
-                with pytest.raises(StaleTermError, match="term 0 of close is over"):
+                with pytest.raises(StaleTermError, match="term 0 of task close has ended"):
                     await fleet.execute_fenced(
                         stale,
                         usage_ledger.closing_statements(Closing(0, 1000), 1000, 300, None, stale.term),
--- a/tests/test_worker_processes.py
+++ b/tests/test_worker_processes.py
@@ -148,9 +148,9 @@
     [
         ("period_ms = 0", "Expected `int` >= 100"),
         ("period_ms = 1.5", "Expected `int`"),
-        ("formats = []", "names none"),
+        ("formats = []", "formats is empty"),
         ('formats = ["xml"]', "Invalid enum value 'xml'"),
-        ("keep_ms = 10.0", "keep_ms is less"),
+        ("keep_ms = 10.0", "keep_ms is less than period_ms"),
         ("folder = ''", "length >= 1"),
     ],
 )
@@ -282,7 +282,7 @@
             (workers.out / "somebody's").touch()
             await store.write(outcomes(0, 10))
             await workers.start("a")
-            await workers.wait_for_log("a", "holds what is not ours")
+            await workers.wait_for_log("a", "is not an export folder and contains other files")
             (workers.out / "somebody's").unlink()
             await all_exported(workers, fleet, 10)
 
--- a/tests/worker_fixtures.py
+++ b/tests/worker_fixtures.py
@@ -1,4 +1,4 @@
-"""What the tests of the fleet's tasks and of the worker share."""
+"""Fixtures shared by the tests of the fleet's tasks and of the worker."""
 
 from __future__ import annotations
 
@@ -42,14 +42,14 @@
 
 
 class Candidate:
-    """A member that leads tasks, as it believes, and its requests to a fleet state in memory."""
+    """A member that can lead tasks; it sends its requests to a fleet state in memory."""
 
     def __init__(self, name, *capabilities):
         self.lease_holder = LeaseHolder(name, {}, LEASE, max_members=8)
         self.leadership = TaskLeadership(capabilities, random.Random(1))
 
-    def renew(self, state, now_ms=0.0, dead=()):
-        request = self.lease_holder.next_request(now_ms, {}, dead)
+    def renew(self, state, now_ms=0.0, expired=()):
+        request = self.lease_holder.next_request(now_ms, {}, expired)
         request = msgspec.structs.replace(request, **self.leadership.request_fields(now_ms))
         state, response = lease_transaction.apply(state, request)
         if self.lease_holder.on_response(response):
@@ -58,12 +58,16 @@
 
     @property
     def terms(self):
+        """The terms of the tasks that the member considers itself to lead."""
         return {token.task: token.term for token in self.leadership.tokens()}
 
 
 @contextlib.asynccontextmanager
 async def database(kind, folder):
-    """On one database: the fleet's settings file, a fleet backend, a store of record, the server if any."""
+    """Yield the fleet's settings file, a fleet backend, a call store and the server, all on one database.
+
+    The server is None for SQLite.
+    """
     server = None
     if kind == "sqlite":
         path, dsn = folder / "shared.db", ""
@@ -87,7 +91,7 @@
 
 
 async def lead_closing(fleet):
-    """A member that leads the closing of the ledger: its token."""
+    """Join a member that leads the task of closing the ledger; returns its fencing token."""
     candidate = Candidate("test", "close")
     request = candidate.lease_holder.next_request(0.0, {})
     response = await fleet.transact(
