--- a/canvasplank/worker/usage_ledger.py
+++ b/canvasplank/worker/usage_ledger.py
@@ -62,8 +62,8 @@
     "other.taken_ms < call_outcome.taken_ms "
     "OR other.taken_ms = call_outcome.taken_ms AND other.instance < call_outcome.instance))))"
 )
-# A call and the caller's repeats of it count as one call, with the last attempt.  An unserved attempt that was
-# repeated does not count, nor does a repeat of an attempt that an earlier closing has counted.
+# A call and the caller's repeats of it count as one call, with the last attempt.  An unserved attempt that
+# was repeated does not count, nor does a repeat of an attempt that an earlier closing has counted.
 _SAME_CALLER = (
     "other.number = call_outcome.number AND other.class_name = call_outcome.class_name "
     "AND COALESCE(other.member, '') = COALESCE(call_outcome.member, '') "
--- a/tests/test_budget_limiter.py
+++ b/tests/test_budget_limiter.py
@@ -1,4 +1,4 @@
-"""Token buckets, demand estimates, and the gate that they delay."""
+"""Tests of token buckets, demand estimates, and the gate that budgets delay."""
 
 from __future__ import annotations
 
@@ -18,14 +18,14 @@
 class TestBudgetLimiter:
     """Token buckets at allowances, and demand estimates."""
 
-    def test_a_pause_past_the_lease_saves_up_nothing_of_the_share(self):
+    def test_a_share_yields_no_tokens_after_its_lease_has_ended(self):
         bucket = TokenBucket(250.0, 0.0)
         bucket.refill(10_000.0, unleased_quota=2_000, share=40_000, until_ms=200.0)
         spent = 0
         while bucket.wait_ms(2_000) == 0:
             bucket.spend()
             spent += 1
-        assert spent == 1, "a unit; a quarter second of two a second is less"
+        assert spent == 1, "the capacity is one unit, since 250 ms at two units per second yield less"
 
     def test_the_rate_and_the_burst_are_bounded(self):
         bucket, spent = TokenBucket(250.0, 0.0), 0
@@ -39,7 +39,7 @@
         for _ in range(10):
             assert bucket.wait_ms(40_000) == 0
             bucket.spend()
-        assert bucket.wait_ms(40_000) == pytest.approx(25.0), "ten units: a quarter of a second"
+        assert bucket.wait_ms(40_000) == pytest.approx(25.0), "the capacity is ten units, those of 250 ms"
 
     def test_without_an_allowance_the_wait_is_infinite(self):
         assert TokenBucket(250.0, 0.0).wait_ms(0) == float("inf")
@@ -61,32 +61,34 @@
     def test_set_ups_that_a_budget_covers(self, kind, subject, tenant, attempt, server, covered):
         assert BudgetScope(BudgetKind(kind), subject).covers(tenant, attempt, server) is covered
 
-    def test_a_unit_of_each_budget_is_taken_or_of_none(self):
+    def test_a_set_up_is_admitted_once_its_budget_has_a_unit(self):
         _, [holder] = join("a")
         limiter = BudgetLimiter(holder, {"b": BudgetScope(BudgetKind.SET_UPS)}, 250.0, 0.0)
         assert not limiter.spend(["b"], 0.0) and limiter.spend(["b"], 100.0)
-        assert limiter.spend([], 100.0), "what no budget covers is free"
+        assert limiter.spend([], 100.0), "a set-up that no budget covers is not limited"
 
-    def test_the_reported_demand_changes_in_steps_and_grows_where_set_ups_wait(self):
+    def test_the_reported_demand_changes_in_steps_and_grows_if_set_ups_wait(self):
         demand = DemandEstimator()
         assert demand.report(0.0, 10_000) is None
 
-        def used(count, now_ms):
+        def report_after(count, now_ms):
             for _ in range(count):
                 demand.record_spent()
             return demand.report(now_ms, 10_000)
 
-        assert used(8, 1000.0) == 10_000
-        assert used(7, 2000.0) == 10_000, "within the band: unchanged"
+        assert report_after(8, 1000.0) == 10_000
+        assert report_after(7, 2000.0) == 10_000, "within the dead band the report is unchanged"
         demand.record_wait()
-        assert used(10, 3000.0) == 20_000
-        assert used(0, 4000.0) == 10_000 and used(0, 5000.0) == 5_000, "down by halves"
+        assert report_after(10, 3000.0) == 20_000
+        assert report_after(0, 4000.0) == 10_000 and report_after(0, 5000.0) == 5_000, (
+            "the report falls by halves"
+        )
 
 
 class TestGate:
-    """The gate takes units; a call that a budget delays is held like any other."""
+    """The gate takes units from budgets, and holds a call that a budget delays."""
 
-    def test_a_call_waits_for_its_budget_and_calls_that_it_does_not_cover_do_not(self):
+    def test_only_calls_covered_by_an_exhausted_budget_wait(self):
         spent = []
 
         def delay(call, attempt, server_id, take):
@@ -102,6 +104,6 @@
         assert not sent_to(actions) and sent_to(others) == ["a"]
         timers = len(g.timers)
         g.advance_to(900)
-        assert len(g.timers) - timers < 12, "it tries again when the budget may admit it, not each tick"
+        assert len(g.timers) - timers < 12, "the call is retried when the budget may admit it, not each tick"
         assert sent_to(g.advance_to(1400)) == ["a"]
         assert spent == [(other_id, 0, "a"), (held_id, 0, "a")]
--- a/tests/test_failure_detector.py
+++ b/tests/test_failure_detector.py
@@ -1,4 +1,4 @@
-"""When a member's lease has expired for the others."""
+"""Tests of the detection of members whose lease has expired."""
 
 from __future__ import annotations
 
@@ -9,9 +9,9 @@
 
 
 class TestFailureDetector:
-    """When others may remove a member."""
+    """When a member is reported as expired."""
 
-    def test_a_member_whose_heartbeat_has_not_changed_for_a_lease_is_expired(self):
+    def test_a_member_is_expired_once_its_heartbeat_is_unchanged_for_a_lease(self):
         detector, expiry_ms = FailureDetector(LEASE), LEASE.expiry_ms(3000.0)
         state, [holder] = join("a")
         [heartbeat] = renew(state, holder)[1].heartbeats
--- a/tests/test_fair_division.py
+++ b/tests/test_fair_division.py
@@ -1,4 +1,4 @@
-"""The fair division of a budget."""
+"""Tests of the fair division of a budget."""
 
 from __future__ import annotations
 
@@ -15,14 +15,14 @@
     """Quotas of a total, by demand."""
 
     @given(st.integers(0, 10**6), DEMANDS)
-    def test_quotas_never_sum_to_more_and_leave_less_than_one_each(self, total, demands):
+    def test_quotas_sum_to_the_total_up_to_less_than_one_unit_each(self, total, demands):
         quotas = divide(total, dict(sorted(demands.items())))
         assert quotas.keys() == demands.keys() and all(quota >= 0 for quota in quotas.values())
         assert sum(quotas.values()) <= total
         assert not demands or total - sum(quotas.values()) < len(demands)
 
     @given(st.integers(1, 10**6), DEMANDS)
-    def test_nobody_gets_less_than_its_demand_up_to_an_even_quota(self, total, demands):
+    def test_each_quota_is_at_least_the_demand_or_an_even_quota(self, total, demands):
         quotas = divide(total, demands)
         even = total // len(demands) if demands else 0
         for key, demand in demands.items():
@@ -34,9 +34,9 @@
             ({}, {}),
             ({1: None}, {1: 60}),
             ({1: None, 2: None}, {1: 30, 2: 30}),
-            ({1: 100, 2: 0, 3: 0}, {1: 56, 2: 2, 3: 2}),  # a saturated one gets what idle ones do not use
+            ({1: 100, 2: 0, 3: 0}, {1: 56, 2: 2, 3: 2}),  # idle members keep only the floor
             ({1: 100, 2: 100, 3: 5}, {1: 27, 2: 28, 3: 5}),
-            ({1: 10, 2: 10, 3: 10}, {1: 20, 2: 20, 3: 20}),  # what nobody demands is spread evenly
+            ({1: 10, 2: 10, 3: 10}, {1: 20, 2: 20, 3: 20}),  # the surplus is spread evenly
         ],
     )
     def test_examples(self, demands, quotas):
--- a/tests/test_fleet_departure.py
+++ b/tests/test_fleet_departure.py
@@ -1,4 +1,4 @@
-"""A proxy that leaves the fleet gives its share back at once, whatever its last request was doing."""
+"""A proxy that leaves the fleet releases its share at once, whatever the state of its last request."""
 
 from __future__ import annotations
 
@@ -15,12 +15,15 @@
 from emulators.postgresql import PostgresqlEmulator
 
 WAIT_S = 20.0
-CLOSE_TIMEOUT_S = 2.0  # what a shutdown leaves to its extensions, about
-MAX_WAITS = 40  # for answers, in one request
+CLOSE_TIMEOUT_S = 2.0  # roughly the time that a shutdown leaves to the extensions
+MAX_WAITS = 40  # suspensions of one request
 
 
 class WaitObserver:
-    """Awaits an operation, and sets an event when the operation waits for the given time, counted from 1."""
+    """Awaits an operation, and sets the event ``reached`` when the operation suspends for the nth time.
+
+    ``number`` is that n, counted from 1.
+    """
 
     def __init__(self, operation, number, reached):
         self._operation, self._number, self._reached = operation, number, reached
@@ -44,7 +47,10 @@
 
 @contextlib.asynccontextmanager
 async def one_member(kind, folder):
-    """A renewer that has joined the fleet, its store's emulator where there is one, and another backend."""
+    """Yield a renewer that has joined the fleet, another backend to read the state, and the emulated store.
+
+    The store is None for SQLite.
+    """
     store = None
     if kind == "postgresql":
         store = PostgresqlEmulator(folder)
@@ -72,8 +78,11 @@
     return [member.name for member in (await reader.read_state()).members.values()]
 
 
-async def closes_in_a_request(kind, folder, number) -> bool:
-    """Close at the request's nth wait, and check that the member has left; False: it waits less often."""
+async def close_during_a_request(kind, folder, number) -> bool:
+    """Close when a request suspends for the nth time, and check that the member has left.
+
+    Returns False if the request suspends less often.
+    """
     async with one_member(kind, folder) as (renewer, reader, _):
         assert await members(reader) == ["a"]
         reached, answered = asyncio.Event(), asyncio.Event()
@@ -93,28 +102,28 @@
         renewer._backend.transact = transact
         was_reached = reached.is_set()
         await renewer.close(CLOSE_TIMEOUT_S)
-        assert await members(reader) == [], f"left amid a request, at its wait {number}"
+        assert await members(reader) == [], f"the proxy left during a request, at its suspension {number}"
         return was_reached
 
 
 @pytest.mark.parametrize("kind", ["sqlite", "postgresql"])
-def test_a_proxy_that_is_stopped_amid_a_request_leaves_the_fleet(kind, tmp_path):
-    """Its share lay idle for a lease, since the interrupted request spoiled the connection."""
+def test_a_proxy_that_is_stopped_during_a_request_leaves_the_fleet(kind, tmp_path):
+    """Otherwise the interrupted request makes the connection unusable, and the share is idle for a lease."""
     number = 1
-    while asyncio.run(closes_in_a_request(kind, folder_of(tmp_path, number), number)):
+    while asyncio.run(close_during_a_request(kind, create_folder(tmp_path, number), number)):
         number += 1
         assert number <= MAX_WAITS
-    assert number > 1, "a request waits at least once"
+    assert number > 1, "a request suspends at least once"
 
 
-def folder_of(tmp_path, number):
+def create_folder(tmp_path, number):
     folder = tmp_path / str(number)
     folder.mkdir()
     return folder
 
 
 def test_a_proxy_that_is_stopped_after_a_failed_request_leaves_the_fleet(tmp_path):
-    """It left only where its connection to the store had outlived the last request."""
+    """The proxy must open a new connection to leave, since the failed request has closed the last one."""
 
     async def run():
         async with one_member("postgresql", tmp_path) as (renewer, reader, store):
--- a/tests/test_fleet_store.py
+++ b/tests/test_fleet_store.py
@@ -1,4 +1,4 @@
-"""The fleet's state in both engines, the renewal loop on it, the command line, and log lines as JSON."""
+"""Tests of the fleet's state in both databases, the renewal loop, the command line, and JSON log lines."""
 
 from __future__ import annotations
 
@@ -43,7 +43,7 @@
 
 @contextlib.asynccontextmanager
 async def opened(kind, folder):
-    """Two backends with the same state, and the emulated PostgreSQL where there is one."""
+    """Yield two backends on the same database, and the emulated PostgreSQL (None for SQLite)."""
     if kind == "sqlite":
         backends = [Sqlite(str(folder / "fleet.db")) for _ in range(2)]
         store = None
@@ -91,11 +91,11 @@
     asyncio.run(run())
 
 
-def test_a_member_in_another_form_is_left_unchanged_and_logged_once(tmp_path, caplog):
+def test_a_member_in_an_unknown_form_is_not_changed_and_logged_once(tmp_path, caplog):
     async def run():
         async with opened("sqlite", tmp_path) as (one, _, _store):
             with contextlib.closing(sqlite3.connect(tmp_path / "fleet.db")) as database:
-                database.execute("INSERT INTO fleet_member VALUES (99, 'newer', 5, 2, 'what it says')")
+                database.execute("INSERT INTO fleet_member VALUES (99, 'newer', 5, 2, 'content')")
                 database.commit()
             member = holder("a")
             for _ in range(3):
@@ -107,13 +107,13 @@
     assert sum("cannot be read and is not changed" in r.getMessage() for r in caplog.records) == 1
 
 
-def test_a_process_stopped_within_a_transaction_holds_the_lock_no_longer_than_its_limit(tmp_path):
-    """A frozen proxy would otherwise block the renewals of the fleet."""
+def test_a_process_suspended_within_a_transaction_holds_the_lock_only_until_the_timeout(tmp_path):
+    """A suspended proxy would otherwise block the renewals of the whole fleet."""
 
     async def run():
         async with opened("postgresql", tmp_path) as (one, other, _):
-            stuck = one._connection.transaction()
-            await stuck.start()
+            open_transaction = one._connection.transaction()
+            await open_transaction.start()
             await one._connection.fetchval("SELECT next_incarnation FROM fleet_state WHERE id = 1 FOR UPDATE")
             async with asyncio.timeout(WAIT_S):
                 start_s = asyncio.get_running_loop().time()
@@ -126,7 +126,7 @@
     asyncio.run(run())
 
 
-def test_a_proxy_has_its_unleased_quota_until_the_store_is_available_and_its_share_then(tmp_path):
+def test_a_proxy_has_only_its_unleased_quota_until_the_store_is_available(tmp_path):
     async def run():
         path = tmp_path / "not yet" / "fleet.db"
         counters = Counters()
@@ -147,7 +147,7 @@
         assert renewer.holder.share("all", renewer._clock()) == 0
         reader = Sqlite(str(path))
         await reader.open()
-        assert not (await reader.read_state()).members, "it has left, and its lease need not expire"
+        assert not (await reader.read_state()).members, "the proxy has left before its lease expired"
         await reader.close()
 
     asyncio.run(run())
@@ -176,16 +176,16 @@
     assert bad.exit_code == 1 and bad.output.count("\n") == 1 and "Error: fleet" in bad.output
 
 
-def test_log_lines_as_json_hold_an_event_and_its_fields(monkeypatch, capsys):
+def test_json_log_lines_contain_an_event_and_its_fields(monkeypatch, capsys):
     import logging
 
     root = logging.getLogger()
     monkeypatch.setattr(root, "handlers", [])
     structured_logging.configure("json")
     structured_logging.log_event(
-        logging.getLogger("x"), "budget.share", text="what people read", budget="all", share=3
+        logging.getLogger("x"), "budget.share", text="readable text", budget="all", share=3
     )
     event = json.loads(capsys.readouterr().err)
-    assert event["event"] == "budget.share" and event["share"] == 3 and event["message"] == "what people read"
+    assert event["event"] == "budget.share" and event["share"] == 3 and event["message"] == "readable text"
     with pytest.raises(ValueError, match="CANVASPLANK_LOG"):
         structured_logging.configure("morse")
--- a/tests/test_lease_transaction.py
+++ b/tests/test_lease_transaction.py
@@ -1,4 +1,4 @@
-"""What one transaction does to the fleet's state."""
+"""Tests of the lease transaction."""
 
 from __future__ import annotations
 
@@ -11,15 +11,15 @@
 
 
 class TestLeaseTransaction:
-    """What one transaction does."""
+    """How requests change the fleet's state."""
 
-    def test_a_new_member_gets_what_the_others_have_reported_as_released(self):
+    def test_a_new_member_gets_only_what_the_others_have_reported_as_released(self):
         state, [first, second] = join("a", "b")
         assert (first.share("b", 0), second.share("b", 0)) == (64_000, 0)
-        state, _ = renew(state, first)  # half is its target, and it uses no more from here on
+        state, _ = renew(state, first)  # from now on it uses no more than its target, which is half
         assert first.share("b", 0) == 32_000
         state, _ = renew(state, second)
-        assert second.share("b", 0) == 0, "not reported yet: the commit of it may still be in flight"
+        assert second.share("b", 0) == 0, "the response that lowers the first share may still be in flight"
         state, _ = renew(state, first)
         state, _ = renew(state, second)
         assert (first.share("b", 0), second.share("b", 0)) == (32_000, 32_000)
@@ -39,7 +39,7 @@
         state, _ = renew(state, second, expired=[heartbeat])
         assert first.incarnation in state.members
 
-    def test_a_removed_member_loses_its_share_and_joins_anew(self):
+    def test_a_removed_member_loses_its_share_and_rejoins(self):
         state, [first, second] = join("a", "b")
         [heartbeat, _] = renew(state, second)[1].heartbeats
         state, _ = renew(state, second, expired=[heartbeat])
@@ -52,9 +52,9 @@
     def test_no_more_than_max_members_join(self):
         _state, holders = join(*(f"n{number}" for number in range(9)))
         assert [holder.incarnation is None for holder in holders] == [False] * 8 + [True]
-        assert holders[-1].allowance("b", 0) == 2_000, "its unleased quota, all the same"
+        assert holders[-1].allowance("b", 0) == 2_000, "a proxy that is not a member has its unleased quota"
 
-    def test_the_smallest_total_and_the_largest_reserve_count_while_configurations_differ(self):
+    def test_the_smallest_total_and_the_largest_reserve_apply_while_configurations_differ(self):
         state, [first] = join("a")
         other = LeaseHolder("b", {"b": BudgetLimits(40_000, 8_000, 8)}, LEASE)
         state, response = lease_transaction.apply(state, other.next_request(0.0, {}))
@@ -69,7 +69,7 @@
         after, response = lease_transaction.apply(state, msgspec.structs.replace(request, in_use=more))
         assert not after.members and response.reason == "the member uses more than it was granted"
 
-    def test_no_share_grows_beside_an_unreadable_member(self):
+    def test_no_share_grows_while_there_is_an_unreadable_member(self):
         _state, [holder] = join("a", state=FleetState(unreadable=(7,)))
         assert holder.incarnation and holder.share("b", 0) == 0
 
--- a/tests/test_task_leadership.py
+++ b/tests/test_task_leadership.py
@@ -1,4 +1,4 @@
-"""Leadership of the fleet's tasks: one leader at a time, terms, hand-over."""
+"""Tests of the leadership of the fleet's tasks: one leader at a time, terms, handover."""
 
 from __future__ import annotations
 
@@ -18,23 +18,23 @@
 
 
 class TestTaskLeadership:
-    """Leaders and terms, by the fleet's state alone."""
+    """Leaders and terms, with the fleet's state in memory."""
 
-    def test_a_task_has_one_leader_and_tasks_are_spread(self):
+    def test_each_task_has_one_leader_and_the_tasks_are_spread(self):
         one, other = Candidate("a", "x", "y"), Candidate("b", "x", "y")
         other.renew(one.renew(FleetState()))
         assert one.terms | other.terms == {"x": 1, "y": 1} and not one.terms.keys() & other.terms.keys()
 
-    def test_a_new_leader_has_a_new_term_once_the_old_one_is_dead(self):
+    def test_a_new_leader_has_a_new_term_once_the_old_one_has_expired(self):
         one, other = Candidate("a", "x"), Candidate("b", "x")
         state = other.renew(one.renew(FleetState()))
         state, response = lease_transaction.apply(state, other.lease_holder.next_request(0.0, {}))
         state = other.renew(state, expired=response.heartbeats[:1])
-        assert other.terms == {"x": 2} and one.terms == {"x": 1}, "the old one believes it still"
+        assert other.terms == {"x": 2} and one.terms == {"x": 1}, "the old leader does not know it yet"
         state = one.renew(state)
         assert not one.terms and one.renew(state).tasks["x"].owner == other.lease_holder.incarnation
 
-    def test_a_leader_that_fails_releases_the_task_and_does_not_regain_it_while_another_can(self):
+    def test_a_leader_that_fails_releases_the_task_to_another_candidate(self):
         one, other = Candidate("a", "x"), Candidate("b", "x")
         state = other.renew(one.renew(FleetState()))
         one.leadership.failed(FencingToken("x", 1, one.lease_holder.incarnation))
@@ -44,14 +44,14 @@
         state = one.renew(state, now_ms=BACKOFF_MS)
         assert not one.terms
         state = other.renew(state, now_ms=10.0)
-        assert not other.terms, "it waits a while from when it saw the failure"
+        assert not other.terms, "the backoff starts when the candidate sees the failure"
         state = other.renew(state, now_ms=10.0 + BACKOFF_MS)
         assert other.terms == {"x": 2}
         other.leadership.succeeded(FencingToken("x", 2, other.lease_holder.incarnation))
         assert other.renew(state, now_ms=20.0 + BACKOFF_MS).tasks["x"].failures == 0
 
-    def test_the_only_candidate_regains_a_task_that_it_failed_at(self):
-        one = Candidate("a", "x", "y")  # that it leads another task must not prevent it
+    def test_the_only_candidate_regains_a_task_that_it_failed(self):
+        one = Candidate("a", "x", "y")  # leading another task must not prevent it
         state = one.renew(FleetState())
         for failures in range(1, 5):
             one.leadership.failed(FencingToken("x", failures, one.lease_holder.incarnation))
@@ -59,7 +59,7 @@
             state = one.renew(state, now_ms=1e6 * failures)
             assert one.terms == {"x": failures + 1, "y": 1} and state.tasks["x"].failures == failures
 
-    def test_a_leader_without_the_capability_hands_over(self):
+    def test_a_leader_that_loses_the_capability_hands_over(self):
         one, other = Candidate("a", "x"), Candidate("b", "x")
         state = other.renew(one.renew(FleetState()))
         request = msgspec.structs.replace(one.lease_holder.next_request(0.0, {}), capabilities=(), ready={})
@@ -67,7 +67,7 @@
         assert other.renew(state).tasks["x"].owner == other.lease_holder.incarnation
 
     def test_terms_never_decrease_and_a_task_has_one_leader_in_any_order_of_events(self):
-        """A thousand random runs of three candidates that fail, are found dead, and renew again."""
+        """In 1,000 random runs, three candidates fail, expire and renew."""
         for seed in range(1000):
             rng, state, terms = random.Random(seed), FleetState(), {"x": 0, "y": 0}
             candidates = [Candidate(name, "x", "y") for name in "abc"]
@@ -85,14 +85,14 @@
                 for name, task in state.tasks.items():
                     assert task.term >= terms[name]
                     terms[name] = task.term
-                now = [
+                led = [
                     name
                     for one in candidates
                     for name, term in one.terms.items()
                     if state.tasks[name].term == term
                     and state.tasks[name].owner == one.lease_holder.incarnation
                 ]
-                assert len(now) == len(set(now))
+                assert len(led) == len(set(led))
 
 
 @pytest.mark.parametrize("kind", ["sqlite", "postgresql"])
--- a/tests/test_usage_ledger.py
+++ b/tests/test_usage_ledger.py
@@ -1,4 +1,4 @@
-"""The usage ledger in SQL, on both databases."""
+"""Tests of the usage ledger's SQL on both databases."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class TestClosings:
-    """Closings in SQL, on both databases."""
+    """The effect of closings on both databases."""
 
     def record(self, number, taken_ms, final="served", instance="n0", tenant="acme"):
         return CallOutcome(
@@ -24,7 +24,7 @@
         )
 
     @pytest.mark.parametrize("kind", ["sqlite", "postgresql"])
-    def test_each_call_is_counted_once_and_late_ones_are_corrections(self, tmp_path, kind):
+    def test_each_call_is_counted_once_and_late_records_are_corrections(self, tmp_path, kind):
         async def run():
             async with database(kind, tmp_path) as (_, fleet, store, _server):
                 token = await lead_closing(fleet)
@@ -78,10 +78,10 @@
                     [
                         attempt(1, 100, "refused", "a"),
                         attempt(2, 300, "failed", "a"),
-                        attempt(3, 500, "served", "a"),  # three attempts, one call that stood
-                        attempt(4, 550, "served", "a"),  # and another, after one that stood
+                        attempt(3, 500, "served", "a"),  # the third attempt of one call, which is served
+                        attempt(4, 550, "served", "a"),  # another call, since the previous one was served
                         attempt(5, 100, "failed", "b"),
-                        attempt(6, 650, "failed", "b"),  # too far apart: two calls
+                        attempt(6, 650, "failed", "b"),  # another call, since the repeat window has passed
                         attempt(7, 900, "refused", "c"),
                         self.record(8, 910, "failed"),
                     ]
@@ -93,7 +93,7 @@
                     UsageSum(0, "acme", "low", "failed", 0, 3),
                     UsageSum(0, "acme", "low", "served", 0, 2),
                 ]
-                # The repeat of one near the period's end.
+                # A repeat of call 7, which was taken near the end of the period.
                 await store.write([attempt(9, 1100, "served", "c")])
                 await fleet.execute_fenced(
                     token, usage_ledger.closing_statements(Closing(1, 2000), 1000, 300, 0, token.term)
@@ -125,9 +125,9 @@
         (None, False, Closing(8, 9000)),
         (7, False, Closing(8, 9000)),
         (3, False, Closing(8, 9000)),
-        (8, True, None),  # closed, and what comes late waits for the next
+        (8, True, None),  # the period is closed; late records wait for the next closing
         (300, False, None),
-        (300, True, Closing(301, 9000)),  # by a clock that was ahead of ours
+        (300, True, Closing(301, 9000)),  # the last closing was made by a leader whose clock was ahead
     ],
 )
 def test_the_next_closing_follows_the_leaders_clock_and_never_goes_back(last, overdue, closing):
--- a/tests/test_worker_processes.py
+++ b/tests/test_worker_processes.py
@@ -279,11 +279,11 @@
 def test_an_unusable_export_folder_is_logged_and_the_task_released(tmp_path):
     async def run():
         async with working(tmp_path) as (workers, fleet, store, _):
-            (workers.out / "somebody's").touch()
+            (workers.out / "unrelated").touch()
             await store.write(outcomes(0, 10))
             await workers.start("a")
             await workers.wait_for_log("a", "is not an export folder and contains other files")
-            (workers.out / "somebody's").unlink()
+            (workers.out / "unrelated").unlink()
             await all_exported(workers, fleet, 10)
 
     asyncio.run(run())
