--- a/tests/test_budgets_processes.py
+++ b/tests/test_budgets_processes.py
@@ -1,4 +1,4 @@
-"""Eight processes of the program that share one budget, and faults between them and the store."""
+"""Eight proxy processes share one budget, with faults between them and the store."""
 
 from __future__ import annotations
 
@@ -21,16 +21,18 @@
 NAMES = [f"n{number}" for number in range(8)]
 PLAN = Plan()
 LEASED_PER_S = PLAN.total_per_s * (1 - PLAN.reserve_fraction)
-OFFERED_PER_S = 160.0  # twice the total: every proxy would use all that it may
+OFFERED_PER_S = 160.0  # twice the total, so that every proxy uses its whole allowance
 WAIT_S = 20.0
-MIN_UNITS_SPENT = 50  # with fewer, an invariant that holds proves little
-EVEN_PER_S = 7.5  # once all eight have it, seven have no seventh each before the lease of the eighth ends
+MIN_UNITS_SPENT = 50  # with fewer spent units the invariants would show little
+# The leasable 64/s are 8/s each for eight proxies, and 9.1/s each for seven.  Once all eight have EVEN_PER_S,
+# the other seven cannot all have SEVENTH_PER_S before the lease of the eighth has ended.
+EVEN_PER_S = 7.5
 SEVENTH_PER_S = 8.4
 
 
 @asynccontextmanager
-async def sharing(folder, on_postgresql: bool):
-    """Eight proxies under twice the load that their budget allows."""
+async def overloaded_fleet(folder, on_postgresql: bool):
+    """Run eight proxies under twice the load that their budget allows."""
     server = CallServer("s-0", capacity_per_s=5000.0, hold_ms=50.0, lines=100_000)
     store = PostgresqlEmulator(folder) if on_postgresql else None
     if store is not None:
@@ -50,29 +52,33 @@
         await store.stop()
 
 
-async def until(holds, shared, what):
-    """Wait, within bounds, until a condition holds for the shares that the proxies logged last."""
+async def wait_for_shares(condition, shared, what):
+    """Wait until the condition holds for the last logged shares of the proxies; fail after ``WAIT_S``."""
     try:
         async with asyncio.timeout(WAIT_S):
-            while not holds(shares(shared)):
+            while not condition(shares(shared)):
                 await asyncio.sleep(0.05)
     except TimeoutError:
         pytest.fail(f"{what}: {shares(shared)}")
 
 
 def traces_of(shared) -> list[Trace]:
-    """The budget's traces of all processes, those that have ended included."""
+    """Return the budget's traces of all processes, including those that have ended."""
     return [read_trace(path, "all") for path in shared.logs()]
 
 
 def shares(shared) -> dict[str, float]:
-    """The share that each running proxy logged last, a second."""
+    """Return the last logged share of each running proxy, in units per second."""
     traces = {name: read_trace(proxy.log, "all") for name, proxy in shared.proxies.items()}
     return {name: trace.shares[-1][2] for name, trace in traces.items() if trace.shares}
 
 
 async def check_invariants(shared) -> None:
-    """No instant and no window above the total, by the traces of all processes, once enough was spent."""
+    """Wait until enough units are spent, then check the traces of all processes.
+
+    No sum of shares at any instant and no use in any window may exceed the total, and no member may have been
+    removed before its lease expired.
+    """
     async with asyncio.timeout(WAIT_S):
         while sum(len(trace.spent) for trace in traces_of(shared)) <= MIN_UNITS_SPENT:
             await asyncio.sleep(0.05)
@@ -88,43 +94,45 @@
     return lambda now: all(now.get(name, 0.0) >= min_per_s for name in names or NAMES)
 
 
-async def kill_and_reuse(shared):
-    """A killed proxy's share is used again, by its successor under the same name among others."""
-    await until(all_have(4.0), shared, "all")
+async def kill_and_restart(shared):
+    """A killed proxy's share is granted again, also to its successor of the same name."""
+    await wait_for_shares(all_have(4.0), shared, "all")
     await shared.stop_proxy("n0", signal.SIGKILL)
     await shared.start_proxy("n0")
-    await until(all_have(4.0, "n0"), shared, "the successor")
+    await wait_for_shares(all_have(4.0, "n0"), shared, "the successor")
 
 
-async def freeze_past_the_lease(shared):
-    """A frozen proxy's share goes to the others; woken, it joins anew and has broken no invariant."""
-    await until(all_have(EVEN_PER_S), shared, "all")
+async def suspend_past_the_lease(shared):
+    """A suspended proxy's share is granted to the others; after it resumes, it rejoins."""
+    await wait_for_shares(all_have(EVEN_PER_S), shared, "all")
     frozen = shared.proxies["n1"]
     frozen.freeze()
     others = [name for name in NAMES if name != "n1"]
-    await until(all_have(SEVENTH_PER_S, *others), shared, "a seventh each")
+    await wait_for_shares(all_have(SEVENTH_PER_S, *others), shared, "a seventh each")
     frozen.wake()
-    await until(lambda now: 4.0 <= now["n1"] <= 8.2 and frozen.text().count("fleet.in") >= 2, shared, "again")
+    await wait_for_shares(
+        lambda now: 4.0 <= now["n1"] <= 8.2 and frozen.text().count("fleet.in") >= 2, shared, "again"
+    )
 
 
 async def cut_off(shared, *ways):
-    """A proxy that is cut off has only its unleased quota; the others get the rest."""
-    await until(all_have(EVEN_PER_S), shared, "all")
+    """A proxy that is cut off from the store has only its unleased quota; the others get its share."""
+    await wait_for_shares(all_have(EVEN_PER_S), shared, "all")
     shared.links["n2"].cut(*ways)
     others = [name for name in NAMES if name != "n2"]
-    await until(all_have(SEVENTH_PER_S, *others), shared, "a seventh each")
+    await wait_for_shares(all_have(SEVENTH_PER_S, *others), shared, "a seventh each")
     now_ms, before = boottime_ms(), read_trace(shared.proxies["n2"].log, "all")
     _, expired_ms, _ = before.shares[-1]
-    assert expired_ms <= now_ms, "its lease ended before the others had its share"
+    assert expired_ms <= now_ms, "its lease ended before the others got its share"
     await asyncio.sleep(3.0)
     more = read_trace(shared.proxies["n2"].log, "all").spent[len(before.spent) :]
-    assert 0 < len(more) <= 3.0 * 0.5 + 2, f"its unleased quota, half a call a second: {more} since {now_ms}"
+    assert 0 < len(more) <= 3.0 * 0.5 + 2, f"it spent its unleased quota of 0.5/s: {more} since {now_ms}"
     shared.links["n2"].heal()
-    await until(all_have(4.0, "n2"), shared, "again")
+    await wait_for_shares(all_have(4.0, "n2"), shared, "again")
 
 
 async def reset_after_commit(shared):
-    """Commits whose responses are lost with their connections, several times."""
+    """Connections are lost several times between a commit and its response."""
     for _ in range(6):
         shared.store.faults.drop_after_commit = 3
         await asyncio.sleep(0.4)
@@ -132,16 +140,16 @@
             link.reset()
     shared.store.faults.drop_after_commit = 0
     shared.store.faults.serialization_failures = 3
-    await until(all_have(4.0), shared, "all, in the end")
+    await wait_for_shares(all_have(4.0), shared, "all, after the faults")
 
 
 async def stall_and_restart(shared):
-    """The store stalls for longer than a lease, then restarts: only unleased quotas, then shares."""
-    await until(all_have(4.0), shared, "all")
+    """The store stalls for longer than a lease, so that only unleased quotas are left, and then restarts."""
+    await wait_for_shares(all_have(4.0), shared, "all")
     shared.store.faults.stalled = True
-    await asyncio.sleep(PLAN.lease_ms / 1000)  # no request is in flight any more that might bring a share
+    await asyncio.sleep(PLAN.lease_ms / 1000)  # after this no request that might grant a share is in flight
     expired_ms = max(until_ms for trace in traces_of(shared) for _, until_ms, _ in trace.shares)
-    # An unleased quota is a unit in two seconds here: a proxy may wait so long for its first.
+    # The unleased quota is one unit per two seconds, so a proxy may wait that long for its first unit.
     async with asyncio.timeout(WAIT_S):
         while boottime_ms() < expired_ms + 3000 or not used_per_s(
             traces_of(shared), expired_ms, boottime_ms()
@@ -150,52 +158,52 @@
     now_ms, traces = boottime_ms(), traces_of(shared)
     unleased_per_s, for_s = sum(trace.own for trace in traces), (now_ms - expired_ms) / 1000
     assert used_per_s(traces, expired_ms, now_ms) * for_s <= unleased_per_s * for_s + len(traces), (
-        "one saved up each"
+        "each proxy may use its unleased quota and one unit left in its token bucket"
     )
     shared.store.faults.stalled = False
     await shared.store.restart(0.5)
-    await until(all_have(4.0), shared, "again")
+    await wait_for_shares(all_have(4.0), shared, "again")
 
 
 async def mass_join(shared):
-    """All of them killed and started at once, under the names of the dead."""
-    await until(all_have(4.0), shared, "all")
+    """All proxies are killed at once and restarted together under the same names."""
+    await wait_for_shares(all_have(4.0), shared, "all")
     await asyncio.sleep(1.0)
     await asyncio.gather(*(shared.stop_proxy(name, signal.SIGKILL) for name in NAMES))
     await shared.start(NAMES)
-    await until(all_have(4.0), shared, "all, once the killed ones' leases have expired")
+    await wait_for_shares(all_have(4.0), shared, "all, once the killed ones' leases have expired")
 
 
 async def shut_down(shared):
-    """A proxy that is stopped gracefully releases its share at once, not after a lease."""
-    await until(all_have(4.0), shared, "all")
+    """A proxy that is stopped gracefully releases its share at once, not only when its lease expires."""
+    await wait_for_shares(all_have(4.0), shared, "all")
     stopped = shared.proxies["n3"].log.stem
     await shared.stop_proxy("n3", signal.SIGTERM)
     others = [name for name in NAMES if name != "n3"]
-    await until(all_have(SEVENTH_PER_S, *others), shared, "a seventh each")
-    # On a busy machine the store may answer other members too late for their leases.
+    await wait_for_shares(all_have(SEVENTH_PER_S, *others), shared, "a seventh each")
+    # Other members may have been removed, if a busy machine delayed the store's responses past their leases.
     history = read_history(shared.logs())
     assert not history.was_removed(history.last_membership(stopped)), history
 
 
 @pytest.mark.parametrize("on_postgresql", [False, True], ids=["sqlite", "postgresql"])
-@pytest.mark.parametrize("fault", [kill_and_reuse, freeze_past_the_lease])
-def test_the_sum_holds_on_either_store(tmp_path, fault, on_postgresql):
+@pytest.mark.parametrize("fault", [kill_and_restart, suspend_past_the_lease])
+def test_shares_never_exceed_the_total_on_either_store(tmp_path, fault, on_postgresql):
     run_with(tmp_path, fault, on_postgresql)
 
 
 @pytest.mark.parametrize("fault", [cut_off, reset_after_commit, stall_and_restart, mass_join, shut_down])
-def test_the_sum_holds_through_faults_of_the_store(tmp_path, fault):
+def test_shares_never_exceed_the_total_during_faults_of_the_store(tmp_path, fault):
     run_with(tmp_path, fault, True)
 
 
-def test_the_sum_holds_while_responses_are_cut_off_and_requests_arrive(tmp_path):
+def test_shares_never_exceed_the_total_while_only_responses_are_lost(tmp_path):
     run_with(tmp_path, lambda shared: cut_off(shared, "back"), True)
 
 
 def run_with(folder, fault, on_postgresql):
     async def run():
-        async with sharing(folder, on_postgresql) as shared:
+        async with overloaded_fleet(folder, on_postgresql) as shared:
             await fault(shared)
             await check_invariants(shared)
 
--- a/tests/test_cold_start.py
+++ b/tests/test_cold_start.py
@@ -1,4 +1,4 @@
-"""Starts of a fleet and failing service discovery: simulated for hundreds, and with processes."""
+"""Tests of fleet starts and of failing service discovery: simulated for hundreds, and with processes."""
 
 from __future__ import annotations
 
@@ -35,15 +35,15 @@
 WAIT_S = 30.0
 
 
-def backoffs(count, **rates):
+def create_backoffs(count, **rates):
     rates = {"polls_per_s": 30.0, "initial_polls_per_s": 75.0} | rates
     return [PollBackoff(lambda: count, rng=random.Random(seed), **rates) for seed in range(count)]
 
 
-def polled(all_of_them, for_ms):
-    """The times of the polls of proxies that start together, while every poll fails."""
+def poll_times(backoffs, for_ms):
+    """Return the times of the polls of proxies that start together, while every poll fails."""
     times = []
-    for backoff in all_of_them:
+    for backoff in backoffs:
         at = backoff.initial_delay()
         while at < for_ms:
             times.append(at)
@@ -52,58 +52,58 @@
 
 
 class TestPollBackoff:
-    """The delays without processes."""
+    """The delays, without processes."""
 
     @pytest.mark.parametrize("count", [100, 300, 1000, 5000])
     def test_the_fleet_poll_rate_does_not_grow_with_the_fleet(self, count):
         period_ms = 1000 * count / 30
-        first_ms, lasts_ms = 4 * period_ms, 10 * period_ms  # until spread, and long enough to measure
-        times = polled(backoffs(count), first_ms + lasts_ms)
-        lasting = [at for at in times if at > first_ms]
-        assert 0.85 * 30 <= 1000 * len(lasting) / lasts_ms <= 1.15 * 30
-        assert most_in(times, 100.0) <= 26 and most_in(times, 1000.0) <= 140  # 75 first ones and 30 others
+        settling_ms, measured_ms = 4 * period_ms, 10 * period_ms
+        times = poll_times(create_backoffs(count), settling_ms + measured_ms)
+        measured = [at for at in times if at > settling_ms]
+        assert 0.85 * 30 <= 1000 * len(measured) / measured_ms <= 1.15 * 30
+        assert most_in(times, 100.0) <= 26 and most_in(times, 1000.0) <= 140  # 75 first polls and 30 others
         after_the_first = [at for at in times if at > 1000 * count / 75]
         assert most_in(after_the_first, 1000.0) <= 60
 
     @pytest.mark.parametrize("count", [100, 300, 5000])
-    def test_no_wait_is_much_longer_than_the_poll_period(self, count):
-        """With delays from 0 to 2 periods, the unluckiest proxy noticed discovery's recovery 20 s late."""
+    def test_no_delay_is_much_longer_than_the_poll_period(self, count):
+        """With delays from 0 to 2 periods, one proxy detected discovery's recovery only after 20 s."""
         period_ms = 1000 * count / 30
-        for backoff in backoffs(count)[:100]:
+        for backoff in create_backoffs(count)[:100]:
             backoff.initial_delay()
             waits = [backoff.retry_delay() for _ in range(20)]
             assert max(waits) <= 1.25 * period_ms and min(waits[1:]) >= 0.75 * period_ms
 
-    def test_after_a_break_that_all_have_met_polls_are_spread(self):
-        all_of_them = backoffs(300)
-        for backoff in all_of_them:
+    def test_polls_are_spread_after_all_streams_break_at_once(self):
+        backoffs = create_backoffs(300)
+        for backoff in backoffs:
             backoff.initial_delay()
             backoff.retry_delay()
             backoff.reset()
-        waits = sorted(backoff.retry_delay() for backoff in all_of_them)
+        waits = sorted(backoff.retry_delay() for backoff in backoffs)
         assert most_in(waits, 1000.0) <= 45 and waits[-1] <= 10_000.0
 
-    def test_a_small_fleet_uses_doubling_backoff_with_jitter(self):
-        [backoff] = backoffs(1)
+    def test_a_small_fleet_uses_exponential_backoff_with_jitter(self):
+        [backoff] = create_backoffs(1)
         waits = [backoff.retry_delay() for _ in range(40)]
         assert max(waits) <= MAX_BACKOFF_MS and min(waits[5:]) >= MAX_BACKOFF_MS / 2 and len(set(waits)) == 40
         backoff.reset()
         assert backoff.retry_delay() <= 100.0
 
     def test_an_early_poll_is_allowed_once_a_poll_period(self):
-        [backoff] = backoffs(300)[:1]
+        [backoff] = create_backoffs(300)[:1]
         assert backoff.early_poll_delay(0.0) <= 4000.0
         assert backoff.early_poll_delay(9_000.0) is None and backoff.early_poll_delay(10_001.0) is not None
 
     def test_retry_after_is_honoured_and_the_polls_after_it_are_spread(self):
-        waits = sorted(backoff.retry_delay(0.0, retry_after_ms=4000.0) for backoff in backoffs(300))
+        waits = sorted(backoff.retry_delay(0.0, retry_after_ms=4000.0) for backoff in create_backoffs(300))
         assert waits[0] >= 4000.0 and most_in(waits, 100.0) <= 24
-        assert backoffs(300)[0].retry_delay(0.0, retry_after_ms=1e9) <= MAX_RETRY_AFTER_MS + 20_000.0, (
-            "within bounds"
-        )
+        assert (
+            create_backoffs(300)[0].retry_delay(0.0, retry_after_ms=1e9) <= MAX_RETRY_AFTER_MS + 20_000.0
+        ), "a long Retry-After is limited"
 
     def test_no_early_poll_before_retry_after_has_passed(self):
-        [backoff] = backoffs(1)
+        [backoff] = create_backoffs(1)
         backoff.retry_delay(1000.0, retry_after_ms=4000.0)
         assert backoff.early_poll_delay(4999.0) is None and backoff.early_poll_delay(5000.0) is not None
 
@@ -115,7 +115,7 @@
         ("retry-after:  7 ", 7000.0),
         ("Retry-After: Tue, 01 Dec 2026 10:00:05 GMT\r\nDate: Tue, 01 Dec 2026 10:00:01 GMT", 4000.0),
         ("Retry-After: Tue, 01 Dec 2026 10:00:00 GMT\r\nDate: Tue, 01 Dec 2026 10:00:01 GMT", 0.0),  # past
-        ("Retry-After: Tue, 01 Dec 2026 10:00:05 GMT", 0.0),  # no date to compare
+        ("Retry-After: Tue, 01 Dec 2026 10:00:05 GMT", 0.0),  # no Date header to compare with
         (
             "Retry-After: Tue, 01 Dec 2026 10:00:05\r\nDate: Tue, 01 Dec 2026 10:00:01 GMT",
             0.0,
@@ -133,8 +133,8 @@
     assert parser.retry_after_ms == wait_ms
 
 
-def test_first_connections_are_spread_and_immediate_where_a_call_needs_one(tmp_path):
-    """Twelve processes have the endpoint list from the start; unspread, all would connect at once."""
+def test_first_connections_are_spread_but_immediate_if_a_call_needs_one(tmp_path):
+    """Twelve processes start with the endpoint list; without a delay all would connect at once."""
     count, per_s = 12, 4.0
     (tmp_path / "starting.toml").write_text(f"connections_per_s = {per_s}\n")
 
@@ -162,19 +162,19 @@
     asyncio.run(run())
 
 
-def test_a_bad_file_is_one_line(tmp_path):
+def test_an_invalid_file_is_reported(tmp_path):
     (tmp_path / "starting.toml").write_text("polls_per_s = -1")
     with pytest.raises(ConfigurationError, match=r"starting .*Expected `float` >= 0"):
         load(str(tmp_path / "starting.toml"))
 
 
-class Rush:
-    """Processes that start together without an endpoint list, and their polls at service discovery."""
+class SimultaneousStart:
+    """Processes that start together without an endpoint list, and their polls of service discovery."""
 
     def __init__(self, folder, started, environment) -> None:
         self.folder, self.started, self.environment = folder, started, environment
         self.discovery = started.discovery
-        started.in_configuration = False  # discovery alone names the servers
+        started.in_configuration = False  # only discovery names the servers
 
     async def start(self, names) -> None:
         await asyncio.gather(
@@ -187,8 +187,8 @@
     def polls_since(self, at: float) -> list[float]:
         return [poll for poll in self.discovery.polls if poll > at]
 
-    async def connected_after_s(self, count: int) -> float:
-        """How long until so many are connected to the server, which only discovery names, in seconds."""
+    async def wait_for_connections(self, count: int) -> float:
+        """Wait until the server has ``count`` connections; returns the time waited, in seconds."""
         started = now_s()
         async with asyncio.timeout(WAIT_S):
             while self.started.servers[0].connections < count:
@@ -201,8 +201,8 @@
 
 
 @asynccontextmanager
-async def rush(folder, count, polls_per_s, with_fleet_store=False):
-    """The processes to start, with the fleet's poll rate."""
+async def simultaneous_start(folder, count, polls_per_s, with_fleet_store=False):
+    """Yield a ``SimultaneousStart`` whose processes are configured with the fleet's poll rate."""
     (folder / "starting.toml").write_text(
         f"polls_per_s = {polls_per_s}\nfirst_per_s = 24.0\nready_with_list = true\n"
     )
@@ -211,79 +211,83 @@
         (folder / "fleet.toml").write_text(FLEET_FILE.format(path=folder / "fleet.db"))
         environment["CANVASPLANK_FLEET"] = str(folder / "fleet.toml")
     async with fleet(folder, [CallServer("s-0", capacity_per_s=1000.0)], instances=count) as started:
-        yield Rush(folder, started, environment)
+        yield SimultaneousStart(folder, started, environment)
 
 
-@pytest.mark.parametrize("with_fleet_store", [False, True], ids=["alone", "with the fleet's rows"])
-def test_twenty_four_processes_spare_a_failing_discovery_and_detect_its_recovery(tmp_path, with_fleet_store):
-    """A quarter of them crash repeatedly meanwhile."""
+@pytest.mark.parametrize("with_fleet_store", [False, True], ids=["without fleet store", "with fleet store"])
+def test_twenty_four_processes_limit_polls_of_a_failing_discovery_and_detect_its_recovery(
+    tmp_path, with_fleet_store
+):
+    """A quarter of the processes crash repeatedly meanwhile."""
     count, polls_per_s = 24, 8.0
 
     async def run():
-        async with rush(tmp_path, count, polls_per_s, with_fleet_store) as fresh:
-            fresh.discovery.in_trouble = True
-            await fresh.start([f"n{n}" for n in range(count)])
-            for round_number in range(3):  # a crash loop adds nothing but its first polls
-                crashing = [p for p in fresh.started.proxies if p.process.returncode is None][:6]
+        async with simultaneous_start(tmp_path, count, polls_per_s, with_fleet_store) as processes:
+            processes.discovery.in_trouble = True
+            await processes.start([f"n{n}" for n in range(count)])
+            for round_number in range(3):  # a crash loop adds only its first polls
+                crashing = [p for p in processes.started.proxies if p.process.returncode is None][:6]
                 await asyncio.gather(*(p.stop(signal.SIGKILL) for p in crashing))
-                await fresh.start([f"c{round_number}{n}" for n in range(6)])
+                await processes.start([f"c{round_number}{n}" for n in range(6)])
             started = now_s()
             await asyncio.sleep(5.0)
-            # 24 alive at 8 a second; with the doubling backoff alone there would be 30 a second.
-            assert len(fresh.polls_since(started)) / 5.0 <= 1.75 * polls_per_s
-            assert most_in(sorted(fresh.discovery.polls), 0.1) <= 12
-            fresh.discovery.in_trouble = False
+            # 24 processes send 8 polls per second; with exponential backoff alone they would send 30.
+            assert len(processes.polls_since(started)) / 5.0 <= 1.75 * polls_per_s
+            assert most_in(sorted(processes.discovery.polls), 0.1) <= 12
+            processes.discovery.in_trouble = False
             back = now_s()
-            recovery_s = await fresh.connected_after_s(count)
-            assert most_in(fresh.polls_since(back), 0.1) <= 12, "no second wave"
+            recovery_s = await processes.wait_for_connections(count)
+            assert most_in(processes.polls_since(back), 0.1) <= 12, "the recovery causes no burst of polls"
             assert recovery_s <= (5.0 if with_fleet_store else 2 * count / polls_per_s + 2.0)
-            settled = len(fresh.discovery.polls)
+            settled = len(processes.discovery.polls)
             await asyncio.sleep(2.0)
-            assert len(fresh.discovery.polls) <= settled + 1, "a connected proxy does not poll"
+            assert len(processes.discovery.polls) <= settled + 1, "a connected proxy does not poll"
 
     asyncio.run(run())
 
 
-def test_half_of_the_processes_are_cut_off_from_discovery_and_the_others_are_served(tmp_path):
-    """Those cut off are not ready, poll at the fleet's rate, and are connected once the link is back."""
+def test_processes_cut_off_from_discovery_are_not_ready_and_poll_at_the_fleet_rate(tmp_path):
+    """Half of the processes are cut off; they connect once the link is restored."""
     count, polls_per_s = 24, 8.0
 
     async def run():
-        async with rush(tmp_path, count, polls_per_s) as fresh:
-            far = Link(fresh.discovery.address)
+        async with simultaneous_start(tmp_path, count, polls_per_s) as processes:
+            far = Link(processes.discovery.address)
             await far.start()
-            fresh.started.discovery_for = lambda name: (far if name[0] == "f" else fresh.discovery).address
+            processes.started.discovery_for = lambda name: (
+                (far if name[0] == "f" else processes.discovery).address
+            )
             far.cut()
-            await fresh.start([f"{'nf'[n % 2]}{n}" for n in range(count)])
-            await fresh.connected_after_s(count // 2)
+            await processes.start([f"{'nf'[n % 2]}{n}" for n in range(count)])
+            await processes.wait_for_connections(count // 2)
             started, connections_before = now_s(), far.connections
             await asyncio.sleep(4.0)
-            assert len(fresh.polls_since(started)) <= 2, "a connected proxy does not poll"
+            assert len(processes.polls_since(started)) <= 2, "a connected proxy does not poll"
             assert (far.connections - connections_before) / 4.0 <= 1.75 * polls_per_s
-            assert {proxy.name: await passes_test(proxy.address) for proxy in fresh.started.proxies[:8]} == {
-                proxy.name: proxy.name[0] == "n" for proxy in fresh.started.proxies[:8]
-            }
+            assert {
+                proxy.name: await passes_test(proxy.address) for proxy in processes.started.proxies[:8]
+            } == {proxy.name: proxy.name[0] == "n" for proxy in processes.started.proxies[:8]}
             far.heal()
-            assert await fresh.connected_after_s(count) <= 2 * count / polls_per_s + 2.0
+            assert await processes.wait_for_connections(count) <= 2 * count / polls_per_s + 2.0
             await far.stop()
 
     asyncio.run(run())
 
 
-def test_a_discovery_that_stalls_and_then_sends_retry_after_is_not_polled_until_then(tmp_path):
+def test_discovery_that_stalls_and_then_sends_retry_after_is_not_polled_before(tmp_path):
     count, polls_per_s = 12, 8.0
 
     async def run():
-        async with rush(tmp_path, count, polls_per_s) as fresh:
-            fresh.discovery.stalled = True
-            await fresh.start([f"n{n}" for n in range(count)])
+        async with simultaneous_start(tmp_path, count, polls_per_s) as processes:
+            processes.discovery.stalled = True
+            await processes.start([f"n{n}" for n in range(count)])
             started = now_s()
             await asyncio.sleep(4.0)
-            assert len(fresh.polls_since(started)) / 4.0 <= 1.75 * polls_per_s
-            fresh.discovery.stalled, fresh.discovery.busy_s = False, 60
-            await asyncio.sleep(2 * count / polls_per_s + 2.0)  # each has Retry-After, or has timed out
+            assert len(processes.polls_since(started)) / 4.0 <= 1.75 * polls_per_s
+            processes.discovery.stalled, processes.discovery.busy_s = False, 60
+            await asyncio.sleep(2 * count / polls_per_s + 2.0)  # each has Retry-After or has timed out
             started = now_s()
             await asyncio.sleep(2.0)
-            assert not fresh.polls_since(started)
+            assert not processes.polls_since(started)
 
     asyncio.run(run())
--- a/tests/test_rendezvous_subset.py
+++ b/tests/test_rendezvous_subset.py
@@ -1,4 +1,4 @@
-"""Subsets of the call servers for hundreds of proxies: the choice, in the controller, and with processes."""
+"""Tests of subsets of the call servers: the selection, the controller's rates, and proxy processes."""
 
 from __future__ import annotations
 
@@ -40,15 +40,15 @@
     return {instance.instance_id: instance.lifecycle for instance in selected}
 
 
-class TestChoice:
-    """The ranking and what follows from it."""
+class TestSelection:
+    """The ranking, and the subsets selected by it."""
 
     def test_the_ranking_is_the_same_on_every_machine(self):
         assert rank("proxy-0", instances(4)) == ["s-1", "s-3", "s-0", "s-2"]
 
     @pytest.mark.parametrize("sizes", [(8, 8, 8), (12, 8, 4), (20, 3, 1)])
-    def test_each_zone_has_its_quota_and_each_server_about_as_many_proxies(self, sizes):
-        """Ranked without zones, one proxy in sixty had no server in its own of three zones."""
+    def test_subsets_are_proportional_to_zones_and_use_servers_evenly(self, sizes):
+        """With a ranking that ignored zones, one proxy in sixty had no server in its own of three zones."""
         listed = [
             Endpoint(f"s-{zone}-{n}", "x:1", "ready", zone=f"z{zone}")
             for zone, size in enumerate(sizes)
@@ -82,7 +82,7 @@
     def test_no_server_is_left_out_or_overloaded_in_a_fleet_of_any_size_with_the_deployed_subset(
         self, proxies, servers
     ):
-        """With eight of 24 each, four proxies left 4 or 5 servers without a proxy."""
+        """With a fixed subset of 8 of 24 servers, four proxies left 4 or 5 servers without a proxy."""
         figures = tomllib.loads((ROOT / "deploy" / "subset.toml").read_text())
         per_class, min_fraction = figures["servers_per_proxy"], figures["proxies_per_server"] / proxies
         listed = instances(servers)
@@ -93,13 +93,13 @@
         assert max(shared.values()) <= 1.75 * sum(shared.values()) / servers
         assert max(shared.values()) <= max_sharers(0, listed, ALL, per_class, proxies, min_fraction)
 
-    def test_a_server_that_goes_moves_only_the_proxies_that_selected_it(self):
+    def test_removing_a_server_changes_only_the_subsets_that_contain_it(self):
         listed = instances(24)
         for name in names(300):
             before, after = select_subset(name, listed, ALL, 6), select_subset(name, listed[1:], ALL, 6)
             assert len(after - before) == ("s-0" in before) and before - after <= {"s-0"}
 
-    def test_a_class_that_few_servers_may_take_has_its_own_subset(self):
+    def test_a_class_that_few_servers_accept_has_its_own_subset(self):
         listed = instances(24, cells=12)
         groups = (None, frozenset({3, 7}))
         for name in names(50):
@@ -109,14 +109,14 @@
     @pytest.mark.parametrize(
         ("groups", "cell", "bound"),
         [
-            ((None,), 0, 3 * 100 // 12 + 15),  # three of twelve
+            ((None,), 0, 3 * 100 // 12 + 15),  # three of twelve servers
             (
                 (None, frozenset({0, 1})),
                 0,
                 3 * 100 // 4 + 25,
-            ),  # three of its four: that group's proxies hold it
-            ((frozenset({0, 1, 2}), frozenset({0, 3, 4})), 0, 100),  # either: three of six and three of six
-            ((frozenset({0}),), 0, 100),  # all two of its cell are held by all
+            ),  # three of the four servers in its smallest group
+            ((frozenset({0, 1, 2}), frozenset({0, 3, 4})), 0, 100),  # three of six in each of two groups
+            ((frozenset({0}),), 0, 100),  # all proxies select both servers of its cell
         ],
     )
     def test_max_sharers_follows_the_pool_groups_of_a_server(self, groups, cell, bound):
@@ -129,17 +129,17 @@
 class TestListChanges:
     """A proxy's subset as the endpoint list changes."""
 
-    def subset(self, with_calls: set[str], per_class: int = 2) -> RendezvousSubset:
+    def create_subset(self, with_calls: set[str], per_class: int = 2) -> RendezvousSubset:
         return RendezvousSubset("proxy-0", ALL, per_class, with_calls.__contains__)
 
-    def test_without_a_subset_size_all_are_selected(self):
-        assert len(self.subset(set(), per_class=0).select(True, instances(9))) == 9
+    def test_without_a_subset_size_all_servers_are_selected(self):
+        assert len(self.create_subset(set(), per_class=0).select(True, instances(9))) == 9
 
     def test_a_replaced_server_drains_until_it_has_no_calls(self):
         first, second, third = rank("proxy-0", instances(3))
         by_id = {instance.instance_id: instance for instance in instances(3)}
         with_calls = {third}
-        subset = self.subset(with_calls)
+        subset = self.create_subset(with_calls)
         assert lifecycles(subset.select(True, [by_id[second], by_id[third]])) == {
             second: "ready",
             third: "ready",
@@ -155,9 +155,9 @@
         assert lifecycles(subset.select(False, [])) == {first: "ready", second: "ready"}
         assert subset.is_listed(third) and not subset.can_release_endpoints()
 
-    def test_a_draining_server_stays_selected_where_it_was_and_another_replaces_it(self):
+    def test_a_draining_server_stays_selected_and_another_is_selected_beside_it(self):
         listed = instances(6)
-        subset = self.subset(set())
+        subset = self.create_subset(set())
         mine = lifecycles(subset.select(True, listed))
         leaves = min(mine)
         now = lifecycles(
@@ -177,10 +177,10 @@
 
 
 class TestController:
-    """What the controller does with the number of sharers and the initial rate."""
+    """How the controller uses the number of sharers and the initial rate."""
 
     def test_the_even_share_counts_only_the_proxies_that_share_the_server(self):
-        """With three of twelve proxies at a server, a twelfth of it each would leave most of it idle."""
+        """If only three of twelve proxies send to a server, a twelfth each would leave most of it idle."""
 
         def sent(senders: int | None) -> int:
             gateway = Gateway(
@@ -199,7 +199,7 @@
     @pytest.mark.parametrize("class_name", ["low", "high"])
     @pytest.mark.parametrize("initial_rate_per_s", [None, 30.0 / 300])
     def test_hundreds_of_fresh_buckets_stay_within_the_fleet_rate(self, initial_rate_per_s, class_name):
-        """300 gateways, three calls waiting at each when they start, one server."""
+        """Each of 300 gateways starts with three waiting calls for the same server."""
         sent = []
         for seed in range(300):
             gateway = Gateway(settings(instances=300), seed)
@@ -211,39 +211,39 @@
             sent += [at for at, action in gateway.action_log if isinstance(action, api.SetUp)]
         first = sum(at < 1000 for at in sent)
         if initial_rate_per_s is None:
-            assert first > 300, "what this guards against"
+            assert first > 300, "without an initial rate the server is overloaded"
         else:
-            assert 15 <= first <= 45, "about thirty"
-            assert sum(at >= 7000 for at in sent) > 1.5 * first, "it grows"
+            assert 15 <= first <= 45, "the fleet's initial rate is 30 per second"
+            assert sum(at >= 7000 for at in sent) > 1.5 * first, "the rate grows"
 
 
 @pytest.mark.parametrize(
     ("pending", "unconfirmed", "unsettled"),
     [
         ({}, {}, False),
-        ({"call": 16}, {}, True),  # for a connection that is not up yet
-        ({}, {"call": SentRelease(16, 9_500.0)}, True),  # sent half a second ago, and not confirmed
-        ({}, {"call": SentRelease(16, 8_000.0)}, False),  # by a server that confirms none
+        ({"call": 16}, {}, True),  # waits for a connection
+        ({}, {"call": SentRelease(16, 9_500.0)}, True),  # sent 0.5 s ago and not confirmed
+        ({}, {"call": SentRelease(16, 8_000.0)}, False),  # sent 2 s ago: the server confirms no releases
     ],
 )
 def test_a_server_stays_selected_while_a_release_to_it_is_unsettled(pending, unconfirmed, unsettled):
-    """It was dropped with the release of its last call unsent, and would have held that call's line."""
+    """Otherwise the release of its last call is not sent, and the server keeps that call's line occupied."""
     servers = Servers.__new__(Servers)
     servers.scheduler = SimpleNamespace(now_ms=10_000.0)
     servers._peers = {
         "s-0": SimpleNamespace(pending_releases=pending, streams=[SimpleNamespace(unconfirmed=unconfirmed)])
     }
     assert servers.has_unsettled_releases("s-0") is unsettled and not servers.has_unsettled_releases("s-1")
-    host = FakeContext(100)
-    host.servers.has_unsettled_releases = servers.has_unsettled_releases
-    start = ColdStartExtension(host, ColdStartSettings(servers_per_proxy=1))
-    start.select(True, instances(1))
-    remaining = {i.instance_id: i.lifecycle for i in start.select(False, instances(9)[1:])}
-    assert (remaining.get("s-0") == "draining") is unsettled, "eight better ones have come"
+    context = FakeContext(100)
+    context.servers.has_unsettled_releases = servers.has_unsettled_releases
+    extension = ColdStartExtension(context, ColdStartSettings(servers_per_proxy=1))
+    extension.select(True, instances(1))
+    remaining = {i.instance_id: i.lifecycle for i in extension.select(False, instances(9)[1:])}
+    assert (remaining.get("s-0") == "draining") is unsettled, "one of the eight added servers is preferred"
 
 
 class FakeContext:
-    """An extension context with only what the cold start uses."""
+    """An extension context with only the attributes that the cold start uses."""
 
     def __init__(self, instances: int, members: int = 0, fraction: float | None = None) -> None:
         example = json.loads((ROOT / "examples" / "config.json").read_text())
@@ -260,54 +260,54 @@
 @pytest.mark.parametrize(
     ("members", "fraction", "servers_per_proxy", "initial_rate_per_s"),
     [
-        (0, None, 0, 30.0 / 100),  # one of the number in the settings
-        (60, None, 0, 30.0 / 60),  # of the members of the fleet's database
-        (60, 0.2, 0, 30.0 * 0.2),  # its lease's fraction
-        (0, None, 3, 30.0 / (100 // 4 + 15)),  # one of the sharers of a server
-        (60, 0.01, 3, 30.0 * 0.01 * 4),  # its lease, at a quarter of the servers
-        (60, 0.9, 3, 30.0),  # at most all
+        (0, None, 0, 30.0 / 100),  # an even part by the number of instances in the settings
+        (60, None, 0, 30.0 / 60),  # an even part by the number of members of the fleet
+        (60, 0.2, 0, 30.0 * 0.2),  # the leased fraction
+        (0, None, 3, 30.0 / (100 // 4 + 15)),  # an even part by the number of sharers of a server
+        (60, 0.01, 3, 30.0 * 0.01 * 4),  # the leased fraction, used at a quarter of the servers
+        (60, 0.9, 3, 30.0),  # at most the fleet's rate
     ],
 )
 def test_the_initial_rate_is_a_fraction_of_the_fleet_rate(
     members, fraction, servers_per_proxy, initial_rate_per_s
 ):
-    settings_file = ColdStartSettings(initial_rate_per_s=30.0, servers_per_proxy=servers_per_proxy)
-    start = ColdStartExtension(FakeContext(100, members, fraction), settings_file)
-    start.select(True, instances(12))
-    entry = start.annotate(api.Server("s-0", 0, api.ServerState.READY))
-    assert entry.initial_rate_per_s == pytest.approx(initial_rate_per_s)
+    cold_start = ColdStartSettings(initial_rate_per_s=30.0, servers_per_proxy=servers_per_proxy)
+    extension = ColdStartExtension(FakeContext(100, members, fraction), cold_start)
+    extension.select(True, instances(12))
+    server = extension.annotate(api.Server("s-0", 0, api.ServerState.READY))
+    assert server.initial_rate_per_s == pytest.approx(initial_rate_per_s)
 
 
 def test_a_proxy_selects_more_servers_as_its_fleet_gets_smaller():
-    """By the number of instances in the settings, or of the fleet's members where the fleet is on."""
+    """The fleet's size is its number of members, or that of instances in the settings if it is unknown."""
 
     def selected_by(members: int) -> int:
-        start = ColdStartExtension(
+        extension = ColdStartExtension(
             FakeContext(100, members), ColdStartSettings(servers_per_proxy=3, proxies_per_server=25)
         )
-        selected = start.select(True, instances(24))
-        assert all(start.annotate(to_server(i)).senders <= (members or 100) for i in selected)
+        selected = extension.select(True, instances(24))
+        assert all(extension.annotate(to_server(i)).senders <= (members or 100) for i in selected)
         return len(selected)
 
     assert [selected_by(members) for members in (0, 300, 50, 20)] == [6, 3, 12, 24]
 
 
 def test_initial_rates_of_all_proxies_sum_to_no_more_than_the_fleet_rate():
-    """Each takes one share of the sharers of each server."""
+    """At each server a proxy starts with an even part of the rate by the number of sharers."""
     listed, sums = instances(12), Counter()
     for name in names(100):
-        fake = FakeContext(100)
-        fake.configuration.name = name
-        start = ColdStartExtension(fake, ColdStartSettings(initial_rate_per_s=30.0, servers_per_proxy=3))
-        for instance in start.select(True, listed):
-            sums[instance.instance_id] += start.annotate(to_server(instance)).initial_rate_per_s
+        context = FakeContext(100)
+        context.configuration.name = name
+        extension = ColdStartExtension(
+            context, ColdStartSettings(initial_rate_per_s=30.0, servers_per_proxy=3)
+        )
+        for instance in extension.select(True, listed):
+            sums[instance.instance_id] += extension.annotate(to_server(instance)).initial_rate_per_s
     assert max(sums.values()) <= 30.0 * 1.05 and min(sums.values()) > 30.0 / 3
 
 
 def test_twenty_four_processes_connect_to_four_of_twelve_servers_each(tmp_path):
-    """Connections, service, a draining server, and the release of a call at a server that has left the
-    subset.
-    """
+    """Each process connects to its subset only, and releases calls at a server that has left the subset."""
     count, per_class = 24, 4
     (tmp_path / "starting.toml").write_text(
         f"servers_per_proxy = {per_class}\nconnections_per_s = 200.0\nbegin_per_s = 50.0\n"
@@ -340,12 +340,14 @@
             await callers.settled(WAIT_S)
             assert sum(t.outcome == "served" for t in made) >= 0.95 * len(made)
             established = [t for t in made if t.outcome == "served"]
-            # Two more come and enter some subsets, while calls are established at the servers they replace.
+            # Two servers are added and enter some subsets while the servers that they replace have calls.
             await started.list(*servers)
             async with asyncio.timeout(WAIT_S):
                 while any(t.released_s is None for t in established):
                     await asyncio.sleep(0.05)
-            assert all(t.released_s - t.answered_s < 2.5 + 1.0 for t in established), "each by its own server"
+            assert all(t.released_s - t.answered_s < 2.5 + 1.0 for t in established), (
+                "each call is released by its own server"
+            )
             await connected_to_subsets(instances(12))
             assert all(server.connections < count for server in servers)
             await callers.stop()
--- a/tests/test_worker_processes.py
+++ b/tests/test_worker_processes.py
@@ -1,4 +1,4 @@
-"""Worker processes: leaders frozen at each step, crashes, clocks that disagree, hand-over."""
+"""Tests of worker processes: leaders suspended at each step, crashes, clocks that differ, handover."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
 
 
 class Workers:
-    """Processes of the worker on one database and one export folder."""
+    """Worker processes on one database and one export folder."""
 
     def __init__(self, folder, fleet_file, retention_ms):
         self.folder, self.fleet_file, self.out = folder, fleet_file, folder / "out"
@@ -53,7 +53,7 @@
         code = (
             f"import time; unix = time.time; time.time = lambda: unix() + {ahead_s}; "
             "from canvasplank.cli import cli; cli()"
-        )  # its clock may be minutes off
+        )  # the worker's clock is ahead by ``ahead_s`` seconds
         with (self.folder / f"{name}.log").open("wb") as log:
             self.processes[name] = await asyncio.create_subprocess_exec(
                 sys.executable,
@@ -74,18 +74,18 @@
     def log(self, name):
         return (self.folder / f"{name}.log").read_text()
 
-    async def wait_for_log(self, name, words):
+    async def wait_for_log(self, name, text):
         async with asyncio.timeout(WAIT_S):
-            while words not in self.log(name):
+            while text not in self.log(name):
                 assert self.processes[name].returncode is None, self.log(name)
                 await asyncio.sleep(0.05)
 
     def files(self):
-        """The published files; a partial file may exist for a moment while a former leader resumes."""
+        """Return the published files, without the partial file that a resumed former leader may write."""
         return {path.name: path.read_bytes() for path in self.out.glob("usage-*")}
 
     def exported(self):
-        """Calls in all files, by their outcome, and by whether they are corrections."""
+        """Return the calls in all CSV files, by outcome and by whether they are corrections."""
         calls = {}
         for path in sorted(self.out.glob("usage-*.csv")):
             for line in csv.DictReader(path.open()):
@@ -101,7 +101,7 @@
 
 
 @contextlib.asynccontextmanager
-async def working(folder, kind="postgresql", retention_ms=9e6):
+async def running_workers(folder, kind="postgresql", retention_ms=9e6):
     async with database(kind, folder) as (fleet_file, fleet, store, server):
         workers = Workers(folder, fleet_file, retention_ms)
         try:
@@ -110,8 +110,8 @@
             await workers.stop()
 
 
-async def all_exported(workers, fleet, count):
-    """Wait until the files hold this many calls; then check that no more follow."""
+async def wait_for_exported(workers, fleet, count):
+    """Wait until the files contain this many calls, and check that no more follow."""
     try:
         async with asyncio.timeout(WAIT_S):
             while sum(workers.exported().values()) < count or await fleet.read(
@@ -154,7 +154,7 @@
         ("folder = ''", "length >= 1"),
     ],
 )
-def test_invalid_worker_settings_are_one_line(tmp_path, line, message):
+def test_invalid_worker_settings_are_reported_on_one_line(tmp_path, line, message):
     text = WORK.format(folder=tmp_path, retention_ms=9e6)
     key = line.partition(" ")[0]
     text = "\n".join([each for each in text.splitlines() if not each.startswith(key)] + [line])
@@ -165,16 +165,16 @@
 
 
 @pytest.mark.parametrize("step", STEPS)
-def test_a_leader_frozen_at_any_step_and_resumed_late_does_no_harm(tmp_path, step):
+def test_a_leader_suspended_at_any_step_and_resumed_late_changes_nothing(tmp_path, step):
     async def run():
-        async with working(tmp_path, retention_ms=1400.0) as (workers, fleet, store, _):
+        async with running_workers(tmp_path, retention_ms=1400.0) as (workers, fleet, store, _):
             await store.write(outcomes(0, 200))
             await workers.start("old", pause=step)
             await workers.wait_for_log("old", '"point": "' + step)
             await workers.start("new")
             await workers.wait_for_log("new", "fleet.removed")
             await store.write(outcomes(200, 50))
-            await all_exported(workers, fleet, 250)
+            await wait_for_exported(workers, fleet, 250)
             before = workers.files()
             closed = await fleet.read("SELECT closed_in, term, exported_term FROM usage_closing")
             workers.processes["old"].send_signal(signal.SIGCONT)
@@ -183,16 +183,16 @@
             assert await fleet.read("SELECT closed_in, term, exported_term FROM usage_closing") == closed
             assert workers.files() == before
             refused = workers.log("old").count("worker.refused")
-            assert refused <= 3, "a line for each task that it believed to own"
+            assert refused <= 3, "at most one line for each task that the worker considered its own"
             if step in ("close:decided", "export:read", "export:linked", "retain:decided"):
                 assert refused, workers.log("old")
 
     asyncio.run(run())
 
 
-def test_a_leader_whose_responses_are_lost_does_nothing_twice(tmp_path):
+def test_a_leader_whose_responses_are_lost_exports_each_call_once(tmp_path):
     async def run():
-        async with working(tmp_path) as (workers, fleet, store, server):
+        async with running_workers(tmp_path) as (workers, fleet, store, server):
             address = server.dsn.partition("@")[2].partition("/")[0]
             link = Link(address)
             await link.start()
@@ -204,29 +204,29 @@
             await store.write(outcomes(0, 100))
             await asyncio.sleep(1.0)
             await workers.start("new")
-            await all_exported(workers, fleet, 100)
+            await wait_for_exported(workers, fleet, 100)
             link.heal()
             await store.write(outcomes(100, 100))
-            await all_exported(workers, fleet, 200)
+            await wait_for_exported(workers, fleet, 200)
             await link.stop()
 
     asyncio.run(run())
 
 
-def test_crashes_of_leaders_and_writers_lose_and_duplicate_nothing(tmp_path):
+def test_crashes_of_workers_neither_lose_nor_duplicate_calls(tmp_path):
     async def run():
-        async with working(tmp_path, "sqlite") as (workers, fleet, store, _):
+        async with running_workers(tmp_path, "sqlite") as (workers, fleet, store, _):
             rng, written = random.Random(7), 0
             for round_number in range(8):
                 await workers.start(f"w{round_number}")
                 batch = outcomes(written, 500)
                 await store.write(batch)
-                await store.write(batch[:200])  # one whose answer was lost comes again
+                await store.write(batch[:200])  # a batch whose response was lost is written again
                 written += 500
                 await asyncio.sleep(rng.uniform(0.1, 1.2))
                 if round_number % 3:
                     workers.processes[f"w{round_number - 1}"].send_signal(signal.SIGKILL)
-            await all_exported(workers, fleet, written)
+            await wait_for_exported(workers, fleet, written)
             assert set(workers.exported()) <= {("served", "0"), ("served", "1")}
 
     asyncio.run(run())
@@ -234,38 +234,38 @@
 
 def test_leaders_whose_clocks_are_minutes_apart_count_each_call_once(tmp_path):
     async def run():
-        async with working(tmp_path) as (workers, fleet, store, _):
+        async with running_workers(tmp_path) as (workers, fleet, store, _):
             await workers.start("ahead", ahead_s=300)
             await workers.wait_for_log("ahead", "fleet.in")
             await store.write(outcomes(0, 100))
-            await all_exported(workers, fleet, 100)
+            await wait_for_exported(workers, fleet, 100)
             await workers.start("right")
             await workers.wait_for_log("right", "fleet.in")
             workers.processes["ahead"].send_signal(signal.SIGTERM)
             await workers.processes["ahead"].wait()
             await store.write(outcomes(100, 100))
-            await all_exported(workers, fleet, 200)
+            await wait_for_exported(workers, fleet, 200)
             await workers.start("ahead again", ahead_s=300)
             workers.processes["right"].send_signal(signal.SIGKILL)
             await store.write(outcomes(200, 100))
-            await all_exported(workers, fleet, 300)
+            await wait_for_exported(workers, fleet, 300)
 
     asyncio.run(run())
 
 
 def test_a_stopped_worker_hands_over_at_once_and_the_command_line_shows_the_leaders(tmp_path):
     async def run():
-        async with working(tmp_path) as (workers, fleet, store, _):
+        async with running_workers(tmp_path) as (workers, fleet, store, _):
             await workers.start("a")
             await workers.wait_for_log("a", "fleet.in")
             await workers.start("b")
             await workers.wait_for_log("b", "fleet.in")
             workers.processes["a"].send_signal(signal.SIGTERM)
             assert await workers.processes["a"].wait() == 0
-            # It removes its row; on a slow machine its lease of 0.9 s may have expired first.
+            # The worker removes its row, unless its lease of 0.9 s has expired first on a slow machine.
             assert {member.name for member in (await fleet.read_state()).members.values()} == {"b"}
             await store.write(outcomes(0, 10))
-            await all_exported(workers, fleet, 10)
+            await wait_for_exported(workers, fleet, 10)
             shown = await asyncio.to_thread(
                 CliRunner().invoke, cli, ["fleet", "owners", "--fleet", str(workers.fleet_file)]
             )
@@ -276,14 +276,14 @@
     asyncio.run(run())
 
 
-def test_an_unusable_export_folder_is_logged_and_the_task_released(tmp_path):
+def test_an_unusable_export_folder_is_logged_and_the_task_is_retried(tmp_path):
     async def run():
-        async with working(tmp_path) as (workers, fleet, store, _):
+        async with running_workers(tmp_path) as (workers, fleet, store, _):
             (workers.out / "unrelated").touch()
             await store.write(outcomes(0, 10))
             await workers.start("a")
             await workers.wait_for_log("a", "is not an export folder and contains other files")
             (workers.out / "unrelated").unlink()
-            await all_exported(workers, fleet, 10)
+            await wait_for_exported(workers, fleet, 10)
 
     asyncio.run(run())
