--- a/tests/test_fleet_departure.py
+++ b/tests/test_fleet_departure.py
@@ -102,7 +102,7 @@
         renewer._backend.transact = transact
         was_reached = reached.is_set()
         await renewer.close(CLOSE_TIMEOUT_S)
-        assert await members(reader) == [], f"the proxy left during a request, at its suspension {number}"
+        assert await members(reader) == [], f"closed during a request, at its suspension {number}"
         return was_reached
 
 
--- a/tests/test_task_leadership.py
+++ b/tests/test_task_leadership.py
@@ -34,7 +34,7 @@
         state = one.renew(state)
         assert not one.terms and one.renew(state).tasks["x"].owner == other.lease_holder.incarnation
 
-    def test_a_leader_that_fails_releases_the_task_to_another_candidate(self):
+    def test_a_leader_that_fails_releases_the_task_and_another_candidate_gets_it(self):
         one, other = Candidate("a", "x"), Candidate("b", "x")
         state = other.renew(one.renew(FleetState()))
         one.leadership.failed(FencingToken("x", 1, one.lease_holder.incarnation))
