--- a/canvasplank/fleet/fair_division.py
+++ b/canvasplank/fleet/fair_division.py
@@ -28,10 +28,10 @@
     surplus = total - sum(claims.values())
     if surplus >= 0:
         each, remainder = divmod(surplus, len(claims))
-        return {key: claim + each + (place < remainder) for place, (key, claim) in enumerate(claims.items())}
+        return {key: claim + each + (index < remainder) for index, (key, claim) in enumerate(claims.items())}
     quotas: dict[Key, int] = {}
     undivided = total
-    for place, key in enumerate(sorted(claims, key=claims.__getitem__)):  # the smallest claim first
-        quotas[key] = min(claims[key], undivided // (len(claims) - place))
+    for index, key in enumerate(sorted(claims, key=claims.__getitem__)):  # the smallest claim first
+        quotas[key] = min(claims[key], undivided // (len(claims) - index))
         undivided -= quotas[key]
     return quotas
--- a/canvasplank/fleet/lease_renewer.py
+++ b/canvasplank/fleet/lease_renewer.py
@@ -113,7 +113,7 @@
 
         A request in flight is completed first.  If it were interrupted, it could leave an open transaction or
         a busy thread, on which the leaving request would fail, or a new member whose incarnation this process
-        does not know.  The store is given up after ``within_s`` seconds without an error.
+        does not know.  The method waits for the store for at most ``within_s`` seconds, and raises nothing.
         """
         if self._task is None:
             return
@@ -148,7 +148,7 @@
         previous_incarnation = self.holder.incarnation
         self._apply_response(response)
         self._reporter.on_response(previous_incarnation, request, response)
-        if response.incarnation is None:  # the next request joins; early, if this process was a member
+        if response.incarnation is None:  # only a member that was removed rejoins early
             eager = previous_incarnation is not None
         else:
             eager = self.holder.has_excess(response) or self.holder.is_below_target()
--- a/canvasplank/fleet/lease_transaction.py
+++ b/canvasplank/fleet/lease_transaction.py
@@ -22,16 +22,16 @@
     unexpired = _without_expired(state, request)
     if request.incarnation is None:
         return _join(unexpired, request)
-    known = unexpired.members.get(request.incarnation)
-    if known is None:
+    sender = unexpired.members.get(request.incarnation)
+    if sender is None:
         return unexpired, _response_without_lease(unexpired, request, "the lease has expired")
-    if request.seq <= known.seq:  # a delayed or duplicate request must not undo a newer one
+    if request.seq <= sender.seq:  # a delayed or duplicate request must not undo a newer one
         return state, _response_without_lease(state, request, "a stale request")
     if request.leaving:
-        return _remove(unexpired, request, known, "left")
-    if _uses_more_than_granted(known, request):  # the sender's view of its shares cannot be relied on
-        return _remove(unexpired, request, known, "the member uses more than it was granted")
-    return _renew(unexpired, request, known.incarnation)
+        return _remove(unexpired, request, sender, "left")
+    if _uses_more_than_granted(sender, request):  # the sender's view of its shares cannot be relied on
+        return _remove(unexpired, request, sender, "the member uses more than it was granted")
+    return _renew(unexpired, request, sender.incarnation)
 
 
 def _without_expired(state: FleetState, request: LeaseRequest) -> FleetState:
@@ -46,15 +46,15 @@
 
 
 def _remove(
-    state: FleetState, request: LeaseRequest, known: Member, reason: str
+    state: FleetState, request: LeaseRequest, sender: Member, reason: str
 ) -> tuple[FleetState, LeaseResponse]:
-    members = {key: member for key, member in state.members.items() if key != known.incarnation}
+    members = {key: member for key, member in state.members.items() if key != sender.incarnation}
     after = replace(state, members=members)
     return after, _response_without_lease(after, request, reason)
 
 
-def _uses_more_than_granted(known: Member, request: LeaseRequest) -> bool:
-    return any(_held(known, budget) < allocation.held for budget, allocation in request.in_use.items())
+def _uses_more_than_granted(sender: Member, request: LeaseRequest) -> bool:
+    return any(_held(sender, budget) < allocation.held for budget, allocation in request.in_use.items())
 
 
 def _join(state: FleetState, request: LeaseRequest) -> tuple[FleetState, LeaseResponse]:
--- a/canvasplank/fleet/renewal_schedule.py
+++ b/canvasplank/fleet/renewal_schedule.py
@@ -13,8 +13,8 @@
 STEADY_JITTER = (0.85, 1.0)  # as fractions of the renewal period
 EAGER_FRACTION = 0.2  # of the renewal period
 MAX_EAGER_PAUSES = 6  # in a row; by then the other members have had time to release shares
-EAGER_MS_PER_MEMBER = 5.0  # of the store's time while all proxies are eager; docs/fleet.md, Measured
-RETRY_MS_PER_MEMBER = 20.0  # of the store's time when all proxies retry together
+EAGER_MS_PER_MEMBER = 5.0  # the store's time for each proxy while all are eager; docs/fleet.md, Measured
+RETRY_MS_PER_MEMBER = 20.0  # the store's time for each proxy when all retry together
 MAX_DOUBLINGS = 10  # keeps the power of two small; the backoff reaches its upper bound long before
 
 
--- a/tests/test_cold_start.py
+++ b/tests/test_cold_start.py
@@ -226,8 +226,8 @@
             processes.discovery.in_trouble = True
             await processes.start([f"n{n}" for n in range(count)])
             for round_number in range(3):  # a crash loop adds only its first polls
-                crashing = [p for p in processes.started.proxies if p.process.returncode is None][:6]
-                await asyncio.gather(*(p.stop(signal.SIGKILL) for p in crashing))
+                killed = [p for p in processes.started.proxies if p.process.returncode is None][:6]
+                await asyncio.gather(*(p.stop(signal.SIGKILL) for p in killed))
                 await processes.start([f"c{round_number}{n}" for n in range(6)])
             started = now_s()
             await asyncio.sleep(5.0)
@@ -235,9 +235,11 @@
             assert len(processes.polls_since(started)) / 5.0 <= 1.75 * polls_per_s
             assert most_in(sorted(processes.discovery.polls), 0.1) <= 12
             processes.discovery.in_trouble = False
-            back = now_s()
+            recovered_s = now_s()
             recovery_s = await processes.wait_for_connections(count)
-            assert most_in(processes.polls_since(back), 0.1) <= 12, "the recovery causes no burst of polls"
+            assert most_in(processes.polls_since(recovered_s), 0.1) <= 12, (
+                "the recovery causes no burst of polls"
+            )
             assert recovery_s <= (5.0 if with_fleet_store else 2 * count / polls_per_s + 2.0)
             settled = len(processes.discovery.polls)
             await asyncio.sleep(2.0)
@@ -252,24 +254,24 @@
 
     async def run():
         async with simultaneous_start(tmp_path, count, polls_per_s) as processes:
-            far = Link(processes.discovery.address)
-            await far.start()
+            cut_link = Link(processes.discovery.address)
+            await cut_link.start()
             processes.started.discovery_for = lambda name: (
-                (far if name[0] == "f" else processes.discovery).address
+                (cut_link if name[0] == "f" else processes.discovery).address
             )
-            far.cut()
+            cut_link.cut()
             await processes.start([f"{'nf'[n % 2]}{n}" for n in range(count)])
             await processes.wait_for_connections(count // 2)
-            started, connections_before = now_s(), far.connections
+            started, connections_before = now_s(), cut_link.connections
             await asyncio.sleep(4.0)
             assert len(processes.polls_since(started)) <= 2, "a connected proxy does not poll"
-            assert (far.connections - connections_before) / 4.0 <= 1.75 * polls_per_s
+            assert (cut_link.connections - connections_before) / 4.0 <= 1.75 * polls_per_s
             assert {
                 proxy.name: await passes_test(proxy.address) for proxy in processes.started.proxies[:8]
             } == {proxy.name: proxy.name[0] == "n" for proxy in processes.started.proxies[:8]}
-            far.heal()
+            cut_link.heal()
             assert await processes.wait_for_connections(count) <= 2 * count / polls_per_s + 2.0
-            await far.stop()
+            await cut_link.stop()
 
     asyncio.run(run())
 
