--- a/canvasplank/codecs/__init__.py
+++ b/canvasplank/codecs/__init__.py
@@ -1,1 +1,1 @@
-"""The wire formats: incremental parsers and writers that do no I/O of their own."""
+"""The wire formats: incremental parsers and encoders without I/O."""
--- a/canvasplank/codecs/errors.py
+++ b/canvasplank/codecs/errors.py
@@ -1,7 +1,7 @@
-"""What all the parsers have in common: the size limit and the error."""
+"""The message size limit and the error that all parsers share."""
 
-MAX_MESSAGE_BYTES = 16 * 1024  # of one message, its head and length field included
+MAX_MESSAGE_BYTES = 16 * 1024  # of one message, including headers and length field
 
 
 class BadMessageError(ValueError):
-    """The peer sent what cannot be parsed; the text names what is wrong with it, for the log."""
+    """The peer sent bytes that cannot be parsed; the text gives the reason, for the log."""
--- a/canvasplank/codecs/isup.py
+++ b/canvasplank/codecs/isup.py
@@ -1,4 +1,7 @@
-"""The callers' binary messages: ``length:2 type:1 call:8``, then parameters ``code:1 length:2 value``."""
+"""The callers' binary protocol: ``length:2 type:1 call:8``, then parameters ``code:1 length:2 value``.
+
+The numbers are sizes in bytes; integers are big-endian.
+"""
 
 from __future__ import annotations
 
@@ -11,13 +14,13 @@
 from canvasplank.codecs.q850 import ReleaseCause
 
 _LENGTH = struct.Struct(">H")
-_HEAD = struct.Struct(">HB8s")
+_HEADER = struct.Struct(">HB8s")  # length, type, call
 _PARAMETER = struct.Struct(">BH")
-_MIN_LENGTH = _HEAD.size - _LENGTH.size  # type and call
+_MIN_LENGTH = _HEADER.size - _LENGTH.size  # type and call
 
 
 class Kind(enum.IntEnum):
-    """The message types in use; what to do with any other is up to the receiver."""
+    """The message types in use.  The parser accepts any other; the receiver decides what it means."""
 
     SET_UP = 1
     PROGRESS = 6
@@ -44,14 +47,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Message:
-    """One message; the call is 16 hex digits, as the other codecs have it."""
+    """One message; ``call_id`` is 16 hex digits, as in SIP."""
 
     kind: int
     call_id: str
     parameters: dict[int, bytes] = field(default_factory=dict)
 
     def text(self, code: Parameter) -> str:
-        """A parameter's text; raises ``BadMessageError`` where it is missing, or not printable words."""
+        """A parameter's text; raises ``BadMessageError`` if it is missing, or not one printable word."""
         value = self.parameters.get(code)
         if value is None:
             raise BadMessageError(f"parameter {code.value} ({code.name.lower()}) is missing")
@@ -60,31 +63,33 @@
         except UnicodeDecodeError as error:
             raise BadMessageError(f"parameter {code.value} ({code.name.lower()}) is not text") from error
         if not text.isprintable() or " " in text:
-            # It is passed on within lines of SIP, and must not be able to end one early.
-            raise BadMessageError(f"parameter {code.value} ({code.name.lower()}) holds blanks or controls")
+            # The text is copied into SIP lines, and must not end one early.
+            raise BadMessageError(
+                f"parameter {code.value} ({code.name.lower()}) contains spaces or control characters"
+            )
         return text
 
     @property
     def cause(self) -> int:
-        """The Q.850 cause, or normal clearing where none is given."""
+        """The Q.850 cause; normal clearing if the message has none."""
         value = self.parameters.get(Parameter.CAUSE, b"")
         return value[0] if value else ReleaseCause.NORMAL_CLEARING
 
 
 class Parser:
-    """Takes bytes in any split and yields complete messages."""
+    """Incremental parser: accepts bytes in pieces of any size and yields complete messages."""
 
     def __init__(self) -> None:
         self._buffer = bytearray()
 
     @property
     def in_message(self) -> bool:
-        """Whether a message has started and is incomplete."""
+        """Whether the buffer holds part of a message."""
         return bool(self._buffer)
 
     @property
     def buffered(self) -> int:
-        """Bytes of the incomplete message."""
+        """The number of bytes of the incomplete message."""
         return len(self._buffer)
 
     def clear(self) -> None:
@@ -92,7 +97,7 @@
         self._buffer.clear()
 
     def feed(self, data: bytes | memoryview) -> Iterator[Message]:
-        """Messages completed by these bytes; raises ``BadMessageError``."""
+        """Yield the messages that these bytes complete; raises ``BadMessageError``."""
         self._buffer += data
         while len(self._buffer) >= _LENGTH.size:
             (length,) = _LENGTH.unpack_from(self._buffer)
@@ -108,36 +113,38 @@
 
 
 def _decode(raw: bytes) -> Message:
-    _, kind, call = _HEAD.unpack_from(raw)
+    _, kind, call = _HEADER.unpack_from(raw)
     parameters: dict[int, bytes] = {}
-    at = _HEAD.size
-    while at < len(raw):
-        if at + _PARAMETER.size > len(raw):
-            raise BadMessageError(f"parameter at byte {at} is cut short")
-        code, length = _PARAMETER.unpack_from(raw, at)
-        at += _PARAMETER.size
-        if at + length > len(raw):
-            raise BadMessageError(f"parameter {code} says {length} bytes where {len(raw) - at} are left")
-        parameters[code] = raw[at : at + length]
-        at += length
+    offset = _HEADER.size
+    while offset < len(raw):
+        if offset + _PARAMETER.size > len(raw):
+            raise BadMessageError(f"parameter at byte {offset} is truncated")
+        code, length = _PARAMETER.unpack_from(raw, offset)
+        offset += _PARAMETER.size
+        if offset + length > len(raw):
+            raise BadMessageError(
+                f"parameter {code} has length {length}, but {len(raw) - offset} bytes are left"
+            )
+        parameters[code] = raw[offset : offset + length]
+        offset += length
     return Message(kind, call.hex(), parameters)
 
 
 def encode(message: Message) -> bytes:
-    """The bytes of a message, head and parameters."""
+    """The encoded message."""
     body = b"".join(_PARAMETER.pack(code, len(value)) + value for code, value in message.parameters.items())
-    return _HEAD.pack(_MIN_LENGTH + len(body), message.kind, bytes.fromhex(message.call_id)) + body
+    return _HEADER.pack(_MIN_LENGTH + len(body), message.kind, bytes.fromhex(message.call_id)) + body
 
 
 def answer(call_id: str, description: bytes) -> bytes:
-    """The encoded answer: the call is established."""
+    """An encoded ANSWER: the call is established."""
     return encode(Message(Kind.ANSWER, call_id, {Parameter.DESCRIPTION: description}))
 
 
 def release(call_id: str, cause: int, retry_after_ms: float | None = None) -> bytes:
-    """An encoded release: rejected, failed or ended, by the cause and by what went before.
+    """An encoded RELEASE.  Cause and call state tell whether the call is rejected, has failed or has ended.
 
-    ``retry_after_ms``: how long a rejected caller is to wait before it calls again.
+    ``retry_after_ms``: how long a rejected caller must wait before it retries.
     """
     parameters: dict[int, bytes] = {Parameter.CAUSE: bytes([cause])}
     if retry_after_ms is not None:
@@ -146,20 +153,20 @@
 
 
 def release_confirmed(call_id: str) -> bytes:
-    """The encoded confirmation of a release."""
+    """An encoded RELEASE_CONFIRMED."""
     return encode(Message(Kind.RELEASE_CONFIRMED, call_id))
 
 
 def progress(call_id: str) -> bytes:
-    """Encoded progress of a set-up: it may be sent at any time, and means nothing."""
+    """An encoded PROGRESS of a set-up: it may be sent at any time, and receivers ignore it."""
     return encode(Message(Kind.PROGRESS, call_id))
 
 
 def test(call_id: str) -> bytes:
-    """An encoded test: whether new callers may be sent there."""
+    """An encoded TEST, which asks whether the receiver accepts new callers."""
     return encode(Message(Kind.TEST, call_id, {Parameter.CAUSE: b"\0"}))
 
 
 def test_result(call_id: str, passed: bool) -> bytes:
-    """The encoded result of a test: whether new callers may be sent here."""
+    """An encoded TEST_RESULT; ``passed``: whether the sender accepts new callers."""
     return encode(Message(Kind.TEST_RESULT, call_id, {Parameter.CAUSE: bytes([passed])}))
--- a/canvasplank/codecs/q850.py
+++ b/canvasplank/codecs/q850.py
@@ -1,4 +1,4 @@
-"""Causes of a release (ITU-T Q.850), which both wire formats carry as a number."""
+"""Release causes (ITU-T Q.850), which both protocols carry as a number."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class ReleaseCause(enum.IntEnum):
-    """The causes that this program gives or distinguishes; any other number is passed on as it came."""
+    """The causes that this program sends or distinguishes; all others are forwarded unchanged."""
 
     NORMAL_CLEARING = 16  # the ordinary end of a call
     NORMAL_UNSPECIFIED = 31
--- a/canvasplank/codecs/sip.py
+++ b/canvasplank/codecs/sip.py
@@ -1,4 +1,4 @@
-"""The call servers' SIP over TCP: as much of RFC 3261 as these messages use."""
+"""SIP over TCP for the call servers: the part of RFC 3261 that their messages use."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 _CAUSE = re.compile(r"[0-9]{1,3}")
 _BRANCH = re.compile(r";\s*branch\s*=\s*([^;\s]+)", re.IGNORECASE)
 _BRANCH_COOKIE = "z9hG4bK"  # every branch begins with it (RFC 3261 8.1.1.7)
-# They share the branch of their INVITE (RFC 3261 9.1, 17.1.1.3).
+# CANCEL and ACK have the branch of their INVITE (RFC 3261 9.1, 17.1.1.3).
 _INVITE_METHODS = ("INVITE", "CANCEL", "ACK")
 
 
@@ -37,48 +37,48 @@
 
     @property
     def call_id(self) -> str:
-        """The Call-ID, which matches the messages of one call; empty: there is none."""
+        """The Call-ID, which all messages of a call share; empty if there is none."""
         return self.headers.get("call-id", "")
 
     @property
     def sequence(self) -> int:
-        """The number in CSeq; 0: there is none."""
+        """The number in CSeq; 0 if there is none."""
         match = _CSEQ.match(self.headers.get("cseq", ""))
         return int(match[1]) if match else 0
 
     @property
     def branch(self) -> str:
-        """The branch in the topmost Via, which names the transaction (RFC 3261 8.1.1.7); empty: none."""
+        """The branch in the topmost Via, the transaction id (RFC 3261 8.1.1.7); empty if there is none."""
         match = _BRANCH.search(self.headers.get("via", "").split(",")[0])
         return match[1] if match else ""
 
     def is_of_other_set_up(self, sequence: int) -> bool:
-        """Whether this response is to another of our INVITEs of its call than that of this CSeq number.
+        """Whether this response answers an INVITE of its call with another CSeq number than ``sequence``.
 
-        A response that repeats no branch of ours (RFC 3261 17.1.3) may be to any of them.
+        False if unknown: a response without a branch of this program (RFC 3261 17.1.3) may answer any INVITE.
         """
         ours = self.branch.startswith(f"{_BRANCH_COOKIE}{self.call_id}")
         return ours and self.branch != _branch("INVITE", self.call_id, sequence)
 
     @property
     def cause(self) -> int | None:
-        """The Q.850 cause in ``Reason`` (RFC 3326), if any; one out of range counts as unspecified.
+        """The Q.850 cause in ``Reason`` (RFC 3326), if any; ``NORMAL_UNSPECIFIED`` if it is out of range.
 
-        Callers are given it in one byte: a release whose cause that cannot hold would be passed on to nobody,
-        and the call stay established for ever.
+        The callers' protocol has one byte for the cause.  A release with a cause that does not fit could not
+        be forwarded, and the call would stay established for ever.
         """
         for reason in _QUOTED.sub("", self.headers.get("reason", "")).split(","):
             protocol, *parameters = (field.strip() for field in reason.split(";"))
             for name, _, value in (parameter.partition("=") for parameter in parameters):
                 if protocol.upper() == "Q.850" and name.strip().lower() == "cause":
                     value = value.strip()
-                    known = _CAUSE.fullmatch(value) and 0 < int(value) <= MAX_CAUSE
-                    return int(value) if known else ReleaseCause.NORMAL_UNSPECIFIED
+                    in_range = _CAUSE.fullmatch(value) and 0 < int(value) <= MAX_CAUSE
+                    return int(value) if in_range else ReleaseCause.NORMAL_UNSPECIFIED
         return None
 
 
 class _Head(NamedTuple):
-    """A parsed start line and the headers after it."""
+    """The head of a message: its start line and headers."""
 
     method: str
     status: int
@@ -86,26 +86,26 @@
 
 
 class Parser:
-    """Takes bytes in any split and yields complete messages."""
+    """Incremental parser: accepts bytes in pieces of any size and yields complete messages."""
 
     def __init__(self) -> None:
         self._buffer = bytearray()
-        self._head: _Head | None = None  # of the message whose body is incomplete
-        self._body_length = 0  # of that message, in bytes
+        self._head: _Head | None = None  # of a message with an incomplete body
+        self._body_length = 0  # of the message of ``_head``, in bytes
 
     @property
     def in_message(self) -> bool:
-        """Whether a message has started and is incomplete."""
+        """Whether a part of a message has been received."""
         return bool(self._buffer) or self._head is not None
 
     @property
     def buffered(self) -> int:
-        """Bytes of the incomplete message, but for its head once that is parsed."""
+        """The number of bytes of the incomplete message, without its head once that is parsed."""
         return len(self._buffer)
 
     @property
     def unread(self) -> bytes:
-        """What was fed and is part of no message that was yielded, but for a head that was parsed."""
+        """The bytes that belong to no yielded message, without a head that was parsed."""
         return bytes(self._buffer)
 
     def clear(self) -> None:
@@ -114,7 +114,7 @@
         self._head = None
 
     def feed(self, data: bytes | memoryview) -> Iterator[Message]:
-        """Messages completed by these bytes; raises ``BadMessageError``."""
+        """Yield the messages that these bytes complete; raises ``BadMessageError``."""
         self._buffer += data
         while (head := self._head or self._read_head()) is not None:
             if len(self._buffer) < self._body_length:
@@ -122,53 +122,53 @@
             body = bytes(self._buffer[: self._body_length])
             del self._buffer[: self._body_length]
             self._head = None
-            if body:  # a wrong Content-Length shows in what follows
-                self._check_prefix_behind(body)
+            if body:  # after a wrong Content-Length the next bytes do not begin a message
+                self._check_prefix_after(body)
             yield Message(head.method, head.status, head.headers, body)
 
     def _read_head(self) -> _Head | None:
-        """Parse the next head, where it is complete, and store it until its body is."""
+        """Parse the next head, if it is complete, and store it until its body is complete."""
         self._skip_blank_lines()
         end = self._buffer.find(_HEAD_END)
         if end < 0:
             self._check_prefix()
             if len(self._buffer) > MAX_MESSAGE_BYTES:
-                raise BadMessageError(f"no end of the headers within {MAX_MESSAGE_BYTES} bytes")
+                raise BadMessageError(f"headers do not end within {MAX_MESSAGE_BYTES} bytes")
             return None
         lines = _head_lines(bytes(self._buffer[:end]))
         headers = _parse_headers(lines[1:])
         body_length = _content_length(headers)
         if end + len(_HEAD_END) + body_length > MAX_MESSAGE_BYTES:
-            raise BadMessageError(f"message of over {MAX_MESSAGE_BYTES} bytes")
+            raise BadMessageError(f"message is longer than {MAX_MESSAGE_BYTES} bytes")
         head = _parse_start_line(lines[0], headers)
         del self._buffer[: end + len(_HEAD_END)]
         self._head, self._body_length = head, body_length
         return self._head
 
     def _skip_blank_lines(self) -> None:
-        """Empty lines between messages are ignored (RFC 3261 7.5)."""
+        """Discard empty lines between messages (RFC 3261 7.5)."""
         while self._buffer.startswith(b"\r\n"):
             del self._buffer[:2]
 
-    def _check_prefix_behind(self, body: bytes) -> None:
+    def _check_prefix_after(self, body: bytes) -> None:
         try:
             self._check_prefix()
         except BadMessageError:
-            self._buffer[:0] = body  # it may be no body at all: see ``unread``
+            self._buffer[:0] = body  # it may not be a body: keep it for ``unread``
             raise
 
     def _check_prefix(self) -> None:
-        """Raise ``BadMessageError`` where the first bytes are no message's, instead of awaiting its end."""
+        """Raise ``BadMessageError`` at once if the buffer does not begin like a message."""
         self._skip_blank_lines()
         if self._buffer == b"\r":
             return
         prefix = bytes(self._buffer[: len(_STATUS_PREFIX)])
         if prefix and not _STATUS_PREFIX.startswith(prefix) and not _REQUEST_PREFIX.fullmatch(prefix):
-            raise BadMessageError(f"no message begins with {prefix!r}")
+            raise BadMessageError(f"not the start of a message: {prefix!r}")
 
 
 def parse_head(data: bytes) -> Message:
-    """The message with this start line and these headers, without its body; raises ``BadMessageError``."""
+    """The message with this start line and headers, and an empty body; raises ``BadMessageError``."""
     lines = _head_lines(data)
     head = _parse_start_line(lines[0], _parse_headers(lines[1:]))
     return Message(head.method, head.status, head.headers, b"")
@@ -180,7 +180,7 @@
     except UnicodeDecodeError as error:
         raise BadMessageError("headers are not UTF-8") from error
     if _CONTROL.search(data):
-        raise BadMessageError("headers hold control characters")
+        raise BadMessageError("headers contain control characters")
     return lines
 
 
@@ -192,7 +192,7 @@
             raise BadMessageError(f"not a header: {line[:80]!r}")
         name, value = name.strip().lower(), value.strip()
         if headers.setdefault(name, value) != value and name == "content-length":
-            raise BadMessageError("Content-Length is given twice")
+            raise BadMessageError("conflicting values of Content-Length")
     return headers
 
 
@@ -210,7 +210,7 @@
     if len(fields) == _START_LINE_FIELDS and fields[0] == "SIP/2.0" and _STATUS.fullmatch(fields[1]):
         match = _CSEQ.match(headers.get("cseq", ""))
         if match is None:
-            raise BadMessageError(f"CSeq {headers.get('cseq', '')[:40]!r} names no method")
+            raise BadMessageError(f"CSeq {headers.get('cseq', '')[:40]!r} has no method")
         return _Head(match[2], int(fields[1]), headers)
     if len(fields) == _START_LINE_FIELDS and fields[2] == "SIP/2.0" and fields[0].isalpha():
         return _Head(fields[0], 0, headers)
@@ -218,7 +218,7 @@
 
 
 def _branch(method: str, call_id: str, sequence: int) -> str:
-    """The branch of a request of ours."""
+    """The branch that this program puts into a request."""
     suffix = "" if method in _INVITE_METHODS else f"-{method}"
     return f"{_BRANCH_COOKIE}{call_id}-{sequence}{suffix}"
 
@@ -231,7 +231,7 @@
     headers: dict[str, str] | None = None,
     body: bytes = b"",
 ) -> bytes:
-    """The bytes of a request; ``sequence`` is the number in CSeq."""
+    """An encoded request; ``sequence`` is the number in CSeq."""
     lines = [
         f"{method} sip:{user}@net SIP/2.0",
         f"Via: SIP/2.0/TCP edge;branch={_branch(method, call_id, sequence)}",
@@ -244,8 +244,8 @@
 
 
 def response(status: int, reason: str, answered: Message) -> bytes:
-    """The bytes of a response to a request, with the headers that it repeats (RFC 3261 8.2.6.2)."""
-    repeated = {"via": "Via", "from": "From", "to": "To", "call-id": "Call-ID", "cseq": "CSeq"}
+    """An encoded response to the request ``answered``, with headers copied from it (RFC 3261 8.2.6.2)."""
+    copied = {"via": "Via", "from": "From", "to": "To", "call-id": "Call-ID", "cseq": "CSeq"}
     lines = [f"SIP/2.0 {status} {reason}"]
-    lines += [f"{name}: {answered.headers[key]}" for key, name in repeated.items() if key in answered.headers]
+    lines += [f"{name}: {answered.headers[key]}" for key, name in copied.items() if key in answered.headers]
     return "\r\n".join([*lines, "Content-Length: 0"]).encode() + _HEAD_END
--- a/canvasplank/codecs/sse.py
+++ b/canvasplank/codecs/sse.py
@@ -1,4 +1,4 @@
-"""Server-sent events in an HTTP response (the HTML standard's event stream): what service discovery sends."""
+"""Server-sent events (HTML standard) in an HTTP response, the protocol of service discovery."""
 
 from __future__ import annotations
 
@@ -15,24 +15,24 @@
 
 
 class OversizedEventError(BadMessageError):
-    """An event is over the size limit; a parser that is fed on discards the rest of it."""
+    """An event exceeds the size limit.  The parser can be fed on, and discards the rest of the event."""
 
     def __init__(self, event_id: str) -> None:
-        """``event_id``: its id; empty where that has not been read yet."""
-        super().__init__(f"event of over {_MAX_EVENT_BYTES} bytes")
+        """``event_id``: the id of the event; empty if it has not been read yet."""
+        super().__init__(f"event is longer than {_MAX_EVENT_BYTES} bytes")
         self.event_id = event_id
 
 
 @dataclass(frozen=True, slots=True)
 class Event:
-    """One event: its id, and the lines of its data."""
+    """One event: its id and its data lines, joined by newlines."""
 
     id: str
     data: str
 
 
 def request(path: str, host: str, last_id: int) -> bytes:
-    """The bytes of a request for all events after one."""
+    """An encoded request for all events after ``last_id``."""
     return (
         f"GET {path} HTTP/1.1\r\nHost: {host}\r\nAccept: text/event-stream\r\n"
         f"Last-Event-ID: {last_id}\r\nConnection: close\r\n\r\n"
@@ -40,28 +40,28 @@
 
 
 class Parser:
-    """Takes the bytes of one response in any split and yields complete events."""
+    """Incremental parser of one response: accepts bytes in pieces of any size, yields complete events."""
 
     def __init__(self) -> None:
-        self._raw = bytearray()  # as received
-        self._text = bytearray()  # the body, without its chunks' heads
-        self.retry_after_ms = 0.0  # what a refusal has named; 0: nothing
+        self._raw = bytearray()  # received and not yet decoded
+        self._text = bytearray()  # the body without the chunked encoding
+        self.retry_after_ms = 0.0  # from ``Retry-After`` in an error response; 0: none
         self._in_body = False
         self._chunked = False
-        self._chunk_left = 0
-        self._id = ""  # the last one read, which holds for events without one
-        self._incomplete_event_id = ""  # of the incomplete event itself
-        self._data: list[str] = []  # lines of the incomplete event
-        self._discarding = False  # the rest of an oversized event
+        self._chunk_left = 0  # bytes of the current chunk still to come
+        self._id = ""  # the last id read, which also applies to events without an id
+        self._incomplete_event_id = ""  # the id in the incomplete event itself
+        self._data: list[str] = []  # data lines of the incomplete event
+        self._discarding = False  # whether the incomplete event is oversized, and its rest discarded
 
     @property
     def in_message(self) -> bool:
-        """Whether an event has started and is incomplete."""
+        """Whether part of an event has been received."""
         return bool(self.buffered)
 
     @property
     def buffered(self) -> int:
-        """Bytes of the incomplete event."""
+        """The number of bytes of the incomplete event."""
         return len(self._raw) + len(self._text) + sum(map(len, self._data))
 
     def clear(self) -> None:
@@ -71,9 +71,9 @@
         self._data = []
 
     def feed(self, data: bytes | memoryview) -> Iterator[Event]:
-        """Events completed by these bytes; comments are passed over.  Raises ``BadMessageError``.
+        """Yield the events that these bytes complete, without comments; raises ``BadMessageError``.
 
-        After an ``OversizedEventError`` it may be fed on.
+        After an ``OversizedEventError`` the parser can be fed on.
         """
         self._raw += data
         if not self._in_body and not self._read_head():
@@ -91,10 +91,12 @@
             self._discard_event()
 
     def _discard_event(self) -> None:
-        """Discard the incomplete event up to its end; raises ``OversizedEventError``, once for each."""
+        """Discard the incomplete event up to its end; raises ``OversizedEventError`` once per event."""
         self._data = []
         if len(self._text) > _MAX_EVENT_BYTES:
-            self._text[:] = b":"  # the rest of the line is a comment: it must not pass for an empty line
+            self._text[:] = (
+                b":"  # turns the rest of the line into a comment, since an empty rest would end the event
+            )
         if not self._discarding:
             self._discarding = True
             raise OversizedEventError(self._incomplete_event_id)
@@ -103,7 +105,7 @@
         end = self._raw.find(b"\r\n\r\n")
         if end < 0:
             if len(self._raw) > MAX_MESSAGE_BYTES:
-                raise BadMessageError(f"no end of the headers within {MAX_MESSAGE_BYTES} bytes")
+                raise BadMessageError(f"headers do not end within {MAX_MESSAGE_BYTES} bytes")
             return False
         status, *lines = self._raw[:end].decode("latin-1").split("\r\n")
         del self._raw[: end + 4]
@@ -116,13 +118,13 @@
             or status_fields[1] != "200"
         ):
             self.retry_after_ms = _retry_after_ms(headers)
-            raise BadMessageError(f"not a success: {status[:80]!r}")
+            raise BadMessageError(f"not a successful response: {status[:80]!r}")
         self._chunked = headers.get("transfer-encoding", "").lower() == "chunked"
         self._in_body = True
         return True
 
     def _unchunk(self) -> None:
-        """Move complete chunks to the text (RFC 9112 7.1); a chunk's length line may itself be split."""
+        """Move the data of chunks to ``_text`` (RFC 9112 7.1); a chunk's length line may arrive in pieces."""
         while self._raw:
             if self._chunk_left:
                 piece = self._raw[: self._chunk_left]
@@ -133,13 +135,13 @@
             end = self._raw.find(b"\r\n")
             if end < 0:
                 if len(self._raw) > MAX_MESSAGE_BYTES:
-                    raise BadMessageError("chunk without a length")
+                    raise BadMessageError("chunk length line does not end")
                 return
             line = bytes(self._raw[:end]).split(b";")[0].strip()
             del self._raw[: end + 2]
-            if not line:  # the line end behind a chunk
+            if not line:  # the line end after a chunk's data
                 continue
-            if not _CHUNK_LENGTH.fullmatch(line):  # a negative length would never be reached
+            if not _CHUNK_LENGTH.fullmatch(line):  # rejects a negative length, which would never be reached
                 raise BadMessageError(f"chunk length {line[:20]!r} is not a number")
             self._chunk_left = int(line, 16)
 
@@ -159,14 +161,16 @@
 
 
 def _retry_after_ms(headers: Mapping[str, str]) -> float:
-    """``Retry-After`` (RFC 9110 10.2.3): seconds, or a date against the response's own; 0: none readable."""
+    """``Retry-After`` (RFC 9110 10.2.3) in ms: seconds, or a date less ``Date``; 0 if none is readable."""
     retry_after = headers.get("retry-after", "")
     if _SECONDS.fullmatch(retry_after):
         return float(retry_after) * 1000
-    from email.utils import parsedate_to_datetime  # only here: costs every start what few refusals need
+    from email.utils import (
+        parsedate_to_datetime,
+    )  # imported here, since few error responses need it and it slows every start
 
     try:
         retry_at, sent_at = parsedate_to_datetime(retry_after), parsedate_to_datetime(headers.get("date", ""))
         return max(0.0, (retry_at - sent_at).total_seconds() * 1000)
-    except (ValueError, TypeError, OverflowError):  # TypeError: one of them names its zone and the other not
+    except (ValueError, TypeError, OverflowError):  # TypeError: only one of the dates has a time zone
         return 0.0
--- a/canvasplank/config/__init__.py
+++ b/canvasplank/config/__init__.py
@@ -1,1 +1,1 @@
-"""What the program is configured with: its file, the platform's settings, discovery events and addresses."""
+"""The configuration: its files, the platform's settings, discovery events and addresses."""
--- a/canvasplank/config/configuration.py
+++ b/canvasplank/config/configuration.py
@@ -1,6 +1,6 @@
 """The configuration file: addresses, resource limits, the bootstrap state and the platform's settings.
 
-Decoded with msgspec, which skips keys that this version does not know.
+Unknown keys are ignored.
 """
 
 from __future__ import annotations
@@ -14,21 +14,21 @@
 
 
 class ConfigurationError(ValueError):
-    """The configuration cannot be used; the message gives the reason in one line."""
+    """The configuration is unusable; the message gives the reason in one line."""
 
 
 class ResourceLimits(msgspec.Struct):
-    """What the platform lets this process use."""
+    """The resources that the platform allows this process."""
 
-    sockets: Annotated[int, msgspec.Meta(gt=0)] = 1024  # descriptors
+    sockets: Annotated[int, msgspec.Meta(gt=0)] = 1024  # file descriptors
     memory_mb: Annotated[float, msgspec.Meta(gt=0)] = 192
     cores: float = 1.0
 
 
 class BootstrapState(msgspec.Struct):
-    """Events of service discovery up to the start."""
+    """The events of service discovery before the start."""
 
-    rev: int = 0  # the number of the last one
+    rev: int = 0  # the number of the last event
     events: list[DiscoveryEvent] = msgspec.field(name="notices", default_factory=list)
 
 
@@ -36,17 +36,17 @@
     """The configuration file."""
 
     listen: str  # the callers' address
-    seed: str  # of all random draws, hexadecimal
+    seed: str  # of all random number generators, hexadecimal
     discovery: str = msgspec.field(name="board")  # the address of service discovery
-    settings: dict[str, Any]  # the platform's, see ``platform_settings``
+    settings: dict[str, Any]  # the platform's settings: see ``platform_settings``
     name: str = ""
-    admin: str = ""  # the operators' address; empty: no such listener
+    admin: str = ""  # the address for operators' commands; empty: no listener for them
     known: BootstrapState = msgspec.field(default_factory=BootstrapState)
     limits: ResourceLimits = msgspec.field(default_factory=ResourceLimits)
 
 
 def load_configuration(path: str) -> Configuration:
-    """Read the file; raises ``ConfigurationError`` for whatever is wrong with it."""
+    """Read and check the configuration file; raises ``ConfigurationError``."""
     try:
         with open(path, "rb") as file:
             configuration = msgspec.json.decode(file.read(), type=Configuration)
@@ -58,6 +58,6 @@
         msgspec.MsgspecError,
         ValueError,
         RecursionError,
-    ) as error:  # the last: nested too deeply
+    ) as error:  # RecursionError: JSON nested too deeply
         raise ConfigurationError(f"configuration {path}: {error}") from None
     return configuration
--- a/canvasplank/config/discovery_events.py
+++ b/canvasplank/config/discovery_events.py
@@ -1,4 +1,4 @@
-"""Events of service discovery, and the endpoint list that they add up to."""
+"""Events of service discovery, and the endpoint list that results from them."""
 
 from __future__ import annotations
 
@@ -10,25 +10,25 @@
 
 
 class Endpoint(msgspec.Struct, rename="camel"):
-    """One call server, as service discovery describes it."""
+    """A call server in service discovery."""
 
     instance_id: str
     host_port: str
     lifecycle: str  # ``READY``, ``DRAINING`` or ``GONE``; anything else counts as draining
     cell: int = 0
-    started_at_ms: float = 0  # Unix time of the start of its process; 0: long ago
+    started_at_ms: float = 0  # Unix time of the start of the server's process; 0: long ago
     zone: str = ""
 
 
 class EndpointListUpdate(msgspec.Struct):
-    """A change of the endpoint list, or the complete list where ``reset`` is set."""
+    """Changed endpoints, or the complete list if ``reset`` is set."""
 
     instances: list[Endpoint]
     reset: bool = False
 
 
 class DiscoveryEvent(msgspec.Struct):
-    """One numbered event of service discovery."""
+    """An event of service discovery; ``rev`` is its number."""
 
     rev: int
     pool: EndpointListUpdate | None = None
@@ -43,32 +43,32 @@
 }
 
 
-def apply_event(instances: dict[str, Endpoint], event: DiscoveryEvent) -> None:
-    """Apply one event to the endpoint list, by ``instanceId``."""
+def apply_event(endpoints: dict[str, Endpoint], event: DiscoveryEvent) -> None:
+    """Apply an event to the endpoint list, a dictionary by ``instance_id``."""
     if event.pool is None:
         return
     if event.pool.reset:
-        instances.clear()
-    for instance in event.pool.instances:
-        if instance.lifecycle == GONE:
-            instances.pop(instance.instance_id, None)
+        endpoints.clear()
+    for endpoint in event.pool.instances:
+        if endpoint.lifecycle == GONE:
+            endpoints.pop(endpoint.instance_id, None)
         else:
-            instances[instance.instance_id] = instance
+            endpoints[endpoint.instance_id] = endpoint
 
 
 def endpoints_after(events: Iterable[DiscoveryEvent]) -> list[Endpoint]:
-    """The endpoint list after these events."""
-    instances: dict[str, Endpoint] = {}
+    """The endpoint list that results from these events."""
+    endpoints: dict[str, Endpoint] = {}
     for event in events:
-        apply_event(instances, event)
-    return list(instances.values())
+        apply_event(endpoints, event)
+    return list(endpoints.values())
 
 
-def to_server(instance: Endpoint) -> api.Server:
-    """The endpoint as the decision module reads it; an unknown lifecycle counts as draining."""
+def to_server(endpoint: Endpoint) -> api.Server:
+    """The endpoint in the decision module's form; an unknown lifecycle counts as draining."""
     return api.Server(
-        instance.instance_id,
-        instance.cell,
-        _STATES.get(instance.lifecycle, api.ServerState.DRAINING),
-        instance.started_at_ms or None,
+        endpoint.instance_id,
+        endpoint.cell,
+        _STATES.get(endpoint.lifecycle, api.ServerState.DRAINING),
+        endpoint.started_at_ms or None,
     )
--- a/canvasplank/config/extension_file.py
+++ b/canvasplank/config/extension_file.py
@@ -1,4 +1,4 @@
-"""Reads the TOML file that switches an extension on."""
+"""Reads the TOML file that enables and configures an extension."""
 
 from __future__ import annotations
 
@@ -18,8 +18,8 @@
 ) -> Settings:
     """The settings of the extension ``name``, decoded as ``kind``.
 
-    ``check`` raises ``ValueError`` for what the types do not express.  Raises ``ConfigurationError``, with a
-    message of one line, for whatever is wrong with the file.
+    ``check`` raises ``ValueError`` for constraints that the types do not express.  Raises
+    ``ConfigurationError`` with a message of one line if the file is unusable.
     """
     try:
         with open(path, "rb") as file:
--- a/canvasplank/config/platform_settings.py
+++ b/canvasplank/config/platform_settings.py
@@ -1,4 +1,4 @@
-"""The platform's settings, as the decision module, the network side and the simulator adapter read them."""
+"""Decodes the platform's settings for the decision module, the network and the simulator adapter."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 from canvasplank import interface as api
 from canvasplank.config.configuration import ConfigurationError
 
-# The platform's words for when load figures are reported, and its columns of them.
-_SOURCES = {
+# The platform's names of report sources and of report columns.
+_REPORT_SOURCES = {
     "off": api.ReportSource.NONE,
     "on_probe": api.ReportSource.PROBES,
     "inline": api.ReportSource.ANSWERS,
@@ -27,7 +27,7 @@
 
 
 class ConnectionLimits(msgspec.Struct):
-    """The limits in the settings that concern connections and tables, and not the decisions."""
+    """The limits in the settings on connections and open calls, which the decision module does not read."""
 
     connect_timeout_ms: float
     conn_idle_ms: float
@@ -35,19 +35,19 @@
 
 
 class RequestBounds(msgspec.Struct, frozen=True):
-    """What a set-up may name, by the settings: classes, pools and circuits.  None: not bounded."""
+    """The values that the settings allow in a set-up; None: not bounded."""
 
     classes: frozenset[str]
-    tenants: frozenset[str]  # empty where the settings name none: then the tenant is not read
+    tenants: frozenset[str]  # empty: the settings have no tenants, and a set-up's tenant is not read
     pools: frozenset[int] | None
-    max_width: int | None
+    max_width: int | None  # circuits of one call
 
 
 class LoadReportReader:
-    """Reads the load figures that servers report, in the columns that the settings name.
+    """Reads servers' load reports, whose columns the settings name.
 
-    The first two columns are a group's free circuits and all its circuits, whatever the settings call them,
-    since deployments name them differently.
+    The first two columns are a circuit group's free circuits and all its circuits.  They are identified by
+    position, since deployments name them differently.
     """
 
     def __init__(self, columns: Iterable[str]) -> None:
@@ -55,14 +55,14 @@
         self._free, self._size = (*self._columns, "", "")[:2]
 
     def circuits(self, figures: Mapping[str, float | None]) -> tuple[float, float] | None:
-        """Free circuits and all circuits; None: not both are reported."""
+        """The free circuits and all circuits; None unless both are reported."""
         free, size = known_or_none(figures.get(self._free)), known_or_none(figures.get(self._size))
         return None if free is None or size is None else (free, size)
 
     def report(self, figures: Mapping[str, float | None], wait_ms: float | None = None) -> api.Report | None:
-        """The load figures that the decision module knows; None: there are none.
+        """The load figures that the decision module uses; None if there are none.
 
-        ``wait_ms`` is a wait at the processor reported elsewhere, used where the figures hold none.
+        ``wait_ms`` is a wait at the processor that was reported elsewhere, used if ``figures`` has none.
         """
         values = {
             REPORT_FIELDS[name].value: value
@@ -75,12 +75,12 @@
 
 
 def known_or_none(value: float | None) -> float | None:
-    """A figure, or None where the wire omits it or has -1 for it."""
+    """The figure, or None if it is omitted or negative: -1 stands for 'not reported'."""
     return None if value is None or value < 0 else value
 
 
 def read_connection_limits(options: dict[str, Any]) -> ConnectionLimits:
-    """The limits on connections; raises ``ConfigurationError``."""
+    """The limits on connections and open calls; raises ``ConfigurationError``."""
     try:
         return msgspec.convert(options["ceilings"], ConnectionLimits)
     except (KeyError, msgspec.ValidationError) as error:
@@ -88,7 +88,7 @@
 
 
 def read_load_report_reader(options: dict[str, Any]) -> LoadReportReader:
-    """A reader of the columns that servers report; raises ``ConfigurationError``."""
+    """A reader for the columns of load reports in the settings; raises ``ConfigurationError``."""
     try:
         return LoadReportReader(msgspec.convert(options["load_report"]["names"], list[str]))
     except (KeyError, TypeError, msgspec.ValidationError) as error:
@@ -113,33 +113,33 @@
 
 
 def read_settings(options: dict[str, Any]) -> api.Settings:
-    """The settings of the decision module; keys that it does not know are ignored.
+    """The settings of the decision module; unknown keys are ignored.
 
-    Raises ``interface.SettingsError``, which names the key, by the platform's name for it.
+    Raises ``interface.SettingsError``, with the platform's name of the key.
     """
     try:
-        return _settings(options)
+        return _decode_settings(options)
     except KeyError as missing:
         raise api.SettingsError(f"setting {missing.args[0]!r} is missing or unknown") from None
     except (TypeError, IndexError, AttributeError) as broken:
         raise api.SettingsError(f"settings are malformed: {broken}") from None
 
 
-def _settings(options: dict[str, Any]) -> api.Settings:
+def _decode_settings(options: dict[str, Any]) -> api.Settings:
     rules, limits, family = options["rules"], options["ceilings"], options["family_info"]
     report = options["load_report"]
-    classes = _classes(options["profiles"], family)
+    classes = _decode_classes(options["profiles"], family)
     tenants = options.get("tenants") or ()
     return api.Settings(
         instances=options["instances"],
         classes=classes,
-        rules=_rules(rules, family),
+        rules=_decode_rules(rules, family),
         max_attempts=limits["most_tries"],
         tick_ms=options["tick_ms"],
         resend_ms=known_or_none(family.get("resend_ms")) or None,
         tenants=tuple(api.Tenant(tenant["name"], tenant["quota_per_s"]) for tenant in tenants),
         over_quota_weight=options.get("over_share_worth", 1.0),
-        reports=_SOURCES[report["via"]],
+        reports=_REPORT_SOURCES[report["via"]],
         report_fields=tuple(REPORT_FIELDS[name] for name in report["names"] if name in REPORT_FIELDS),
         probes_allowed=limits["probes"],
         cancel_allowed=limits["cancel"],
@@ -149,7 +149,7 @@
     )
 
 
-def _classes(profiles: list[dict[str, Any]], family: dict[str, Any]) -> tuple[api.CallClass, ...]:
+def _decode_classes(profiles: list[dict[str, Any]], family: dict[str, Any]) -> tuple[api.CallClass, ...]:
     pools, holds = family.get("skilled_pools"), family.get("class_hold_ms") or ()
     return tuple(
         api.CallClass(
@@ -165,7 +165,7 @@
     )
 
 
-def _rules(rules: dict[str, Any], family: dict[str, Any]) -> api.Rules:
+def _decode_rules(rules: dict[str, Any], family: dict[str, Any]) -> api.Rules:
     return api.Rules(
         release_ms=family["clear_wait_ms"],
         drain_grace_ms=rules["stop_sending_within_ms"],
--- a/canvasplank/counters.py
+++ b/canvasplank/counters.py
@@ -1,35 +1,40 @@
-"""Counts for the operators: printed on SIGUSR1 and at the end, and as figures on the admin address."""
+"""Counters for operators: printed on SIGUSR1 and at exit, and read as metrics from the admin address."""
 
 from __future__ import annotations
 
 from collections import Counter
 
-CLASS_FIGURES = ("served", "refused", "failed", "attempts")  # by class, by the front's names for them
+CLASS_FIGURES = (
+    "served",
+    "refused",
+    "failed",
+    "attempts",
+)  # counted by class; the names are fixed by the front that reads them
 
 
 class Counters:
-    """Counts by name, in groups: taken in, sent, answered, ended, sockets and the extensions' own."""
+    """Counters by name.  Groups: taken (received), sent, answered, ended, sockets, and one per extension."""
 
     def __init__(self) -> None:
         self._counts: Counter[str] = Counter()
-        self._by_class: Counter[tuple[str, str]] = Counter()  # (figure, class)
+        self._by_class: Counter[tuple[str, str]] = Counter()  # keys: (figure, class name)
 
     def add(self, name: str, more: int = 1) -> None:
-        """Add to a count; names are ``group.what``."""
+        """Add to a counter; names have the form ``group.name``."""
         self._counts[name] += more
 
     def set(self, name: str, value: int) -> None:
-        """Set a count that another component maintains."""
+        """Set a counter that another component maintains."""
         self._counts[name] = value
 
     def by_class(self, figure: str, class_name: str) -> None:
-        """Count a call's answer, or an attempt, for its class; ``figure`` is one of ``CLASS_FIGURES``."""
+        """Add 1 to a class's count of answers or attempts; ``figure`` is one of ``CLASS_FIGURES``."""
         self._by_class[figure, class_name] += 1
 
     def figures(self, in_flight: int, servers_known: int, servers_excluded: int) -> list[str]:
-        """The figures in the exposition format that the front reads, a line each.
+        """The metrics in the text exposition format that the front reads, one per line.
 
-        Every class seen has all four figures, so that a 0 reads as 0 and not as missing.
+        Every class seen has all ``CLASS_FIGURES``, so that a 0 is reported and does not look missing.
         """
         classes = sorted({class_name for _, class_name in self._by_class})
         lines = [
@@ -48,14 +53,14 @@
         return self._counts[name]
 
     def lines(self) -> list[str]:
-        """One line a group, in a fixed order."""
+        """One line per group, sorted by name."""
         groups: dict[str, list[str]] = {}
         for name in sorted(self._counts):
-            group, _, what = name.partition(".")
-            groups.setdefault(group, []).append(f"{what}={self._counts[name]}")
+            group, _, name_in_group = name.partition(".")
+            groups.setdefault(group, []).append(f"{name_in_group}={self._counts[name]}")
         return [f"counters {group}: {' '.join(counts)}" for group, counts in groups.items()]
 
 
 def _escaped(label: str) -> str:
-    """A label value as the exposition format writes it."""
+    """A label value, escaped for the text exposition format."""
     return label.replace("\\", "\\\\").replace('"', '\\"').replace("\n", "\\n")
--- a/canvasplank/exchange/__init__.py
+++ b/canvasplank/exchange/__init__.py
@@ -1,1 +1,1 @@
-"""Where callers, call servers and the decision module meet."""
+"""The exchange, which connects callers, call servers and the decision module."""
--- a/canvasplank/exchange/attempts.py
+++ b/canvasplank/exchange/attempts.py
@@ -1,4 +1,4 @@
-"""Attempts: sending a call to a server, at most one at a time, and ending that once."""
+"""Attempts to set up a call at a server: a call has at most one in flight, and each ends once."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class Attempts:
-    """Starts attempts as the decision module decides, and reports the end of each to it once."""
+    """Starts the attempts that the decision module requests, and reports the end of each to it once."""
 
     def __init__(
         self,
@@ -32,10 +32,10 @@
         self._outcomes, self._dispatcher = outcomes, dispatcher
 
     def start(self, call_id: str, server_id: str, timeout_ms: float) -> None:
-        """Send a call to a server; its time-out includes the time for connecting."""
+        """Send a call to a server; ``timeout_ms`` includes the time for connecting."""
         call = self._table.open.get(call_id)
         if call is None or not call.unanswered or call.in_flight is not None:
-            LOG.error("set-up for call %s, which cannot have one", call_id)
+            LOG.error("attempt for call %s not started: the call is unknown, answered or in flight", call_id)
             return
         attempt = call.in_flight = Attempt(call.attempts, server_id, self._scheduler.now_ms)
         call.attempts += 1
@@ -45,7 +45,7 @@
         self.servers.set_up(server_id, call, attempt.number, timeout_ms)
 
     def cancel(self, call_id: str, number: int) -> None:
-        """Cancel the attempt of this number, if it is in flight."""
+        """Cancel the attempt with this number, if it is in flight."""
         call = self._table.open.get(call_id)
         if call is not None and call.in_flight is not None and call.in_flight.number == number:
             self._counters.add("sent.cancels")
@@ -59,10 +59,10 @@
         cancel: bool = False,
         details: RefusalDetails = NO_DETAILS,
     ) -> None:
-        """End the attempt in flight, if any, and report it; ``cancel``: cancel it at its server too.
+        """End the attempt in flight, if any, and report its outcome.
 
-        One that is cancelled stays in flight until the cancellation has left this process: the time that a
-        call must stay away after it counts from then.
+        With ``cancel`` the attempt is cancelled at its server too, and stays in flight until the cancellation
+        has left this process: the minimum delay before the call's next attempt counts from then.
         """
         attempt = call.in_flight
         if attempt is None or attempt.cancelled:
--- a/canvasplank/exchange/call_table.py
+++ b/canvasplank/exchange/call_table.py
@@ -1,4 +1,4 @@
-"""The table of calls: open, established, and the ids of those that have ended."""
+"""The table of open and established calls, and of the ids of ended calls."""
 
 from __future__ import annotations
 
@@ -7,19 +7,20 @@
 from canvasplank.exchange.call_records import CallRecord
 from canvasplank.runtime.scheduler import TimerQueue
 
-# Ids of ended calls that are remembered, so that a release that comes twice is passed on once.
+# Ids of ended calls that are kept, so that a retransmitted release is forwarded only once.
 MAX_ENDED_CALLS = 8192
-# Of the configured memory: the most that descriptions of unanswered calls may take.
+# The fraction of the configured memory that the descriptions of open calls may take.
 DESCRIPTIONS_FRACTION = 1 / 8
-# Of the configured memory: the most that the records of open and established calls may take.
+# The fraction of the configured memory that the records of open and established calls may take.
 RECORDS_FRACTION = 1 / 4
-CALL_RECORD_BYTES = 2048  # of one call, in this table, the decision module's and the connections'
+CALL_RECORD_BYTES = 2048  # of one call: here, in the decision module and in the connections
 
 
 class CallTable:
-    """Every call that the exchange knows, each in one state.
+    """The calls of the exchange by id, each in one state: open, established or ended.
 
-    A call is open while it is unanswered or has an attempt in flight, then established, or ended at once.
+    A call is open while it is unanswered or has an attempt in flight.  An open call then becomes established
+    or ends.
     """
 
     def __init__(self, timers: TimerQueue, max_open: int, memory_bytes: float) -> None:
@@ -34,32 +35,32 @@
         self._description_bytes = 0
 
     def set_memory_limit(self, memory_bytes: float) -> None:
-        """Bound what descriptions and the records of calls may take by the configured memory."""
+        """Set the limits on descriptions and on call records from the configured memory."""
         self._max_description_bytes = DESCRIPTIONS_FRACTION * memory_bytes
         self._max_calls = int(RECORDS_FRACTION * memory_bytes / CALL_RECORD_BYTES)
 
     def find(self, call_id: str) -> CallRecord | None:
-        """The call, if it is open or established."""
+        """The call with this id, if it is open or established."""
         return self.open.get(call_id) or self.established.get(call_id)
 
     def has_ended(self, call_id: str) -> bool:
-        """Whether the id is that of a call that ended recently."""
+        """Whether a call with this id is among the last ``MAX_ENDED_CALLS`` that ended."""
         return call_id in self._ended
 
     def has_room_for(self, call: CallRecord) -> bool:
-        """Whether one more open call is within the bounds on calls and on memory."""
+        """Whether this call can be added within the limits on calls and on memory."""
         description_bytes = self._description_bytes + len(call.description)
         calls = len(self.open) + len(self.established)
         has_room = len(self.open) < self._max_open and calls < self._max_calls
         return has_room and description_bytes <= self._max_description_bytes
 
     def add(self, call: CallRecord) -> None:
-        """Enter a new call as open."""
+        """Add a new open call."""
         self.open[call.id] = call
         self._description_bytes += len(call.description)
 
     def close(self, call: CallRecord) -> None:
-        """Take a call that is answered, with no attempt in flight, out of the open ones."""
+        """Remove an answered call without an attempt in flight from the open calls."""
         if self.open.pop(call.id, None) is None:
             return
         self._timers.cancel(call.timer)
@@ -69,28 +70,28 @@
             self.remember_ended(call.id)
 
     def establish(self, call: CallRecord, server_id: str, now_ms: float) -> None:
-        """Move an open call to the established ones."""
+        """Move an open call to the established calls."""
         call.established_server_id, call.established_ms = server_id, now_ms
         self.close(call)
         self.established[call.id] = call
 
     def end_established(self, call: CallRecord) -> None:
-        """Take a call out of the established ones."""
+        """Remove a call from the established calls."""
         del self.established[call.id]
         self.remember_ended(call.id)
 
     def remember_ended(self, call_id: str) -> None:
-        """Remember that the call of this id has ended."""
+        """Record that the call with this id has ended."""
         self._ended[call_id] = None
         if len(self._ended) > MAX_ENDED_CALLS:
             self._ended.popitem(last=False)
 
     def unanswered(self) -> list[CallRecord]:
-        """Calls that lack their final answer."""
+        """The calls without a final answer."""
         return [call for call in self.open.values() if call.unanswered]
 
     def established_at(self, server_id: str, before_ms: float) -> list[CallRecord]:
-        """Calls that were established at a server before a time."""
+        """The calls that were established at a server before a time."""
         return [
             call
             for call in self.established.values()
@@ -98,7 +99,7 @@
         ]
 
     def has_calls_at(self, server_id: str) -> bool:
-        """Whether a call is established at a server, or an attempt in flight there."""
+        """Whether a server has an established call or an attempt in flight."""
         in_flight = (call.in_flight for call in self.open.values() if call.in_flight is not None)
         return any(call.established_server_id == server_id for call in self.established.values()) or any(
             attempt.server_id == server_id for attempt in in_flight
--- a/canvasplank/exchange/event_dispatcher.py
+++ b/canvasplank/exchange/event_dispatcher.py
@@ -1,4 +1,4 @@
-"""Hands events to the decision module one at a time, and carries out its actions in order."""
+"""Passes events to the decision module one at a time and executes its actions in order."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from canvasplank.runtime.scheduler import Scheduler
 
 LOG = logging.getLogger(__name__)
-Decide = Callable[[float, api.Event], list[api.Action]]  # the module: the time in ms, and an event
+Decide = Callable[[float, api.Event], list[api.Action]]  # the decision module: (time in ms, event)
 
 
 class EventDispatcher:
@@ -22,9 +22,10 @@
         self._dispatching = False
 
     def dispatch(self, event: api.Event) -> None:
-        """Hand over an event and execute the actions that come back.
+        """Pass an event to the decision module and execute the actions that it returns.
 
-        An event that an action causes is queued and handed over after it, in order.
+        An event that an action causes is queued, and passed on once all actions of the current event are
+        executed.
         """
         self._events.append(event)
         if self._dispatching:
@@ -39,8 +40,8 @@
     def _handle(self, event: api.Event) -> None:
         try:
             actions = self._decide(self._scheduler.now_ms, event)
-        except Exception:  # a failure in one decision must not end the program and all its other calls
-            LOG.exception("the decision module failed on %s", type(event).__name__)
+        except Exception:  # a failed decision must not end the process and its other calls
+            LOG.exception("decision module raised an exception on a %s event", type(event).__name__)
             return
         for action in actions:
             self._execute(action)
--- a/canvasplank/exchange/exchange.py
+++ b/canvasplank/exchange/exchange.py
@@ -1,9 +1,10 @@
-"""The exchange: the only place where callers, call servers and the decision module meet.
+"""The exchange: the only component that connects callers, call servers and the decision module.
 
-It owns the table of calls, the clock that the decision module is given, the module itself, and each call's
-one final answer.  It carries out what the module decides and reports what happens; it never chooses, retries,
-queues or rejects by itself.  A protocol is a component that calls the methods of its side here and offers
-those of ``CallerSide`` or ``ServerSide``; the exchange knows nothing else of it.
+The exchange owns the table of calls, the decision module and its clock, and ensures that each call gets one
+final answer.  It executes the actions of the decision module and reports events to it.  Server selection,
+retries, queueing and admission are decided there, not here.  A protocol component calls the methods for its
+side on ``Exchange`` and implements ``CallerSide`` or ``ServerSide``; the exchange depends on nothing else of
+it.
 """
 
 from __future__ import annotations
@@ -33,12 +34,12 @@
 
 
 class Exchange:
-    """Callers on one side, call servers on the other, the decisions between them."""
+    """Connects callers and call servers as the decision module decides."""
 
     def __init__(
         self, scheduler: Scheduler, decide: Decide, counters: Counters, max_open: int, memory_bytes: float
     ) -> None:
-        """``max_open``: calls that may be open at once; ``memory_bytes``: the configured memory."""
+        """``max_open``: the limit on open calls; ``memory_bytes``: the configured memory."""
         self.scheduler = scheduler
         self.counters = counters
         self._callers: CallerSide
@@ -50,44 +51,45 @@
         self._answers = FinalAnswers(self._table, counters, self._outcomes, self._attempts, self._dispatcher)
 
     def attach_callers(self, callers: CallerSide) -> None:
-        """Send final answers and releases through this component; before the first call."""
+        """Set the component that sends final answers and releases; must be called before the first call."""
         self._callers = self._answers.callers = callers
 
     def attach_servers(self, servers: ServerSide) -> None:
-        """Send attempts and releases through this component; before the first call."""
+        """Set the component that sends attempts and releases; must be called before the first call."""
         self._servers = self._attempts.servers = servers
 
     def attach_recorder(self, recorder: Recorder) -> None:
-        """Report each call's outcome to this component."""
+        """Set the component that records the outcome of each call."""
         self._outcomes.recorder = recorder
 
     def set_memory_limit(self, memory_bytes: float) -> None:
-        """Bound what calls may take by the configured memory."""
+        """Set the limits on the memory of calls from the configured memory."""
         self._table.set_memory_limit(memory_bytes)
 
     @property
     def open_calls(self) -> int:
-        """Calls that lack their final answer."""
+        """The number of calls without a final answer."""
         return len(self._table.unanswered())
 
     @property
     def established_calls(self) -> int:
-        """Calls that are established."""
+        """The number of established calls."""
         return len(self._table.established)
 
     # ------------------------------------------------------------------------------------ from the callers
 
     def offer(self, call: CallRecord) -> bool:
-        """Take a caller's set-up; False: its id belongs to another call, and this one is not taken.
+        """Accept a caller's set-up; False: its id is in use by another call, or by one that is answered.
 
-        A set-up that is sent again on a new connection is the same call, with one answer.  One that repeats
-        only the id is another call: were it taken for the same, the first caller would lose its answer.
+        A set-up that is retransmitted on a new connection belongs to the same call and gets one answer.  A
+        set-up that repeats only the id belongs to another call; otherwise the first caller would lose its
+        answer.
         """
         self.counters.add("taken.set_ups")
         call.taken_ms = self.scheduler.now_ms
-        known = self._table.find(call.id)
-        if known is not None:
-            return self._retransmitted(known, call)
+        existing = self._table.find(call.id)
+        if existing is not None:
+            return self._accept_retransmission(existing, call)
         if not self._table.has_room_for(call):
             self.counters.add("answered.over_capacity")
             self._answers.reject_untracked(call, FinalAnswer.REFUSED)
@@ -109,22 +111,22 @@
         )
         return True
 
-    def _retransmitted(self, known: CallRecord, call: CallRecord) -> bool:
-        if not known.unanswered or not known.is_retransmission_of(call):
+    def _accept_retransmission(self, existing: CallRecord, call: CallRecord) -> bool:
+        if not existing.unanswered or not existing.is_retransmission_of(call):
             return False
-        if known.origin != call.origin:
-            self._callers.remove_call(known.origin, call.id)
-            known.origin = call.origin
+        if existing.origin != call.origin:
+            self._callers.remove_call(existing.origin, call.id)
+            existing.origin = call.origin
         return True
 
     def reject_invalid(self, call: CallRecord) -> None:
-        """Reject a set-up that no server can use, which is the edge's own to decide."""
+        """Reject a set-up that no server can use; the decision module is not asked."""
         self.counters.add("answered.invalid")
         call.taken_ms = self.scheduler.now_ms
         self._answers.reject_untracked(call, FinalAnswer.INVALID)
 
     def on_released_by_caller(self, call_id: str, cause: int) -> None:
-        """A caller has released an established call, or abandoned an open one."""
+        """Handle a release by the caller of an established call, or of an open call, which it abandons."""
         if (call := self._table.open.get(call_id)) is not None:
             self._answers.abandon(call)
         elif (call := self._table.established.get(call_id)) is not None:
@@ -133,13 +135,13 @@
             self._callers.remove_call(call.origin, call_id)
             self._end_established(call, api.Outcome.CANCELLED)
         elif not self._table.has_ended(call_id):
-            # After a restart of this program the call may be at any server.
+            # The call may date from before a restart of this program, and be established at any server.
             self.counters.add("taken.releases_unknown")
             self._table.remember_ended(call_id)
             self._servers.release(None, call_id, cause)
 
     def on_caller_disconnected(self, call_id: str, origin: Hashable) -> None:
-        """The connection of an unanswered set-up has ended."""
+        """Handle the end of the connection that an unanswered set-up came on."""
         call = self._table.open.get(call_id)
         if call is not None and call.unanswered and call.origin == origin:
             self._answers.abandon(call)
@@ -147,16 +149,16 @@
     # ------------------------------------------------------------------------------------ from the servers
 
     def on_established(self, server_id: str, call_id: str, attempt: int | None, description: bytes) -> None:
-        """A server has established a call; one that nobody waits for is released there again."""
+        """Handle a server's positive answer; a call that no caller waits for is released at that server."""
         call = self._table.open.get(call_id)
         in_flight = None if call is None else call.attempt_in_flight(server_id, attempt)
         if call is not None and in_flight is not None and not self._callers.is_reachable(call.origin):
-            # Its caller's connection ends in this very iteration: the call would be established for nobody.
+            # The caller's connection ends in this iteration of the event loop: the call would have no caller.
             self._answers.abandon(call)
             call = None
         if call is None or in_flight is None or not call.unanswered:
-            known = self._table.established.get(call_id)
-            if known is None or known.established_server_id != server_id:
+            established = self._table.established.get(call_id)
+            if established is None or established.established_server_id != server_id:
                 self.counters.add("sent.taken_back")
                 self._servers.release(server_id, call_id, ReleaseCause.NORMAL_UNSPECIFIED)
             return
@@ -176,7 +178,7 @@
         outcome: api.Outcome,
         details: RefusalDetails = NO_DETAILS,
     ) -> None:
-        """An attempt has ended without being answered."""
+        """Handle the end of an attempt that did not establish the call."""
         call = self._table.open.get(call_id)
         if call is not None and call.attempt_in_flight(server_id, attempt) is not None:
             self._attempts.end(call, outcome, details=details)
@@ -189,23 +191,23 @@
         report: api.Report | None = None,
         on_delivered: Callable[[], None] = lambda: None,
     ) -> None:
-        """A server has released an established call.
+        """Handle a release by a server.
 
-        ``on_delivered`` is called once no caller remains to be notified of the release.  Until then it must
-        not be confirmed to the server, which would not send it again: should this process end meanwhile, the
-        caller would never be notified.
+        ``on_delivered`` is called once no caller remains to be notified.  The release must not be confirmed
+        to the server earlier: the server does not retransmit a confirmed release, and if this process ended
+        meanwhile, the caller would never be notified.
         """
         call = self._table.established.get(call_id)
         if call is not None:
             if call.established_server_id != server_id:
-                on_delivered()  # the end of an attempt that was released there as unwanted
+                on_delivered()  # an attempt at this server that was already released as unwanted
                 return
             self.counters.add("taken.ends")
             self._callers.release(call.origin, CallerRelease(call_id, cause, on_delivered))
             outcome = api.Outcome.ENDED if cause == ReleaseCause.NORMAL_CLEARING else api.Outcome.RESET
             self._end_established(call, outcome, report)
         elif not self._table.has_ended(call_id) and call_id not in self._table.open:
-            # After a restart of this program the caller still counts on the call.
+            # The call may date from before a restart of this program, and its caller still be in it.
             self.counters.add("taken.ends_unknown")
             self._table.remember_ended(call_id)
             self._callers.release(None, CallerRelease(call_id, cause, on_delivered))
@@ -213,33 +215,33 @@
             on_delivered()
 
     def on_circuits_reported(self, server_id: str, free: float, circuits: float) -> None:
-        """A server has reported its free circuits and all its circuits."""
+        """Handle a server's report of its free circuits and of all its circuits."""
         self.counters.add("taken.states")
         self._dispatcher.dispatch(api.CircuitsReported(server_id, free, circuits))
 
     def on_probe_answered(self, server_id: str, answered: bool, report: api.Report | None = None) -> None:
-        """A probe was answered, or was not."""
+        """Handle the end of a probe, answered or not."""
         self._dispatcher.dispatch(api.ProbeAnswered(server_id, answered, report))
 
     def is_established_at(self, call_id: str, server_id: str) -> bool:
-        """Whether this call is established, and at this server."""
+        """Whether this call is established at this server."""
         call = self._table.established.get(call_id)
         return call is not None and call.established_server_id == server_id
 
     def is_finished(self, call_id: str) -> bool:
-        """Whether this call has had its final answer, and is not established."""
+        """Whether this call is unknown, or has a final answer and is not established."""
         call = self._table.find(call_id)
         return call is None or (not call.unanswered and call.established_server_id is None)
 
     def has_calls_at(self, server_id: str) -> bool:
-        """Whether a call is established at this server, or an attempt in flight there."""
+        """Whether this server has an established call or an attempt in flight."""
         return self._table.has_calls_at(server_id)
 
     def process_ended(self, server_id: str, started_before_ms: float, *, notify_server: bool = False) -> None:
-        """Release the calls of a server's process that has ended without releasing them.
+        """Release the established calls of a server process that has ended without releasing them.
 
-        Only calls established before ``started_before_ms`` are released: a new process may hold others.  With
-        ``notify_server`` the process may still run, and its calls are released there too.
+        Only calls established before ``started_before_ms`` are released, since a new process may have others.
+        With ``notify_server`` the process may still run, and the calls are released there too.
         """
         for call in self._table.established_at(server_id, started_before_ms):
             self.counters.add("sent.ends_for_servers")
@@ -251,20 +253,20 @@
     # ------------------------------------------------------------------------------------ from discovery
 
     def endpoints_changed(self, kind: api.ListKind, servers: tuple[api.Server, ...]) -> None:
-        """The list of servers has changed."""
+        """Pass a new or changed server list to the decision module."""
         self._dispatcher.dispatch(api.ServerList(kind, servers))
 
     def apply_hints(self, hints: list[api.WarmStartHint]) -> None:
-        """Give the module a running peer's view of servers, for this instance's start."""
+        """Pass a running peer's view of servers to the decision module, for the start of this instance."""
         self.counters.add("taken.hints", len(hints))
         for event in hints:
             self._dispatcher.dispatch(event)
 
     def fail_all(self) -> None:
-        """Fail every unanswered call, since the program ends."""
+        """Fail every unanswered call; for the end of the program."""
         self._answers.fail_all()
 
-    # ------------------------------------------------------------------------------------ from the module
+    # ---------------------------------------------------------------------------- from the decision module
 
     def _execute(self, action: api.Action) -> None:
         match action:
--- a/canvasplank/exchange/final_answers.py
+++ b/canvasplank/exchange/final_answers.py
@@ -1,4 +1,4 @@
-"""The one final answer of each call, other than that it is established."""
+"""Negative final answers: calls that are rejected, or abandoned by their callers."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class FinalAnswers:
-    """Rejects calls, and ends those that their callers abandon."""
+    """Rejects calls, and ends calls that their callers abandon."""
 
     def __init__(
         self,
@@ -32,13 +32,13 @@
         self._attempts, self._dispatcher = attempts, dispatcher
 
     def reject(self, call_id: str, final: FinalAnswer, retry_after_ms: float | None = None) -> None:
-        """Reject a call by its id, unless it has been answered."""
+        """Reject the call with this id, if it is open and unanswered."""
         call = self._table.open.get(call_id)
         if call is not None and call.unanswered:
             self._reject(call, final, retry_after_ms)
 
     def reject_untracked(self, call: CallRecord, final: FinalAnswer) -> None:
-        """Reject a call that was never entered in the table."""
+        """Reject a call that is not in the table."""
         self._outcomes.rejected(call, final)
         self.callers.reject(call.origin, call.id, final, None)
 
@@ -48,7 +48,7 @@
             return
         self._counters.add("taken.given_up")
         call.unanswered = False
-        self.callers.remove_call(call.origin, call.id)  # it may have been abandoned on another connection
+        self.callers.remove_call(call.origin, call.id)  # the release may have come on another connection
         self._outcomes.abandoned(call)
         self._dispatcher.dispatch(api.CallAbandoned(call.id))
         if call.in_flight is not None:
@@ -57,15 +57,15 @@
             self._table.close(call)
 
     def on_caller_deadline(self, call: CallRecord) -> None:
-        """Fail a call whose caller's time is up, whatever the decision module does."""
+        """Fail a call at its caller's deadline, whatever the decision module does."""
         if call.unanswered:
-            LOG.warning("call %s: no answer by the caller's time", call.id)
+            LOG.warning("call %s: not answered before the caller's deadline", call.id)
             self._reject(call, FinalAnswer.FAILED, None)
             self._dispatcher.dispatch(api.CallAbandoned(call.id))
             self._attempts.end(call, api.Outcome.CANCELLED, cancel=True)
 
     def fail_all(self) -> None:
-        """Fail every unanswered call, since the program ends."""
+        """Fail every unanswered call; for the end of the program."""
         for call in self._table.unanswered():
             self._reject(call, FinalAnswer.FAILED, None)
             self._attempts.end(call, api.Outcome.CANCELLED, cancel=True)
--- a/canvasplank/exchange/ports.py
+++ b/canvasplank/exchange/ports.py
@@ -1,4 +1,4 @@
-"""What the exchange needs of its neighbours: callers, call servers, and whoever records outcomes."""
+"""The interfaces that the exchange uses: the callers' side, the servers' side and the recorder."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 
 
 class CallerSide(Protocol):
-    """The callers' component; ``origin`` is whatever that component gave with a call."""
+    """The component for callers; ``origin`` is the value in ``CallRecord.origin``."""
 
     def is_reachable(self, origin: Hashable) -> bool:
-        """Whether an answer can still be written there."""
+        """Whether an answer can still be written to this connection."""
 
     def answer(self, origin: Hashable, call_id: str, description: bytes) -> None:
         """Send the answer that the call is established."""
@@ -24,42 +24,42 @@
         """Send the answer that the call is refused or has failed."""
 
     def release(self, origin: Hashable | None, release: CallerRelease) -> None:
-        """Send the release of an established call, on any connection, which may be a later one, or none."""
+        """Send the release of an established call on ``origin`` or on any other connection, now or later."""
 
     def wait_for_delivery(self, call_id: str, on_delivered: Callable[[], None]) -> bool:
-        """Replace the callback of a release that was sent before and may not be delivered yet.
+        """Replace the callback of a release that may not be delivered yet.
 
-        False: no release of this call is undelivered, and ``on_delivered`` is not called.
+        False: this call has no undelivered release, and ``on_delivered`` will not be called.
         """
 
     def remove_call(self, origin: Hashable, call_id: str) -> None:
-        """Send nothing more of it there: its caller abandoned or released it, or sent it again elsewhere."""
+        """Send no more for this call on this connection: the call is over, or was set up on another."""
 
 
 class ServerSide(Protocol):
-    """The call servers' component."""
+    """The component for call servers."""
 
     def set_up(self, server_id: str, call: CallRecord, attempt: int, wait_ms: float) -> None:
-        """Send an attempt, which is given up after ``wait_ms``."""
+        """Send an attempt, which times out after ``wait_ms``."""
 
     def cancel(self, server_id: str, call_id: str, on_sent: Callable[[], None]) -> None:
         """Cancel an unanswered attempt.
 
-        ``on_sent`` is called once, when the cancellation has left this process, or was not needed.
+        ``on_sent`` is called once: when the cancellation has left this process, or if none is needed.
         """
 
     def release(self, server_id: str | None, call_id: str, cause: int) -> None:
-        """Release an established call; without a server, at every server, since any may have it."""
+        """Release an established call; with ``server_id`` None at every server, since any may have it."""
 
     def probe(self, server_id: str) -> None:
-        """Request the load of a server."""
+        """Request a load report from a server."""
 
 
 class Recorder(Protocol):
-    """A component that records outcomes of calls; its methods must not wait for anything."""
+    """A component that records the outcomes of calls; its methods must not block."""
 
     def call_answered(self, call: CallRecord, final: str, now_ms: float) -> None:
-        """A call got its final answer, or its caller abandoned it."""
+        """Record that a call got its final answer, or that its caller abandoned it."""
 
     def call_ended(self, call: CallRecord, outcome: api.Outcome, now_ms: float) -> None:
-        """An established call has ended."""
+        """Record that an established call has ended."""
--- a/tests/test_codecs.py
+++ b/tests/test_codecs.py
@@ -1,4 +1,4 @@
-"""The codecs on their own: any split of the bytes reads the same, and errors are named."""
+"""Codecs: the result does not depend on how the bytes are split, and errors give their reason."""
 
 from __future__ import annotations
 
@@ -30,38 +30,43 @@
 STREAMS = [(isup.Parser, ISUP), (sip.Parser, SIP), (sse.Parser, PLAIN), (sse.Parser, CHUNKED)]
 
 
-def read(parser, data: bytes, cuts=()) -> list:
+def parse(parser_class, data: bytes, cuts=()) -> list:
+    """All messages in ``data``, fed in pieces that end at ``cuts``."""
     edges = [0, *sorted(cut % (len(data) + 1) for cut in cuts), len(data)]
-    reader = parser()
-    return [m for a, b in itertools.pairwise(edges) for m in reader.feed(memoryview(data)[a:b])]
+    parser = parser_class()
+    return [m for a, b in itertools.pairwise(edges) for m in parser.feed(memoryview(data)[a:b])]
 
 
 @pytest.mark.parametrize(("parser", "data"), STREAMS)
 @given(cuts=st.lists(st.integers(0, 10_000), max_size=12))
-def test_any_split_reads_the_same(parser, data, cuts):
-    assert read(parser, data, cuts) == read(parser, data)
+def test_messages_do_not_depend_on_the_split(parser, data, cuts):
+    assert parse(parser, data, cuts) == parse(parser, data)
 
 
 def test_messages_are_parsed():
-    answer, release, confirmed = read(isup.Parser, ISUP)
+    answer, release, confirmed = parse(isup.Parser, ISUP)
     assert (answer.call_id, answer.parameters[isup.Parameter.DESCRIPTION], release.cause) == (ID, b"v=0", 42)
     assert confirmed.kind == isup.Kind.RELEASE_CONFIRMED
-    invite, full, bye = read(sip.Parser, SIP)
+    invite, full, bye = parse(sip.Parser, SIP)
     assert (invite.method, invite.call_id, invite.sequence, invite.body) == ("INVITE", ID, 1, b"a\r\n\r\nb")
     assert (full.method, full.status, full.sequence) == ("INVITE", 503, 12)
     assert full.headers["x-outcome"] == "cpu_full"
     assert (bye.status, bye.cause) == (0, 41)
     for data in (PLAIN, CHUNKED):
-        assert read(sse.Parser, data) == [sse.Event("7", "one\ntwo"), sse.Event("8", "\u0151")]
+        assert parse(sse.Parser, data) == [sse.Event("7", "one\ntwo"), sse.Event("8", "\u0151")]
 
 
 @pytest.mark.parametrize(
-    ("parser", "data", "names"),
+    ("parser", "data", "message"),
     [
         (isup.Parser, b"\x00\x03\x01AB", "length 3 is not between"),
         (isup.Parser, b"\x40\x00\x01", "length 16384 is not between"),
-        (isup.Parser, b"\x00\x0b\x01AAAAAAAA\x64\x00", "parameter at byte 11 is cut short"),
-        (isup.Parser, b"\x00\x0c\x01AAAAAAAA\x64\x00\x05", "parameter 100 says 5 bytes where 0 are left"),
+        (isup.Parser, b"\x00\x0b\x01AAAAAAAA\x64\x00", "parameter at byte 11 is truncated"),
+        (
+            isup.Parser,
+            b"\x00\x0c\x01AAAAAAAA\x64\x00\x05",
+            "parameter 100 has length 5, but 0 bytes are left",
+        ),
         (sip.Parser, b"HELLO\r\n\r\n", "Content-Length is missing"),
         (sip.Parser, b"HELLO\r\nContent-Length: 0\r\n\r\n", "not a start line"),
         (sip.Parser, b"BYE sip:x SIP/2.0\r\nContent-Length: -1\r\n\r\n", "is not a number"),
@@ -69,33 +74,33 @@
         (
             sip.Parser,
             b"BYE sip:x SIP/2.0\r\nContent-Length: 16384\r\n\r\n",
-            f"over {MAX_MESSAGE_BYTES} bytes",
+            f"longer than {MAX_MESSAGE_BYTES} bytes",
         ),
-        (sip.Parser, b"SIP/2.0 200 OK\r\nContent-Length: 0\r\n\r\n", "names no method"),
+        (sip.Parser, b"SIP/2.0 200 OK\r\nContent-Length: 0\r\n\r\n", "has no method"),
         (sip.Parser, "SIP/2.0 \u00b200 X\r\nContent-Length: 0\r\n\r\n".encode(), "not a start line"),
-        (sip.Parser, b"X" * (MAX_MESSAGE_BYTES + 1), "no end of the headers"),
+        (sip.Parser, b"X" * (MAX_MESSAGE_BYTES + 1), "headers do not end"),
         (sip.Parser, b"\xff\r\n\r\n", "not UTF-8"),
-        (sip.Parser, b"\xffnoise", "no message begins with"),
-        (sip.Parser, b"SIP/2.1", "no message begins with"),
+        (sip.Parser, b"\xffnoise", "not the start of a message"),
+        (sip.Parser, b"SIP/2.1", "not the start of a message"),
         (sip.Parser, b"BYE sip:x SIP/2.0\r\nX: \x07\r\n\r\n", "control characters"),
         (sip.Parser, b"BYE sip:x SIP/2.0\r\nContent-Length: 0000000000005\r\n\r\n", "is not a number"),
-        (sse.Parser, b"HTTP/1.1 503 Busy\r\n\r\n", "not a success"),
+        (sse.Parser, b"HTTP/1.1 503 Busy\r\n\r\n", "not a successful response"),
         (sse.Parser, CHUNKED.replace(b"chunked\r\n\r\n", b"chunked\r\n\r\nzz\r\n"), "chunk length"),
         (sse.Parser, CHUNKED.replace(b"chunked\r\n\r\n", b"chunked\r\n\r\n-5\r\n"), "chunk length"),
-        (sse.Parser, b"HTTP/1.1 200 OK\r\n\r\n" + b"data: x\n" * 300_000, "event of over"),
-        (sse.Parser, b"HTTP/1.1 200 OK\r\n\r\n" + b"data:\n" * 300_000, "event of over"),
+        (sse.Parser, b"HTTP/1.1 200 OK\r\n\r\n" + b"data: x\n" * 300_000, "event is longer"),
+        (sse.Parser, b"HTTP/1.1 200 OK\r\n\r\n" + b"data:\n" * 300_000, "event is longer"),
     ],
 )
-def test_a_bad_message_is_named(parser, data, names):
-    with pytest.raises(BadMessageError, match=names):
-        read(parser, data)
+def test_the_error_of_a_bad_message_gives_the_reason(parser, data, message):
+    with pytest.raises(BadMessageError, match=message):
+        parse(parser, data)
 
 
 @pytest.mark.parametrize("size", [1, 2, 3, 1000])
 def test_the_rest_of_an_oversized_event_is_discarded(size):
-    """Where the size limit is passed just before a line's end, the rest is not taken for the event's end."""
+    """If the size limit is exceeded just before a line's end, the line's rest must not end the event."""
     parser = sse.Parser()
-    with pytest.raises(sse.OversizedEventError, match="event of over") as raised:
+    with pytest.raises(sse.OversizedEventError, match="event is longer") as raised:
         list(parser.feed(b"HTTP/1.1 200 OK\r\n\r\nid: 2\ndata: " + b"x" * 300_000))
     assert raised.value.event_id == "2"
     rest = b"\r\ndata: y\n" + b"data: " + b"z" * 300_000 + b"\n\nid: 3\ndata: {}\n\n"
@@ -118,33 +123,33 @@
         ("Q.850;cause=\u00b2", 31),
     ],
 )
-def test_the_cause_of_a_release_fits_the_callers_one_byte(reason, cause):
-    """Any other could not be passed on, and the call stayed established for ever."""
+def test_the_cause_of_a_release_fits_one_byte(reason, cause):
+    """A larger cause could not be forwarded to the caller, and the call stayed established for ever."""
     assert sip.Message("BYE", 0, {"reason": reason}, b"").cause == cause
 
 
 def test_gauges_are_matched_from_the_start_of_a_word_only():
-    """From anywhere in it, a body of one long word took seconds."""
+    """Matching at every position of a word took seconds on a body of one long word."""
     assert server_messages.GAUGE.findall("free=5 x0 : -1.5 7size=9") == [("free", "5"), ("x0", "-1.5")]
 
 
-BAD_TEXTS = [(None, "is missing"), (b"\xff", "is not text"), (b"a b", "holds")]
+BAD_TEXTS = [(None, "is missing"), (b"\xff", "is not text"), (b"a b", "contains")]
 
 
-@pytest.mark.parametrize(("value", "names"), BAD_TEXTS)
-def test_an_unusable_parameter_is_named(value, names):
+@pytest.mark.parametrize(("value", "reason"), BAD_TEXTS)
+def test_the_error_of_a_bad_parameter_names_it(value, reason):
     message = isup.Message(1, ID, {} if value is None else {isup.Parameter.CLASS: value})
-    with pytest.raises(BadMessageError, match=rf"parameter 100 \(class\) {names}"):
+    with pytest.raises(BadMessageError, match=rf"parameter 100 \(class\) {reason}"):
         message.text(isup.Parameter.CLASS)
 
 
-RELEASE_OF_A_CALL = sip.request("BYE", "caller", "aa" * 8, 2, {"Reason": "Q.850;cause=16"})
+BYE = sip.request("BYE", "caller", "aa" * 8, 2, {"Reason": "Q.850;cause=16"})
 
 
 @pytest.mark.parametrize("kind", UnreadableKind, ids=lambda kind: kind.name.lower())
 @pytest.mark.parametrize("size", [1, 7, 100, 16_384])
-def test_releases_are_found_behind_what_cannot_be_read_in_any_split(kind, size):
-    data = unreadable_message(kind, "bb" * 8)[-30_000:] + 2 * RELEASE_OF_A_CALL
+def test_releases_are_found_after_an_unreadable_message(kind, size):
+    data = unreadable_message(kind, "bb" * 8)[-30_000:] + 2 * BYE
     finder, found = MessageFinder(), []
     for start in range(0, len(data), size):
         found += finder.feed(data[start : start + size])
@@ -152,9 +157,9 @@
     assert [(each.call_id, each.cause) for each in releases] == [("aa" * 8, 16)] * 2
 
 
-def test_what_looks_like_a_message_without_an_end_is_not_kept_for_ever():
+def test_a_message_without_an_end_is_not_buffered_without_limit():
     finder = MessageFinder()
     for _ in range(10):
         assert not list(finder.feed(b"BYE sip:" + b"x" * 16_384))
         assert len(finder._buffer) <= 2 * 16_384
-    assert [each.method for each in finder.feed(b"\r\n" + RELEASE_OF_A_CALL)] == ["BYE"]
+    assert [each.method for each in finder.feed(b"\r\n" + BYE)] == ["BYE"]
