--- a/canvasplank/codecs/sip.py
+++ b/canvasplank/codecs/sip.py
@@ -52,7 +52,7 @@
         match = _BRANCH.search(self.headers.get("via", "").split(",")[0])
         return match[1] if match else ""
 
-    def is_of_other_set_up(self, sequence: int) -> bool:
+    def answers_other_invite(self, sequence: int) -> bool:
         """Whether this response answers an INVITE of its call with another CSeq number than ``sequence``.
 
         False if unknown: a response without a branch of this program (RFC 3261 17.1.3) may answer any INVITE.
--- a/canvasplank/config/discovery_events.py
+++ b/canvasplank/config/discovery_events.py
@@ -56,7 +56,7 @@
             endpoints[endpoint.instance_id] = endpoint
 
 
-def endpoints_after(events: Iterable[DiscoveryEvent]) -> list[Endpoint]:
+def apply_events(events: Iterable[DiscoveryEvent]) -> list[Endpoint]:
     """The endpoint list that results from these events."""
     endpoints: dict[str, Endpoint] = {}
     for event in events:
--- a/canvasplank/counters.py
+++ b/canvasplank/counters.py
@@ -27,11 +27,11 @@
         """Set a counter that another component maintains."""
         self._counts[name] = value
 
-    def by_class(self, figure: str, class_name: str) -> None:
+    def count_for_class(self, figure: str, class_name: str) -> None:
         """Add 1 to a class's count of answers or attempts; ``figure`` is one of ``CLASS_FIGURES``."""
         self._by_class[figure, class_name] += 1
 
-    def figures(self, in_flight: int, servers_known: int, servers_excluded: int) -> list[str]:
+    def metric_lines(self, in_flight: int, servers_known: int, servers_excluded: int) -> list[str]:
         """The metrics in the text exposition format that the front reads, one per line.
 
         Every class seen has all ``CLASS_FIGURES``, so that a 0 is reported and does not look missing.
--- a/canvasplank/exchange/call_records.py
+++ b/canvasplank/exchange/call_records.py
@@ -62,7 +62,7 @@
     class_name: str
     number: str
     preferred_pool: int
-    was_cut: bool  # the call replaces one that was established and then cut
+    replaces_cut_call: bool  # the call replaces one that was established and then cut
     expires_ms: float  # the caller's deadline
     description: bytes
     origin: Hashable  # identifies the caller's connection to the callers' component
