--- a/tests/exchange_replay.py
+++ b/tests/exchange_replay.py
@@ -1,29 +1,35 @@
-"""Replays a recorded exchange of bytes against the program and compares it: the helper of the socket tests.
-
-A record is a text file of steps, one a line; ``#`` begins a comment.  Bytes are written as in a Python
-literal, and ``<*>`` in what is expected stands for anything short.
-
-    known a ready            a call server that listens and is in the list at the start; pools count from 0
-    known b refused|never    one whose address refuses connections, or whose connections never come up
-    server b comes_up        now they do; the machine that connects tries again after a second
-    settings JSON            what the settings say otherwise, key by key, from the next start on
-    start                    run the program; server a accepts the connection that is kept up to it
-    caller 1 sends BYTES     connects where it is not connected yet
-    caller 1 gets BYTES      the next bytes, exactly these
-    caller 1 hears BYTES     the next bytes but for progress, which is free and means nothing
-    caller 1 silent MS       nothing comes for so long
-    caller 1 later MS BYTES  the next bytes, no sooner than so long after the last that anybody sent or
-                             closed
-    caller 1 closes / resets likewise for servers and the board
-    server a accepts         takes its next connection
-    server b was a           the connection that server a has is b's from now on, and stays open
-    board accepts / sends / gets
-    board tells N a STATE STARTED   event N: server a is ready, draining or gone, and when it started
-    board adds N b           event N: server b is new, and listens
-    board moves              its address is another from now on, and the configuration file says so
-    wait MS                  nobody does anything
-    program signalled NAME / exits STATUS / prints REGEX
-    program configured TEXT  the configuration file is replaced by this
+"""Runs scripted exchanges of bytes against the program and compares the replies, for tests over sockets.
+
+A script is a text file with one step per line; ``#`` begins a comment.  Bytes are written as in a Python
+literal, and ``<*>`` in expected bytes stands for up to 400 bytes of any value.
+
+    listed a ready             a call server that listens and is in the initial list; pools count from 0
+    listed b refused           ... and refuses connections
+    listed b unresponsive      ... and does not answer connection requests
+    server b accepts_late      the unresponsive server accepts the connection (TCP retries after a second)
+    settings JSON              changes the settings, key by key, for the next start
+    start                      runs the program
+    caller 1 sends BYTES       connects first, if the caller is not connected
+    caller 1 gets BYTES        the next bytes are exactly these
+    caller 1 gets_after_progress BYTES   likewise, after any number of PROGRESS messages
+    caller 1 gets_nothing MS   nothing arrives for this time
+    caller 1 gets_after MS BYTES   the next bytes, no earlier than this after any peer's last send or close
+    caller 1 half_closes       shuts down its writing side
+    caller 1 closes / resets   ends the connection
+    caller 1 disconnected      the program ends the connection, without further bytes
+    server a accepts           accepts its next connection
+    server a refuses           refuses connections from now on
+    server b takes_connection a   server b goes on with the connection of server a, which stays open
+    discovery accepts / sends / gets ...   service discovery has the same steps as a server
+    discovery announces N a STATE STARTED   event N: server a's state, and its start (Unix ms or ``now``)
+    discovery adds N b         event N: server b is new, and listens
+    discovery moves            moves to a new address, which is written to the configuration file
+    old discovery ...          a step of service discovery at its previous address
+    wait MS                    nothing is done for this time
+    program signalled NAME     sends the signal
+    program prints REGEX       waits until the log matches
+    program exits STATUS       waits for the exit
+    program configured TEXT    replaces the configuration file with this text
 """
 
 from __future__ import annotations
@@ -45,7 +51,7 @@
 from emulators.fleet import free_port
 
 ROOT = Path(__file__).parent.parent
-WAIT_S = 20.0  # for anything that is expected; a slow machine only takes longer
+WAIT_S = 20.0  # the timeout of every expected event
 PROGRESS = re.compile(rb"\x00\x09\x06.{8}", re.DOTALL)
 SETTINGS = {
     "instances": 1,
@@ -78,24 +84,25 @@
 
 
 def literal(text: str) -> bytes:
-    """The bytes that a Python literal denotes."""
+    """The bytes of a Python literal without its quotes."""
     return codecs.escape_decode(text.encode())[0]
 
 
 def pattern(text: str) -> re.Pattern[bytes]:
+    """The expected bytes as a regular expression."""
     return re.compile(rb".{0,400}?".join(re.escape(literal(part)) for part in text.split("<*>")), re.DOTALL)
 
 
 class Peer:
     """A caller, a call server or service discovery."""
 
-    acted_s = 0.0
+    last_action_s = 0.0  # of any peer: when it last sent or closed
 
     def __init__(self, listens: bool) -> None:
         self.listener = socket.create_server(("127.0.0.1", 0)) if listens else None
         self.stream: socket.socket | None = None
         self.received = b""
-        self.fillers: list[socket.socket] = []
+        self.backlog_fillers: list[socket.socket] = []
 
     @property
     def address(self) -> str:
@@ -109,27 +116,27 @@
     def refuses(self, _: str = "") -> None:
         self.listener.close()
 
-    def never_comes_up(self) -> None:
-        """Fill the queue of a listener that accepts nothing: further connections get no answer."""
+    def fill_backlog(self) -> None:
+        """Fill the listener's accept queue, so that further connection requests get no answer."""
         self.listener.listen(0)
         for _ in range(3):
             filler = socket.socket()
             filler.setblocking(False)
             filler.connect_ex(self.listener.getsockname())
-            self.fillers.append(filler)
+            self.backlog_fillers.append(filler)
 
-    def comes_up(self, _: str = "") -> None:
-        """Accept what waits in the queue, until the connection that is not one of ours comes through."""
-        ours = {filler.getsockname() for filler in self.fillers}
+    def accepts_late(self, _: str = "") -> None:
+        """Accept connections until one comes that is not from ``fill_backlog``."""
+        filler_addresses = {filler.getsockname() for filler in self.backlog_fillers}
         self.listener.listen(16)
         self.listener.settimeout(WAIT_S)
         while self.stream is None:
             stream, address = self.listener.accept()
-            if address not in ours:
+            if address not in filler_addresses:
                 self.stream = stream
 
     def sends(self, text: str) -> None:
-        Peer.acted_s = time.monotonic()
+        Peer.last_action_s = time.monotonic()
         self.stream.sendall(literal(text))
 
     def gets(self, text: str) -> None:
@@ -139,12 +146,12 @@
             try:
                 more = self.stream.recv(65536)
             except TimeoutError:
-                raise AssertionError(f"wanted {text!r}, came {self.received!r}") from None
-            assert more, f"wanted {text!r}, came {self.received!r} and the end"
+                raise AssertionError(f"expected {text!r}, received {self.received!r}") from None
+            assert more, f"expected {text!r}, received {self.received!r} and the end of the connection"
             self.received += more
         self.received = self.received[match.end() :]
 
-    def hears(self, text: str) -> None:
+    def gets_after_progress(self, text: str) -> None:
         expected, deadline = pattern(text), time.monotonic() + WAIT_S
         while PROGRESS.match(self.received) or not expected.match(self.received):
             if progress := PROGRESS.match(self.received):
@@ -152,34 +159,34 @@
                 continue
             self.stream.settimeout(max(0.01, deadline - time.monotonic()))
             more = self.stream.recv(65536)
-            assert more, f"wanted {text!r}, came {self.received!r} and the end"
+            assert more, f"expected {text!r}, received {self.received!r} and the end of the connection"
             self.received += more
         self.received = self.received[expected.match(self.received).end() :]
 
-    def later(self, text: str) -> None:
+    def gets_after(self, text: str) -> None:
         after_ms, expected = text.split(" ", 1)
         self.gets(expected)
-        assert (time.monotonic() - Peer.acted_s) * 1000 >= float(after_ms)
+        assert (time.monotonic() - Peer.last_action_s) * 1000 >= float(after_ms)
 
-    def silent(self, text: str) -> None:
+    def gets_nothing(self, text: str) -> None:
         self.stream.settimeout(float(text) / 1000)
         with contextlib.suppress(TimeoutError):
             self.received += self.stream.recv(65536)
-        assert not self.received, f"wanted nothing, came {self.received!r}"
+        assert not self.received, f"expected nothing, received {self.received!r}"
 
-    def ended(self, _: str = "") -> None:
+    def disconnected(self, _: str = "") -> None:
         self.stream.settimeout(WAIT_S)
         try:
             more = self.stream.recv(65536)
         except ConnectionResetError:
             more = b""
-        assert not self.received + more, f"wanted the end, came {self.received + more!r}"
+        assert not self.received + more, f"expected the end, received {self.received + more!r}"
 
-    def shuts(self, _: str = "") -> None:
+    def half_closes(self, _: str = "") -> None:
         self.stream.shutdown(socket.SHUT_WR)
 
     def closes(self, _: str = "") -> None:
-        Peer.acted_s = time.monotonic()
+        Peer.last_action_s = time.monotonic()
         self.stream.close()
         self.stream = None
 
@@ -188,25 +195,25 @@
         self.closes()
 
     def close(self) -> None:
-        for each in (self.listener, self.stream, *self.fillers):
-            if each is not None:
-                each.close()
+        for open_socket in (self.listener, self.stream, *self.backlog_fillers):
+            if open_socket is not None:
+                open_socket.close()
 
 
 class Replay:
-    """One process of the program, and the peers that it is connected to."""
+    """A process of the program and its peers."""
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
-        self.peers: dict[str, Peer] = {"board": Peer(listens=True)}
-        self.known: list[dict] = []
+        self.peers: dict[str, Peer] = {"discovery": Peer(listens=True)}
+        self.listed: list[dict] = []  # endpoints of the initial list, and added ones
         self.listen = ""
         self.settings = SETTINGS
         self.process: subprocess.Popen | None = None
         self.log = folder / "log"
 
-    def entry(self, name: str, state: str = "ready", started_ms: int = 0, cell: int | None = None) -> dict:
-        cell = len(self.known) if cell is None else cell
+    def endpoint(self, name: str, state: str = "ready", started_ms: int = 0, cell: int | None = None) -> dict:
+        cell = len(self.listed) if cell is None else cell
         return {
             "instanceId": f"s-{name}",
             "hostPort": self.peers[f"server {name}"].address,
@@ -219,8 +226,8 @@
 
     def add(self, name: str, how: str) -> None:
         peer = self.peers[f"server {name}"] = Peer(listens=True)
-        self.known.append(self.entry(name))
-        {"refused": peer.refuses, "never": peer.never_comes_up}.get(how, lambda: None)()
+        self.listed.append(self.endpoint(name))
+        {"refused": peer.refuses, "unresponsive": peer.fill_backlog}.get(how, lambda: None)()
 
     def start(self, descriptors: int = 1024, **changes: object) -> None:
         self.listen = f"127.0.0.1:{free_port()}"
@@ -230,8 +237,8 @@
             "seed": "8c1f30d27a5be964",
             "settings": self.settings,
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 64},
-            "board": self.peers["board"].address,
-            "known": {"rev": 1, "notices": [{"rev": 1, "pool": {"reset": True, "instances": self.known}}]},
+            "board": self.peers["discovery"].address,
+            "known": {"rev": 1, "notices": [{"rev": 1, "pool": {"reset": True, "instances": self.listed}}]},
         } | changes
         self.configuration, path = configuration, self.folder / "config.json"
         self.configure(json.dumps(configuration))
@@ -250,13 +257,13 @@
         (self.folder / "config.json").write_text(text)
 
     def move_discovery(self) -> None:
-        self.peers["old board"] = self.peers["board"]
-        self.peers["board"] = Peer(listens=True)
-        self.configure(json.dumps(self.configuration | {"board": self.peers["board"].address}))
+        self.peers["old discovery"] = self.peers["discovery"]
+        self.peers["discovery"] = Peer(listens=True)
+        self.configure(json.dumps(self.configuration | {"board": self.peers["discovery"].address}))
 
-    def notify(self, number: str, entry: dict) -> None:
-        data = json.dumps({"rev": int(number), "pool": {"reset": False, "instances": [entry]}})
-        self.peers["board"].stream.sendall(f"id: {number}\ndata: {data}\n\n".encode())
+    def announce(self, number: str, endpoint: dict) -> None:
+        data = json.dumps({"rev": int(number), "pool": {"reset": False, "instances": [endpoint]}})
+        self.peers["discovery"].stream.sendall(f"id: {number}\ndata: {data}\n\n".encode())
 
     def stop(self) -> None:
         if self.process is not None:
@@ -280,10 +287,10 @@
         return self.peers[name]
 
     def step(self, line: str) -> None:
-        """One line of a record."""
+        """Execute one line of a script."""
         words = line.split(" ", 3)
         match words:
-            case ["known", name, how]:
+            case ["listed", name, how]:
                 self.add(name, how)
             case ["settings", *rest]:
                 for key, value in json.loads(" ".join(rest)).items():
@@ -295,25 +302,25 @@
                 time.sleep(float(span_ms) / 1000)
             case ["caller", number, verb, *rest]:
                 getattr(self.caller(number), verb)(*rest)
-            case ["server", other, "was", name]:
+            case ["server", other, "takes_connection", name]:
                 self.peers[f"server {other}"] = peer = Peer(listens=False)
                 peer.stream = self.peers[f"server {name}"].stream
             case ["server", name, verb, *rest]:
                 getattr(self.peers[f"server {name}"], verb)(*rest)
-            case ["board", "tells", number, what]:
-                name, state, started = what.split(" ")
+            case ["discovery", "announces", number, text]:
+                name, state, started = text.split(" ")
                 started_ms = int(time.time() * 1000) if started == "now" else int(started)
-                cell = next(e["cell"] for e in self.known if e["instanceId"] == f"s-{name}")
-                self.notify(number, self.entry(name, state, started_ms, cell))
-            case ["board", "moves"]:
+                cell = next(e["cell"] for e in self.listed if e["instanceId"] == f"s-{name}")
+                self.announce(number, self.endpoint(name, state, started_ms, cell))
+            case ["discovery", "moves"]:
                 self.move_discovery()
-            case ["old", "board", verb, *rest]:
-                getattr(self.peers["old board"], verb)(*rest)
-            case ["board", "adds", number, name]:
+            case ["old", "discovery", verb, *rest]:
+                getattr(self.peers["old discovery"], verb)(*rest)
+            case ["discovery", "adds", number, name]:
                 self.add(name, "ready")
-                self.notify(number, self.known[-1])
-            case ["board", verb, *rest]:
-                getattr(self.peers["board"], verb)(" ".join(rest))
+                self.announce(number, self.listed[-1])
+            case ["discovery", verb, *rest]:
+                getattr(self.peers["discovery"], verb)(" ".join(rest))
             case ["program", "signalled", name]:
                 self.process.send_signal(signal.Signals[name])
             case ["program", "configured", *rest]:
@@ -328,12 +335,12 @@
     def prints(self, regex: str) -> None:
         deadline = time.monotonic() + WAIT_S
         while not re.search(regex, self.log.read_text()):
-            assert time.monotonic() < deadline, f"wanted {regex!r} in {self.log.read_text()!r}"
+            assert time.monotonic() < deadline, f"expected {regex!r} in {self.log.read_text()!r}"
             time.sleep(0.02)
 
-    def run(self, record: str) -> None:
-        """All steps; a failure names the line."""
-        for number, line in enumerate(record.splitlines(), 1):
+    def run(self, script: str) -> None:
+        """Execute all steps; the error of a failed step names its line."""
+        for number, line in enumerate(script.splitlines(), 1):
             if line.strip() and not line.startswith("#"):
                 try:
                     self.step(line)
--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -1,4 +1,4 @@
-"""The files under ``deploy/``: what `run` names is there, and each is one that its part reads."""
+"""The files under ``deploy/``: the files that ``run`` names exist, and each is readable by its extension."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from canvasplank.worker.config import load_worker_settings
 
 ROOT = Path(__file__).parent.parent
-LOADS = {
+LOADERS = {
     "fleet": load_fleet_settings,
     "learning": load_warm_start_settings,
     "membership": load_endpoint_cache_settings,
@@ -28,20 +28,20 @@
 }
 
 
-@pytest.mark.parametrize("name", sorted(LOADS))
-def test_a_file_with_everything_in_it_is_read(name):
-    assert LOADS[name](str(ROOT / "deploy" / f"{name}.toml")) is not None
+@pytest.mark.parametrize("name", sorted(LOADERS))
+def test_the_example_file_of_each_extension_is_valid(name):
+    assert LOADERS[name](str(ROOT / "deploy" / f"{name}.toml")) is not None
 
 
-def test_run_switches_on_what_the_platform_allows_and_nothing_else():
-    """No talk among instances, no lasting disk, no pace that would have the board's news come late."""
+def test_run_enables_only_extensions_that_the_platform_allows():
+    """No traffic between instances, no persistent disk, and no polling delay for discovery events."""
     run = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["run"]
     named = dict(re.findall(r"export (CANVASPLANK_\w+)=(\S+?);", run))
     assert named == {"CANVASPLANK_STARTING": "deploy/subset.toml"}
     assert set(named) <= {entry.variable for entry in REGISTRY}
     assert len(load_enabled_extensions({name: str(ROOT / path) for name, path in named.items()})) == 1
-    starting = LOADS["starting"](str(ROOT / "deploy" / "subset.toml"))
+    starting = LOADERS["starting"](str(ROOT / "deploy" / "subset.toml"))
     assert starting == ColdStartSettings(
         servers_per_proxy=starting.servers_per_proxy, proxies_per_server=starting.proxies_per_server
-    ), "the subset alone"
-    assert run.rpartition(";")[2].startswith(" exec "), "one process, which starts no program"
+    ), "only the subset is set"
+    assert run.rpartition(";")[2].startswith(" exec "), "run ends with exec: no other process is started"
--- a/tests/test_exchange.py
+++ b/tests/test_exchange.py
@@ -1,4 +1,4 @@
-"""The exchange without sockets."""
+"""Unit tests of the exchange, without sockets."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
         self.rejected.append((call_id, final))
 
     def is_reachable(self, origin: object) -> bool:
-        """Every caller is there."""
+        """Every caller is reachable."""
         return True
 
     def answer(self, origin: object, call_id: str, description: bytes) -> None:
@@ -35,11 +35,11 @@
         """Releases are not recorded."""
 
     def remove_call(self, origin: object, call_id: str) -> None:
-        """There is no connection to release."""
+        """There are no connections."""
 
 
 def test_descriptions_take_no_more_than_their_fraction_of_memory():
-    """With 32 MB of memory, a fixed limit of 24 MiB would have ended the program."""
+    """A fixed limit of 24 MiB is too much for a process with 32 MiB of memory."""
     scheduler = Scheduler(TimerQueue(), clock=lambda: 0.0)
     exchange = Exchange(scheduler, lambda now_ms, event: [], Counters(), 20_000, 32 * KIB**2)
     callers = RejectionRecorder()
@@ -51,11 +51,11 @@
     assert {final for _, final in callers.rejected} == {FinalAnswer.REFUSED}
     exchange.on_released_by_caller(f"{0:016x}", 16)
     exchange.offer(CallRecord("f" * 16, "low", "1", 0, False, 1000.0, bytes(15 * KIB), None))
-    assert exchange.open_calls == 4 * KIB // 15, "what a call held is free again at its end"
+    assert exchange.open_calls == 4 * KIB // 15, "the memory of an ended call is available again"
 
 
 def test_established_calls_take_no_more_than_their_fraction_of_memory():
-    """Their number had no bound: a day of long calls could take all of the memory."""
+    """The number of established calls was not bounded: a day of long calls could exhaust the memory."""
     scheduler = Scheduler(TimerQueue(), clock=lambda: 0.0)
     sent: list[str] = []
 
@@ -73,11 +73,11 @@
             exchange.on_established("a", call_id, 0, b"v=0")
         sent.clear()
 
-    most_calls = int(MEMORY_BYTES * RECORDS_FRACTION / CALL_RECORD_BYTES)
-    for number in range(most_calls + 10):
+    max_calls = int(MEMORY_BYTES * RECORDS_FRACTION / CALL_RECORD_BYTES)
+    for number in range(max_calls + 10):
         offer(number)
-    assert exchange.established_calls == most_calls
+    assert exchange.established_calls == max_calls
     assert [final for _, final in callers.rejected] == [FinalAnswer.REFUSED] * 10
     exchange.on_released_by_server("a", f"{0:016x}", 16)
-    offer(most_calls + 10)
-    assert exchange.established_calls == most_calls, "the place of a call that has ended is free again"
+    offer(max_calls + 10)
+    assert exchange.established_calls == max_calls, "the memory of an ended call is available again"
--- a/tests/test_exchange_replay.py
+++ b/tests/test_exchange_replay.py
@@ -1,4 +1,4 @@
-"""Recorded exchanges of bytes, replayed against the program as it is started in service."""
+"""Scripted exchanges of bytes with the program, started as in production."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 import pytest
 from exchange_replay import SETTINGS, Replay
 
-RECORDS = sorted((Path(__file__).parent / "exchanges").glob("*.txt"))
+SCRIPTS = sorted((Path(__file__).parent / "exchanges").glob("*.txt"))
 
 
 @pytest.fixture
@@ -18,9 +18,9 @@
     replay.stop()
 
 
-@pytest.mark.parametrize("record", RECORDS, ids=lambda path: path.stem)
-def test_exchange(replay, record):
-    replay.run(record.read_text())
+@pytest.mark.parametrize("script", SCRIPTS, ids=lambda path: path.stem)
+def test_exchange(replay, script):
+    replay.run(script.read_text())
 
 
 @pytest.mark.parametrize(
@@ -36,15 +36,15 @@
         ({"listen": "192.0.2.1:1"}, "assign requested address"),
     ],
 )
-def test_a_bad_configuration_is_one_line_and_a_bad_exit(replay, changes, expected):
+def test_an_invalid_configuration_prints_one_line_and_exits_with_an_error(replay, changes, expected):
     replay.start(**changes)
     assert replay.process.wait(10) != 0
     printed = replay.log.read_text()
     assert expected in printed and printed.count("\n") == 1 and "Traceback" not in printed
 
 
-def test_a_reload_that_cannot_be_used_or_waits_for_a_restart_is_logged_in_one_line(replay):
-    """A file nested without end left a traceback; changes that wait were not logged at all."""
+def test_a_reload_that_fails_or_needs_a_restart_is_logged_in_one_line(replay):
+    """A deeply nested file caused a traceback; changes that need a restart were not logged at all."""
     replay.start()
     replay.caller("1")
     replay.configure('{"settings": ' + '{"a": ' * 100_000)
@@ -57,67 +57,67 @@
     assert "Traceback" not in replay.log.read_text()
 
 
-def test_callers_that_take_every_descriptor_do_not_end_the_program(replay):
-    """Accepting fails for a while, and goes on when descriptors are free again."""
+def test_callers_that_exhaust_the_descriptors_do_not_end_the_program(replay):
+    """Accepting fails for a while, and resumes when descriptors are free again."""
     replay.add("a", "ready")
     replay.start(descriptors=20)
     replay.step("server a accepts")
-    crowd = [replay.caller(str(number)) for number in range(40)]
-    for peer in crowd:
+    callers = [replay.caller(str(number)) for number in range(40)]
+    for peer in callers:
         peer.closes()
     replay_call(replay)
 
 
-def test_a_crowd_that_comes_at_once_does_not_take_every_descriptor(replay):
-    """All were accepted before one was closed for room; then the listener stood still for a second."""
+def test_simultaneous_connections_do_not_exhaust_the_descriptors(replay):
+    """All were accepted before one was closed to free a descriptor; then the listener paused for a second."""
     replay.add("a", "ready")
     replay.start(descriptors=64)
     replay.step("server a accepts")
     replay.step("program prints listens on")
     replay.step("program signalled SIGSTOP")
-    crowd = [replay.caller(str(number)) for number in range(100, 250)]
+    callers = [replay.caller(str(number)) for number in range(100, 250)]
     replay.step("program signalled SIGCONT")
     replay_call(replay)
-    for peer in crowd:
+    for peer in callers:
         peer.close()
     assert "Too many open files" not in replay.log.read_text()
 
 
 def replay_call(replay):
-    """One call, without the start of its record."""
-    for line in (RECORDS[0].parent / "call.txt").read_text().splitlines():
+    """Run the call of ``call.txt``, without starting the program."""
+    for line in (SCRIPTS[0].parent / "call.txt").read_text().splitlines():
         if line.startswith(("caller", "server a sends", "server a gets")):
             replay.step(line)
 
 
 def test_when_all_connections_are_busy_the_newest_is_rejected(replay):
-    """Past the callers' fraction of the descriptors; the open set-ups retain theirs."""
+    """The connections beyond the callers' fraction of the descriptors are; those with open set-ups stay."""
     replay.add("a", "ready")
     replay.start(limits={"sockets": 10})
     replay.step("server a accepts")
-    record = (RECORDS[0].parent / "call.txt").read_text()
-    set_up = next(line for line in record.splitlines() if "sends" in line)
+    script = (SCRIPTS[0].parent / "call.txt").read_text()
+    set_up = next(line for line in script.splitlines() if "sends" in line)
     for number in range(6):
         replay.step(set_up.replace("caller 1", f"caller {number}").replace("AAAAAAAA", f"{number}" * 8))
         replay.step("server a gets INVITE <*>\\r\\n\\r\\nv=0 offer")
-    replay.caller("6").ended()
-    replay.step("caller 0 silent 50")
+    replay.caller("6").disconnected()
+    replay.step("caller 0 gets_nothing 50")
 
 
 def test_the_buffers_of_all_connections_are_bounded_by_the_memory(replay):
-    """Each within its own bound, they would take more than there is: the largest is ended."""
+    """All buffers together can exceed the memory: the connection with the largest is closed."""
     replay.start(limits={"sockets": 64, "memory_mb": 1})
-    crowd = [replay.caller(str(number)) for number in range(9)]
-    for peer in crowd:
-        peer.stream.sendall(b"\x3f\x00\x01" + bytes(15_000 - 500 * (peer is crowd[0])))
+    callers = [replay.caller(str(number)) for number in range(9)]
+    for peer in callers:
+        peer.stream.sendall(b"\x3f\x00\x01" + bytes(15_000 - 500 * (peer is callers[0])))
     replay.step(r"program prints caller \S+: closed, leaves 15003 bytes unread or without an end")
-    crowd[0].stream.sendall(bytes(400))
-    crowd[0].silent("50")
+    callers[0].stream.sendall(bytes(400))
+    callers[0].gets_nothing("50")
     assert replay.log.read_text().count("without an end") == 1
 
 
-def test_a_peer_that_does_not_read_is_paused_and_costs_no_memory(replay):
-    """Tests without end from a caller that reads no answer: it is read no further, others are served."""
+def test_reading_from_a_peer_that_does_not_read_is_paused(replay):
+    """A caller sends tests and reads no answer: its buffers stay bounded, and others are served."""
     replay.start()
     caller = replay.caller("1")
     caller.stream.settimeout(1.0)
--- a/tests/test_race_conditions_callers.py
+++ b/tests/test_race_conditions_callers.py
@@ -198,7 +198,7 @@
 def test_a_flood_on_one_connection_gets_one_answer_each_and_others_are_served(replay):
     """More set-ups than may be open, in one write, at a server that never comes up."""
     ids = [f"{number + 1:016x}" for number in range(400)]
-    replay.step("known b never")
+    replay.step("listed b unresponsive")
     replay.start()
     flood, other = replay.caller("flood").stream, replay.caller("other")
     flood.settimeout(WAIT_S)
--- a/tests/test_race_conditions_servers.py
+++ b/tests/test_race_conditions_servers.py
@@ -37,11 +37,11 @@
 def test_the_deadline_sent_on_a_late_connection_is_the_remaining_time(replay):
     """It was sent the time before that, and may have worked for too long by as much."""
     replay.step('settings {"ceilings": {"connect_timeout_ms": 15000.0}}')
-    replay.step("known b never")
+    replay.step("listed b unresponsive")
     replay.start()
     replay.caller("1").stream.sendall(set_up(wait_ms=9000))
     replay.step("wait 1100")
-    replay.step("server b comes_up")
+    replay.step("server b accepts_late")
     server = replay.peers["server b"]
     server.stream.settimeout(WAIT_S)
     while b"X-Deadline" not in server.received:
--- a/tests/test_race_conditions_shutdown.py
+++ b/tests/test_race_conditions_shutdown.py
@@ -59,12 +59,12 @@
 def test_a_second_signal_changes_nothing(replay, second):
     replay.start()
     replay.caller("1").stream.sendall(set_up(wait_ms=300))
-    replay.step("caller 1 silent 10")
+    replay.step("caller 1 gets_nothing 10")
     replay.step("program signalled SIGTERM")
     replay.step("program prints told to stop")
     replay.step(f"program signalled {second}")
     replay.step("caller 1 gets \\x00\\x0d\\x0c<*>\\x8e\\x00\\x01)")
-    replay.step("caller 1 ended")
+    replay.step("caller 1 disconnected")
     replay.step("program exits 0")
     assert replay.log.read_text().count("told to stop") == 1
 
