--- a/canvasplank/counters.py
+++ b/canvasplank/counters.py
@@ -4,12 +4,8 @@
 
 from collections import Counter
 
-CLASS_FIGURES = (
-    "served",
-    "refused",
-    "failed",
-    "attempts",
-)  # counted by class; the names are fixed by the front that reads them
+# Counted by class; the names are fixed by the front that reads them.
+CLASS_FIGURES = ("served", "refused", "failed", "attempts")
 
 
 class Counters:
--- a/canvasplank/exchange/exchange.py
+++ b/canvasplank/exchange/exchange.py
@@ -2,9 +2,8 @@
 
 The exchange owns the table of calls, the decision module and its clock, and ensures that each call gets one
 final answer.  It executes the actions of the decision module and reports events to it.  Server selection,
-retries, queueing and admission are decided there, not here.  A protocol component calls the methods for its
-side on ``Exchange`` and implements ``CallerSide`` or ``ServerSide``; the exchange depends on nothing else of
-it.
+retries, queueing and admission are up to that module.  A protocol is a component that calls the methods
+for its side on ``Exchange`` and implements ``CallerSide`` or ``ServerSide``, the exchange's only view of it.
 """
 
 from __future__ import annotations
@@ -207,7 +206,7 @@
             outcome = api.Outcome.ENDED if cause == ReleaseCause.NORMAL_CLEARING else api.Outcome.RESET
             self._end_established(call, outcome, report)
         elif not self._table.has_ended(call_id) and call_id not in self._table.open:
-            # The call may date from before a restart of this program, and its caller still be in it.
+            # The call may date from before a restart of this program, and its caller may still use it.
             self.counters.add("taken.ends_unknown")
             self._table.remember_ended(call_id)
             self._callers.release(None, CallerRelease(call_id, cause, on_delivered))
--- a/canvasplank/exchange/outcomes.py
+++ b/canvasplank/exchange/outcomes.py
@@ -8,7 +8,7 @@
 from canvasplank.exchange.ports import Recorder
 from canvasplank.runtime.scheduler import Scheduler
 
-SERVED, ABANDONED = "served", "given_up"  # for the recorder, besides the values of FinalAnswer
+SERVED, ABANDONED = "served", "given_up"  # final answers for the recorder, besides FinalAnswer's values
 
 
 class OutcomeReporter:
