--- a/tests/test_policy_calls.py
+++ b/tests/test_policy_calls.py
@@ -8,8 +8,7 @@
 
 from canvasplank import interface as api
 from canvasplank.interface import Outcome
-from canvasplank.policy import controller, leaky_bucket
-from canvasplank.policy import server as server_module
+from canvasplank.policy import controller, leaky_bucket, rate_control
 
 
 class TestRoute:
@@ -54,7 +53,7 @@
     def test_a_failure_without_work_takes_no_room_in_the_bucket(self, gateway):
         bucket = gateway.controller._servers["a"].rate.bucket
         for outcome, left in ((Outcome.ERROR, 0.0), (Outcome.RESET, leaky_bucket.SPLASH)):
-            bucket.rate, bucket.fill = server_module.MIN_RATE_PER_S, 0.0
+            bucket.rate, bucket.fill = rate_control.MIN_RATE_PER_S, 0.0
             call_id, _ = gateway.call(first=0)
             gateway.end(call_id, "a", outcome)
             assert bucket.fill == pytest.approx(left, abs=0.01)
@@ -63,7 +62,7 @@
         """Without it every call knocked at a server without lines, most of them in vain."""
         call_id, _ = gateway.call(first=0)
         gateway.end(call_id, "a", Outcome.FULL, processor_full=False)
-        assert gateway.controller._servers["a"].rate.bucket.rate == server_module.MIN_RATE_PER_S
+        assert gateway.controller._servers["a"].rate.bucket.rate == rate_control.MIN_RATE_PER_S
 
     def test_out_of_attempts_is_refused_at_once(self):
         g = Gateway(settings(max_attempts=2))
--- a/tests/test_policy_large_fleet.py
+++ b/tests/test_policy_large_fleet.py
@@ -10,7 +10,7 @@
 from policy_helpers import large, lines
 
 from canvasplank import interface as api
-from canvasplank.policy import server as server_module
+from canvasplank.policy import rate_control, server_observations
 
 
 def fleet(instances: int) -> list[Gateway]:
@@ -111,7 +111,7 @@
             g.servers(ready("a", 0))
             if reported:
                 g.tell(lines("a", 400))
-            assert self.cut_rate(g) == server_module.MIN_RATE_PER_S
+            assert self.cut_rate(g) == rate_control.MIN_RATE_PER_S
 
     @pytest.mark.parametrize("count", [40, 400, 4000])
     def test_minimum_rates_of_a_large_fleet_sum_to_less_than_the_server_carries(self, count):
@@ -125,7 +125,7 @@
     def test_without_reported_circuits_the_minimum_rate_is_divided_by_count(self):
         g = Gateway(large())
         g.servers(ready("a", 0))
-        assert self.cut_rate(g) * 250 == pytest.approx(server_module.MIN_RATE_GATEWAYS)
+        assert self.cut_rate(g) * 250 == pytest.approx(server_observations.MIN_RATE_GATEWAYS)
 
     def test_no_bucket_opens_wider_than_some_even_shares(self):
         """A bucketful of every gateway is seconds of work; it must leak no faster than the demand."""
--- a/tests/test_policy_rate_control.py
+++ b/tests/test_policy_rate_control.py
@@ -10,8 +10,7 @@
 
 from canvasplank import interface as api
 from canvasplank.interface import Outcome
-from canvasplank.policy import leaky_bucket
-from canvasplank.policy import server as server_module
+from canvasplank.policy import leaky_bucket, rate_control, server_observations
 from canvasplank.policy.leaky_bucket import LeakyBucket
 
 
@@ -68,7 +67,7 @@
         assert self.full_after(30).controller._servers["a"].rate.bucket.rate == pytest.approx(9, abs=1.01)
 
     def test_never_below_one_call_a_second(self):
-        assert self.full_after(0).controller._servers["a"].rate.bucket.rate == server_module.MIN_RATE_PER_S
+        assert self.full_after(0).controller._servers["a"].rate.bucket.rate == rate_control.MIN_RATE_PER_S
 
     def test_one_unlucky_second_is_no_measure(self):
         """A second with one answer, after steady ones: the cut goes by a longer span."""
@@ -142,7 +141,7 @@
         if full:
             gateway.full(gateway.call(first=0)[0], "a")
             server.rate.bucket.rate, server.rate.quiet_since_ms = 3.0, leaky_bucket.NEVER
-        gateway.steady("a", 0, server_module.MIN_ANSWERS + 1, gap_ms=400)
+        gateway.steady("a", 0, server_observations.MIN_ANSWERS + 1, gap_ms=400)
         assert server.rate.bucket.rate == rate
 
     def test_what_is_lost_for_good_does_not_halt_the_bucket(self, gateway):
@@ -163,7 +162,7 @@
         g = Gateway()
         g.servers(ready("a", 0))
         bucket = g.controller._servers["a"].rate.bucket
-        bucket.rate = server_module.MIN_RATE_PER_S
+        bucket.rate = rate_control.MIN_RATE_PER_S
         bucket.fill = leaky_bucket.HIGHEST_THRESHOLD - leaky_bucket.SPLASH
         assert not sent_to(g.call("low")[1])
         assert sent_to(g.call("high")[1]) == ["a"]
@@ -173,7 +172,7 @@
     """Found on sockets: the first late answer of a day set rates to the floor for most of it."""
 
     @pytest.mark.parametrize(
-        ("sign", "rate"), [("late", 10), ("no line", 10), ("full", server_module.MIN_RATE_PER_S)]
+        ("sign", "rate"), [("late", 10), ("no line", 10), ("full", rate_control.MIN_RATE_PER_S)]
     )
     def test_only_a_full_processor_cuts_it_below_an_even_share(self, sign, rate):
         classes = tuple(replace(c, hold_ms=2000.0) for c in SETTINGS.classes)
--- a/tests/test_policy_slow_start.py
+++ b/tests/test_policy_slow_start.py
@@ -11,6 +11,7 @@
 from canvasplank import interface as api
 from canvasplank.interface import Outcome
 from canvasplank.policy import server as server_module
+from canvasplank.policy import server_observations
 
 
 class TestRule4:
@@ -95,8 +96,8 @@
         g = Gateway(settings(rules=replace(RULES, overload_multiple=2.0)))
         g.servers(ready("a", 0, started_ms=0.0))
         server = g.controller._servers["a"]
-        server.answered_ms.extend(g.now + server_module.ANSWER_WINDOW_MS * i / 40 for i in range(40))
-        g.now = server_module.ANSWER_WINDOW_MS - 100
+        server.answered_ms.extend(g.now + server_observations.ANSWER_WINDOW_MS * i / 40 for i in range(40))
+        g.now = server_observations.ANSWER_WINDOW_MS - 100
         g.controller.handle(g.now, api.CallAbandoned("nobody"))
         assert server.slow_start.rate_per_s() > server.window_rate_per_s() > 0
 
@@ -119,8 +120,8 @@
 
     def test_remembered_reports_are_bounded(self):
         g = Gateway(large(instances=3))
-        for pool in range(server_module.MAX_POOLS + 5):
+        for pool in range(server_observations.MAX_POOLS + 5):
             g.servers(ready("a", pool))
             g.tell(lines("a", 10))
             g.servers(gone("a", pool))
-        assert len(g.controller._context.pool_reports) == server_module.MAX_POOLS
+        assert len(g.controller._context.pool_reports) == server_observations.MAX_POOLS
--- a/tests/test_project_rules.py
+++ b/tests/test_project_rules.py
@@ -133,6 +133,8 @@
     "warm_start.start_hints",
     "policy.leaky_bucket",
     "policy.decision_context",
+    "policy.server_observations",
+    "policy.rate_control",
     "policy.server",
     "policy.call_queue",
     "policy.routing",
