--- a/benchmarks/budgets.py
+++ b/benchmarks/budgets.py
@@ -25,7 +25,7 @@
 
 from canvasplank.counters import Counters
 from canvasplank.fleet.budget_limiter import BudgetKind
-from canvasplank.fleet.config import Budget, Fleet
+from canvasplank.fleet.config import Budget, FleetSettings
 from canvasplank.fleet.lease_renewer import LeaseRenewer
 from emulators.budgets import BudgetFleet, Plan
 from emulators.callers import Callers
@@ -139,7 +139,7 @@
     with tempfile.TemporaryDirectory() as folder:
         store = PostgresqlEmulator(Path(folder))
         await store.start()
-        settings = Fleet(
+        settings = FleetSettings(
             "postgresql", count, [Budget("all", BudgetKind.SET_UPS, 10.0 * count)], dsn=store.dsn
         )
         renewers = [LeaseRenewer(settings, f"n{n}", n, Counters()) for n in range(count)]
--- a/canvasplank/admin.py
+++ b/canvasplank/admin.py
@@ -11,7 +11,7 @@
 from typing import Protocol
 
 from canvasplank.config.addresses import parse_address
-from canvasplank.runtime.streams import close_writer, end_quietly
+from canvasplank.runtime.streams import close_writer, suppress_cancellation
 
 LOG = logging.getLogger(__name__)
 READ_TIMEOUT_S = 1.0  # for the command
@@ -27,7 +27,7 @@
     def ready(self) -> bool:
         """Whether new callers are accepted now."""
 
-    def figures(self) -> list[str]:
+    def metric_lines(self) -> list[str]:
         """The figures in the exposition format, a line each."""
 
     def quiesce(self) -> None:
@@ -49,7 +49,7 @@
         """Open the listener; a new version started beside this one shares its port (``SO_REUSEPORT``)."""
         host, port = parse_address(address)
         self._server = await asyncio.start_server(
-            end_quietly(self._serve), host, port, limit=MAX_LINE_BYTES, reuse_port=True
+            suppress_cancellation(self._serve), host, port, limit=MAX_LINE_BYTES, reuse_port=True
         )
 
     def close(self) -> None:
@@ -63,7 +63,7 @@
             case "health":
                 return f"{OK} ready\n" if self._operated.ready() else f"{BAD} not ready\n"
             case "counters":
-                lines = [f"{OK} counters", *self._operated.figures(), "EOF"]
+                lines = [f"{OK} counters", *self._operated.metric_lines(), "EOF"]
                 return "".join(f"{line}\n" for line in lines)
             case "quiesce":
                 LOG.info("told to quiesce: callers are sent away")
--- a/canvasplank/cli.py
+++ b/canvasplank/cli.py
@@ -15,8 +15,8 @@
 from canvasplank.config.configuration import ConfigurationError
 from canvasplank.database.errors import StoreRefusedError, StoreUnavailableError
 from canvasplank.fleet.backend import Backend
-from canvasplank.fleet.config import Fleet, load_fleet
-from canvasplank.fleet.lease_transaction import leased
+from canvasplank.fleet.config import FleetSettings, load_fleet_settings
+from canvasplank.fleet.lease_transaction import leasable_total
 from canvasplank.fleet.state import FleetState
 from canvasplank.store.__main__ import cli as store_cli
 
@@ -35,14 +35,14 @@
 )
 
 
-def query_fleet(path: str, query: Callable[[Fleet, Backend], Awaitable[Result]]) -> Result:
+def query_fleet(path: str, query: Callable[[FleetSettings, Backend], Awaitable[Result]]) -> Result:
     """The query's result from the fleet's store.
 
     Raises ``ClickException`` (one line, exit status 1) if the settings or the store cannot be used.
     """
 
     async def run() -> Result:
-        fleet = load_fleet(path)
+        fleet = load_fleet_settings(path)
         backend = fleet.create_backend()
         async with asyncio.timeout(fleet.request_ms / MS_PER_S):
             await backend.open()
@@ -57,7 +57,7 @@
         raise click.ClickException(str(error) or "the store gave no answer in time") from None
 
 
-async def _read_state(_: Fleet, backend: Backend) -> FleetState:
+async def _read_state(_: FleetSettings, backend: Backend) -> FleetState:
     return await backend.read_state()
 
 
@@ -87,7 +87,7 @@
     Takes two and a half renewal intervals: only a renewal within that time shows that a member is alive.
     """
 
-    async def read_twice(settings: Fleet, backend: Backend) -> tuple[FleetState, FleetState]:
+    async def read_twice(settings: FleetSettings, backend: Backend) -> tuple[FleetState, FleetState]:
         before = await backend.read_state()
         await asyncio.sleep(QUIET_AFTER_RENEWALS * settings.renew_ms / MS_PER_S)
         return before, await backend.read_state()
@@ -109,7 +109,7 @@
 def remove_member(path: str, incarnation: int) -> None:
     """Remove a member's row that this version cannot read, of a process that certainly does not run."""
 
-    async def remove(_: Fleet, backend: Backend) -> bool:
+    async def remove(_: FleetSettings, backend: Backend) -> bool:
         return await backend.remove_member(incarnation)
 
     if not query_fleet(path, remove):
@@ -142,11 +142,13 @@
 def worker(path: str, work_path: str, name: str) -> None:
     """Run the fleet's tasks: close periods of the usage ledger, export them, delete old records."""
     from canvasplank.runtime import structured_logging
-    from canvasplank.worker.config import load_work
+    from canvasplank.worker.config import load_worker_settings
     from canvasplank.worker.task_runner import TaskRunner
 
     async def run() -> None:
-        await TaskRunner(load_fleet(path), load_work(work_path), name, secrets.randbits(32)).run()
+        await TaskRunner(
+            load_fleet_settings(path), load_worker_settings(work_path), name, secrets.randbits(32)
+        ).run()
 
     try:
         structured_logging.configure(os.environ.get("CANVASPLANK_LOG", "human"))
@@ -167,7 +169,7 @@
     state = query_fleet(path, _read_state)
     for budget in sorted({name for member in state.members.values() for name in member.allocations}):
         members = [member for _, member in sorted(state.members.items()) if budget in member.allocations]
-        total = leased([member.allocations[budget] for member in members])
+        total = leasable_total([member.allocations[budget] for member in members])
         held = sum(member.allocations[budget].held for member in members)
         click.echo(f"{budget}\tleased {_units(held)} of {_units(total)}/s\tfree {_units(total - held)}/s")
         for member in members:
--- a/canvasplank/codecs/sip.py
+++ b/canvasplank/codecs/sip.py
@@ -52,7 +52,7 @@
         match = _BRANCH.search(self.headers.get("via", "").split(",")[0])
         return match[1] if match else ""
 
-    def is_of_other_set_up(self, sequence: int) -> bool:
+    def answers_other_invite(self, sequence: int) -> bool:
         """Whether this response is to another of our INVITEs of its call than that of this CSeq number.
 
         A response that repeats no branch of ours (RFC 3261 17.1.3) may be to any of them.
--- a/canvasplank/cold_start/extension.py
+++ b/canvasplank/cold_start/extension.py
@@ -117,5 +117,5 @@
             self._subset.can_release_endpoints()
             or change > FLEET_SIZE_CHANGE_FRACTION * self._announced_fleet_size
         ):
-            self._context.servers.listed(False, [])
+            self._context.servers.update_endpoints(False, [])
         self._context.scheduler.call_later(CHECK_INTERVAL_MS, self._check_subset)
--- a/canvasplank/config/discovery_events.py
+++ b/canvasplank/config/discovery_events.py
@@ -56,7 +56,7 @@
             instances[instance.instance_id] = instance
 
 
-def endpoints_after(events: Iterable[DiscoveryEvent]) -> list[Endpoint]:
+def apply_events(events: Iterable[DiscoveryEvent]) -> list[Endpoint]:
     """The endpoint list after these events."""
     instances: dict[str, Endpoint] = {}
     for event in events:
--- a/canvasplank/config/platform_settings.py
+++ b/canvasplank/config/platform_settings.py
@@ -56,7 +56,7 @@
 
     def circuits(self, figures: Mapping[str, float | None]) -> tuple[float, float] | None:
         """Free circuits and all circuits; None: not both are reported."""
-        free, size = known_or_none(figures.get(self._free)), known_or_none(figures.get(self._size))
+        free, size = reported_or_none(figures.get(self._free)), reported_or_none(figures.get(self._size))
         return None if free is None or size is None else (free, size)
 
     def report(self, figures: Mapping[str, float | None], wait_ms: float | None = None) -> api.Report | None:
@@ -67,14 +67,14 @@
         values = {
             REPORT_FIELDS[name].value: value
             for name in self._columns
-            if name in REPORT_FIELDS and (value := known_or_none(figures.get(name))) is not None
+            if name in REPORT_FIELDS and (value := reported_or_none(figures.get(name))) is not None
         }
         if wait_ms is not None:
             values.setdefault(api.ReportField.WAIT_MS.value, wait_ms)
         return api.Report(**values) if values else None
 
 
-def known_or_none(value: float | None) -> float | None:
+def reported_or_none(value: float | None) -> float | None:
     """A figure, or None where the wire omits it or has -1 for it."""
     return None if value is None or value < 0 else value
 
@@ -136,14 +136,14 @@
         rules=_rules(rules, family),
         max_attempts=limits["most_tries"],
         tick_ms=options["tick_ms"],
-        resend_ms=known_or_none(family.get("resend_ms")) or None,
+        resend_ms=reported_or_none(family.get("resend_ms")) or None,
         tenants=tuple(api.Tenant(tenant["name"], tenant["quota_per_s"]) for tenant in tenants),
         over_quota_weight=options.get("over_share_worth", 1.0),
         reports=_SOURCES[report["via"]],
         report_fields=tuple(REPORT_FIELDS[name] for name in report["names"] if name in REPORT_FIELDS),
         probes_allowed=limits["probes"],
         cancel_allowed=limits["cancel"],
-        retry_after_max_ms=(known_or_none(limits.get("max_retry_after_ms")) or None)
+        retry_after_max_ms=(reported_or_none(limits.get("max_retry_after_ms")) or None)
         if limits["retry_after"]
         else None,
     )
--- a/canvasplank/counters.py
+++ b/canvasplank/counters.py
@@ -22,11 +22,11 @@
         """Set a count that another component maintains."""
         self._counts[name] = value
 
-    def by_class(self, figure: str, class_name: str) -> None:
+    def count_for_class(self, figure: str, class_name: str) -> None:
         """Count a call's answer, or an attempt, for its class; ``figure`` is one of ``CLASS_FIGURES``."""
         self._by_class[figure, class_name] += 1
 
-    def figures(self, in_flight: int, servers_known: int, servers_excluded: int) -> list[str]:
+    def metric_lines(self, in_flight: int, servers_known: int, servers_excluded: int) -> list[str]:
         """The figures in the exposition format that the front reads, a line each.
 
         Every class seen has all four figures, so that a 0 reads as 0 and not as missing.
--- a/canvasplank/endpoint_cache/extension.py
+++ b/canvasplank/endpoint_cache/extension.py
@@ -4,7 +4,7 @@
 
 import logging
 
-from canvasplank.config.discovery_events import DiscoveryEvent, endpoints_after
+from canvasplank.config.discovery_events import DiscoveryEvent, apply_events
 from canvasplank.config.platform_settings import read_settings
 from canvasplank.endpoint_cache.bootstrap import BootstrapPlan, plan_bootstrap
 from canvasplank.endpoint_cache.cache_file import read_cached_list
@@ -27,7 +27,7 @@
 
     def __init__(self, context: ExtensionContext, settings: EndpointCacheSettings) -> None:
         self._context, self._settings = context, settings
-        configured = endpoints_after(context.configuration.known.events)
+        configured = apply_events(context.configuration.known.events)
         self._is_configured = bool(configured)
         self._writer = EndpointListWriter(
             settings.path,
@@ -41,7 +41,7 @@
         self._writer.start()
         if not self._is_configured and (plan := self._plan()) is not None:
             self._context.counters.add("membership.starts_from_disk")
-            self._context.servers.listed(True, plan.endpoints)
+            self._context.servers.update_endpoints(True, plan.endpoints)
             self._context.exchange.apply_hints(plan.hints)
 
     def _plan(self) -> BootstrapPlan | None:
--- a/canvasplank/exchange/call_records.py
+++ b/canvasplank/exchange/call_records.py
@@ -62,7 +62,7 @@
     class_name: str
     number: str
     preferred_pool: int
-    was_cut: bool
+    replaces_cut_call: bool
     expires_ms: float
     description: bytes
     origin: Hashable  # whatever the callers' component knows the caller's connection by
--- a/canvasplank/exchange/exchange.py
+++ b/canvasplank/exchange/exchange.py
@@ -104,7 +104,7 @@
                 call.preferred_pool,
                 tenant=call.tenant,
                 number=call.number,
-                was_cut=call.was_cut,
+                replaces_cut_call=call.replaces_cut_call,
             )
         )
         return True
--- a/canvasplank/exchange/outcomes.py
+++ b/canvasplank/exchange/outcomes.py
@@ -21,12 +21,14 @@
     def established(self, call: CallRecord) -> None:
         """The call got its answer that it is established."""
         self._counters.add("answered.stands")
-        self._counters.by_class("served", call.class_name)
+        self._counters.count_for_class("served", call.class_name)
         self._record_answer(call, SERVED)
 
     def rejected(self, call: CallRecord, final: FinalAnswer) -> None:
         """The call got any other final answer."""
-        self._counters.by_class("refused" if final is FinalAnswer.REFUSED else "failed", call.class_name)
+        self._counters.count_for_class(
+            "refused" if final is FinalAnswer.REFUSED else "failed", call.class_name
+        )
         self._record_answer(call, final.value)
 
     def abandoned(self, call: CallRecord) -> None:
--- a/canvasplank/fleet/config.py
+++ b/canvasplank/fleet/config.py
@@ -29,7 +29,7 @@
     )
 
 
-class Fleet(msgspec.Struct, forbid_unknown_fields=True):
+class FleetSettings(msgspec.Struct, forbid_unknown_fields=True):
     """The configuration of the fleet's coordination."""
 
     backend: Literal["sqlite", "postgresql"]
@@ -76,12 +76,12 @@
         return Postgresql(self.dsn, self.request_ms / 1000)
 
 
-def load_fleet(path: str) -> Fleet:
+def load_fleet_settings(path: str) -> FleetSettings:
     """Read and check the file; raises ``ConfigurationError`` with one line where it cannot be used."""
-    return load_extension_settings(path, "fleet", Fleet, _check)
+    return load_extension_settings(path, "fleet", FleetSettings, _check)
 
 
-def _check(fleet: Fleet) -> None:
+def _check(fleet: FleetSettings) -> None:
     check_location(fleet.backend, fleet.path, fleet.dsn)
     if fleet.lease().usable_ms() < 2 * fleet.renew_ms:
         raise ValueError("lease_ms, less drift and margin_ms, is less than two times renew_ms")
--- a/canvasplank/fleet/extension.py
+++ b/canvasplank/fleet/extension.py
@@ -4,20 +4,20 @@
 
 from canvasplank import interface as api
 from canvasplank.extensions.extension import Extension, ExtensionContext, ExtensionFactory
-from canvasplank.fleet.config import Fleet, load_fleet
+from canvasplank.fleet.config import FleetSettings, load_fleet_settings
 from canvasplank.fleet.lease_renewer import LeaseRenewer
 
 
 def load(path: str) -> ExtensionFactory:
-    """Read the fleet's configuration file; see ``load_fleet``."""
-    settings = load_fleet(path)
+    """Read the fleet's configuration file; see ``load_fleet_settings``."""
+    settings = load_fleet_settings(path)
     return lambda context: FleetExtension(context, settings)
 
 
 class FleetExtension(Extension):
     """Renews this proxy's leases and provides the module's gate with the budgets' delays."""
 
-    def __init__(self, context: ExtensionContext, settings: Fleet) -> None:
+    def __init__(self, context: ExtensionContext, settings: FleetSettings) -> None:
         configuration = context.configuration
         self._renewer = LeaseRenewer(
             settings,
--- a/canvasplank/fleet/lease_renewer.py
+++ b/canvasplank/fleet/lease_renewer.py
@@ -16,7 +16,7 @@
 from canvasplank.database.location import close_within
 from canvasplank.fleet.backend import Backend
 from canvasplank.fleet.budget_limiter import BudgetKind, BudgetLimiter
-from canvasplank.fleet.config import Fleet
+from canvasplank.fleet.config import FleetSettings
 from canvasplank.fleet.failure_detector import FailureDetector
 from canvasplank.fleet.lease_holder import LeaseHolder
 from canvasplank.fleet.lease_messages import LeaseRequest, LeaseResponse
@@ -30,7 +30,7 @@
 MAX_WAIT_MS = 1000.0  # a set-up without any allowance tries again after this time
 
 
-def steady_ms() -> float:
+def boottime_ms() -> float:
     """Milliseconds on a clock that is never set and that goes on while the machine sleeps."""
     return time.clock_gettime(time.CLOCK_BOOTTIME) * MS
 
@@ -40,11 +40,11 @@
 
     def __init__(
         self,
-        fleet: Fleet,
+        fleet: FleetSettings,
         name: str,
         seed: int,
         counters: Counters,
-        clock: Callable[[], float] = steady_ms,
+        clock: Callable[[], float] = boottime_ms,
         *,
         works: Iterable[str] = (),
         sees_discovery: Callable[[], bool] = lambda: False,
--- a/canvasplank/fleet/lease_transaction.py
+++ b/canvasplank/fleet/lease_transaction.py
@@ -107,7 +107,7 @@
     ``nothing_free``: members that cannot be read may hold all of the rest.
     """
     allocations = {key: m.allocations[budget] for key, m in others.items() if budget in m.allocations}
-    total = leased([own, *allocations.values()])
+    total = leasable_total([own, *allocations.values()])
     demands = {key: each.demand for key, each in (allocations | {incarnation: own}).items()}
     target = divide(total, dict(sorted(demands.items())))[incarnation]
     free = total - own.held - sum(each.held for each in allocations.values())
@@ -151,7 +151,7 @@
     return all(owned[incarnation] <= owned[key] for key in others)
 
 
-def leased(allocations: list[Allocation]) -> int:
+def leasable_total(allocations: list[Allocation]) -> int:
     """What may be leased of a budget, in thousandths a second.
 
     Where configurations differ, it is the smallest total less the largest reserve.
--- a/canvasplank/fleet/renewal_schedule.py
+++ b/canvasplank/fleet/renewal_schedule.py
@@ -33,11 +33,11 @@
         """
         self._failures = 0
         self._eager_pauses = self._eager_pauses + 1 if eager else 0
-        steady_ms = self._renew_ms * self._rng.uniform(*STEADY_JITTER)
+        boottime_ms = self._renew_ms * self._rng.uniform(*STEADY_JITTER)
         if 0 < self._eager_pauses <= MAX_EAGER_PAUSES:
             eager_ms = max(self._renew_ms * EAGER_FRACTION, EAGER_MS_PER_MEMBER * members)
-            return min(steady_ms, eager_ms * self._rng.uniform(0.5, 1.0))
-        return steady_ms
+            return min(boottime_ms, eager_ms * self._rng.uniform(0.5, 1.0))
+        return boottime_ms
 
     def after_failure(self, members: int) -> float:
         """The pause after a failed request, in a fleet of ``members`` as last known."""
--- a/canvasplank/interface.py
+++ b/canvasplank/interface.py
@@ -200,7 +200,7 @@
     tenant: str | None = None
     number: str | None = None  # the number called
     redialled: bool = False  # the caller marks this as a retry
-    was_cut: bool = False  # it was established before and cut
+    replaces_cut_call: bool = False  # it was established before and cut
 
 
 @dataclass(frozen=True, slots=True)
--- a/canvasplank/network/server_stream.py
+++ b/canvasplank/network/server_stream.py
@@ -329,7 +329,7 @@
         remaining_ms = max(1, round(waiting.until_ms - self.scheduler.read_clock()))
         headers = {"X-Tier": call.class_name, "X-Deadline": str(remaining_ms)}
         self.write(sip.request("INVITE", call.number, call.id, attempt + 1, headers, call.description))
-        self._owner.exchange.counters.by_class("attempts", call.class_name)
+        self._owner.exchange.counters.count_for_class("attempts", call.class_name)
 
     def send_cancel(self, call_id: str, attempt: int, on_sent: Callable[[], None]) -> None:
         """Write a CANCEL; ``on_sent``: see ``call_when_sent``."""
--- a/canvasplank/network/servers.py
+++ b/canvasplank/network/servers.py
@@ -57,7 +57,7 @@
         """Connect only to the servers that the filter selects; before the first list."""
         self._table.use_endpoint_filter(endpoint_filter)
 
-    def listed(self, complete: bool, instances: list[Endpoint]) -> None:
+    def update_endpoints(self, complete: bool, instances: list[Endpoint]) -> None:
         """Take an update of the endpoint list: all of it where ``complete``, else what has changed."""
         self._table.on_list_updated(complete, instances)
 
@@ -233,7 +233,7 @@
         attempt = stream.open_set_ups.get(call_id)
         stream.write(sip.request("ACK", "call", call_id, max(1, message.sequence)))
         refused = message.status >= MULTIPLE_CHOICES
-        if refused and attempt is not None and message.is_of_other_set_up(attempt + 1):
+        if refused and attempt is not None and message.answers_other_invite(attempt + 1):
             return  # the refusal of an earlier attempt, sent again or late
         stream.open_set_ups.pop(call_id, None)
         stream.cancelled.pop(call_id, None)
--- a/canvasplank/network/set_up_parser.py
+++ b/canvasplank/network/set_up_parser.py
@@ -47,7 +47,7 @@
         tenant=message.text(isup.Parameter.TENANT) if bounds.tenants else None,
         number=number,
         preferred_pool=figures.get("dest", -1),
-        was_cut=figures.get("again") == 1,
+        replaces_cut_call=figures.get("again") == 1,
         # The wait counts from when the caller sent it: earlier than now by as much as it was read late.
         expires_ms=scheduler.now_ms - scheduler.lateness_ms + wait_ms,
         description=description,
--- a/canvasplank/policy/call_queue.py
+++ b/canvasplank/policy/call_queue.py
@@ -61,7 +61,7 @@
         """Exception (redials): the target of a caller back under its number and class runs from the first."""
         request, key = call.request, (call.request.number, call.request.class_name)
         self.calls[request.id] = call
-        if request.was_cut or key not in self.redials:
+        if request.replaces_cut_call or key not in self.redials:
             call.quota_weight = self._take_credit(request.tenant)
         else:
             call.first_ms, _, call.quota_weight = self.redials.pop(key)
--- a/canvasplank/program.py
+++ b/canvasplank/program.py
@@ -16,7 +16,7 @@
 from canvasplank.admin import Admin
 from canvasplank.config.addresses import parse_address
 from canvasplank.config.configuration import Configuration, ConfigurationError, load_configuration
-from canvasplank.config.discovery_events import DiscoveryEvent, endpoints_after
+from canvasplank.config.discovery_events import DiscoveryEvent, apply_events
 from canvasplank.config.platform_settings import (
     read_connection_limits,
     read_load_report_reader,
@@ -110,7 +110,7 @@
         loop.add_signal_handler(signal.SIGHUP, self._reload)
         signals.unblock()
         self.scheduler.begin_iteration()
-        self.servers.listed(True, endpoints_after(self.configuration.known.events))
+        self.servers.update_endpoints(True, apply_events(self.configuration.known.events))
         for extension in self._extensions:
             await extension.start()
         self.discovery.start()
@@ -174,10 +174,10 @@
         """See ``Operated``."""
         return self._listening and self._callers.takes_callers
 
-    def figures(self) -> list[str]:
+    def metric_lines(self) -> list[str]:
         """See ``Operated``; a call is in flight from its set-up until it is rejected or has ended."""
         in_flight = self.exchange.open_calls + self.exchange.established_calls
-        return self.counters.figures(in_flight, *self.servers.known_and_excluded())
+        return self.counters.metric_lines(in_flight, *self.servers.known_and_excluded())
 
     def quiesce(self) -> None:
         """See ``Operated``."""
@@ -198,7 +198,7 @@
 
     def _on_discovery_event(self, event: DiscoveryEvent) -> None:
         if event.pool is not None:
-            self.servers.listed(event.pool.reset, event.pool.instances)
+            self.servers.update_endpoints(event.pool.reset, event.pool.instances)
         for extension in self._extensions:
             extension.on_discovery_event(event)
 
--- a/canvasplank/runtime/streams.py
+++ b/canvasplank/runtime/streams.py
@@ -9,7 +9,7 @@
 ConnectionHandler = Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
 
 
-def end_quietly(handler: ConnectionHandler) -> ConnectionHandler:
+def suppress_cancellation(handler: ConnectionHandler) -> ConnectionHandler:
     """A handler for ``asyncio.start_server`` that returns where it is cancelled, as at the program's end.
 
     asyncio's own callback on the task of a handler logs a traceback for one that was cancelled.
--- a/canvasplank/simulator_adapter.py
+++ b/canvasplank/simulator_adapter.py
@@ -15,9 +15,9 @@
 from canvasplank import interface as api
 from canvasplank.config.platform_settings import (
     LoadReportReader,
-    known_or_none,
     read_load_report_reader,
     read_settings,
+    reported_or_none,
 )
 from canvasplank.policy import Controller
 
@@ -129,7 +129,7 @@
 
     def _entry(self, entry: list[Any]) -> api.Server:
         server, _zone, _kind, pool, phase, _units, born = entry
-        return api.Server(server, pool, _STATES[phase], known_or_none(born) or None)
+        return api.Server(server, pool, _STATES[phase], reported_or_none(born) or None)
 
     def _update(self, message: list[Any]) -> api.Event | None:
         if message[3] == "failed":
@@ -147,7 +147,7 @@
             tenant=tenant or None,
             number=number,
             redialled=bool(flags & _REDIALLED),
-            was_cut=bool(flags & _WAS_CUT),
+            replaces_cut_call=bool(flags & _WAS_CUT),
         )
 
     def _settled(self, message: list[Any]) -> api.Event:
--- a/canvasplank/warm_start/server.py
+++ b/canvasplank/warm_start/server.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass
 
 from canvasplank.config.addresses import parse_address
-from canvasplank.runtime.streams import close_writer, end_quietly
+from canvasplank.runtime.streams import close_writer, suppress_cancellation
 from canvasplank.warm_start.peer_snapshot import VIEW_REQUEST, PeerSnapshot, encode, frame
 
 LOG = logging.getLogger(__name__)
@@ -44,7 +44,7 @@
         """Open the listener for new instances; raises ``OSError`` where the address cannot be used."""
         host, port = parse_address(address)
         limit = len(VIEW_REQUEST) + REQUEST_MARGIN_BYTES
-        self._server = await asyncio.start_server(end_quietly(self._serve), host, port, limit=limit)
+        self._server = await asyncio.start_server(suppress_cancellation(self._serve), host, port, limit=limit)
 
     def close(self) -> None:
         """Close the listener."""
--- a/canvasplank/worker/config.py
+++ b/canvasplank/worker/config.py
@@ -33,7 +33,7 @@
     )
 
 
-def load_work(path: str) -> WorkerSettings:
+def load_worker_settings(path: str) -> WorkerSettings:
     """Read and check the file; raises ``ConfigurationError``."""
     return load_extension_settings(path, "work", WorkerSettings, _check)
 
--- a/canvasplank/worker/task_runner.py
+++ b/canvasplank/worker/task_runner.py
@@ -22,7 +22,7 @@
 from canvasplank.database.migrations import Schema
 from canvasplank.database.statements import Statement
 from canvasplank.fleet.backend import Backend, FencingToken, StaleTermError
-from canvasplank.fleet.config import Fleet
+from canvasplank.fleet.config import FleetSettings
 from canvasplank.fleet.lease_renewer import LeaseRenewer
 from canvasplank.runtime.structured_logging import log_event
 from canvasplank.runtime.worker_thread import WorkerThread, WorkerThreadBusyError
@@ -48,7 +48,7 @@
 class TaskRunner:
     """Polls the tasks that this process leads, and runs what is due."""
 
-    def __init__(self, fleet: Fleet, settings: WorkerSettings, name: str, seed: int) -> None:
+    def __init__(self, fleet: FleetSettings, settings: WorkerSettings, name: str, seed: int) -> None:
         self._settings = settings
         self._folder = Path(settings.export_folder)
         self._renewer = LeaseRenewer(fleet, name, seed, Counters(), works=TASKS)
--- a/experiments/experiment_run.py
+++ b/experiments/experiment_run.py
@@ -9,9 +9,9 @@
 import time
 from pathlib import Path
 
-from canvasplank.fleet.config import Fleet as BudgetSettings
-from canvasplank.fleet.config import load_fleet
-from canvasplank.fleet.lease_renewer import steady_ms
+from canvasplank.fleet.config import FleetSettings as BudgetSettings
+from canvasplank.fleet.config import load_fleet_settings
+from canvasplank.fleet.lease_renewer import boottime_ms
 from emulators.callers import Callers
 from emulators.fleet import Fleet, fleet
 from emulators.server import CallServer
@@ -106,7 +106,7 @@
             for each in self._callers.tries.values()
         ]
         if (self._variant.fleet or {}).get("trace"):
-            self._collect_budgets(load_fleet(str(next(self._fleet.folder.glob("fleet-*.toml")))))
+            self._collect_budgets(load_fleet_settings(str(next(self._fleet.folder.glob("fleet-*.toml")))))
         for proxy in self._processes.proxies.values():
             with contextlib.suppress(OSError):
                 observations.memory_mb.append(resident_mb(proxy.process.pid))
@@ -114,7 +114,7 @@
 
     def _collect_budgets(self, settings: BudgetSettings) -> None:
         """Read the traces of the budgets from the logs of every process that ever ran."""
-        start_ms = steady_ms() - self._now_s() * MS
+        start_ms = boottime_ms() - self._now_s() * MS
         for each in settings.budget:
             traces = [read_trace(proxy.log, each.name) for proxy in self._fleet.proxies]
             leased_per_s = each.total_per_s * (1 - each.reserve_fraction)
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -59,26 +59,26 @@
         self.controller = Controller(settings, seed, budgets)
         self.now = 0.0
         self.timers: list[tuple[float, str]] = []
-        self.done: list[tuple[float, api.Action]] = []
+        self.action_log: list[tuple[float, api.Action]] = []
         self.calls = 0
         self.attempts: dict[str, int] = {}
-        self.alive: dict[str, float] = {}  # servers that answer by themselves, and after how long
+        self.answer_delays_ms: dict[str, float] = {}  # servers that answer by themselves, and after how long
         self.due: list[tuple[float, str, str]] = []
 
-    def tell(self, event: api.Event) -> list[api.Action]:
+    def handle(self, event: api.Event) -> list[api.Action]:
         actions = self.controller.handle(self.now, event)
         for action in actions:
-            self.done.append((self.now, action))
+            self.action_log.append((self.now, action))
             if isinstance(action, api.SetTimer):
                 self.timers.append((self.now + action.after_ms, action.token))
             if isinstance(action, api.SetUp):
                 self.attempts[action.call_id] = self.attempts.get(action.call_id, -1) + 1
                 server = action.server_id
-                if server in self.alive:
-                    self.due.append((self.now + self.alive[server], action.call_id, server))
+                if server in self.answer_delays_ms:
+                    self.due.append((self.now + self.answer_delays_ms[server], action.call_id, server))
         return actions
 
-    def until(self, when: float) -> list[api.Action]:
+    def advance_to(self, when: float) -> list[api.Action]:
         """Let time pass, with the timers and the answers of live servers that come due."""
         out: list[api.Action] = []
         while (pending := [*self.timers, *self.due]) and min(pending)[0] <= when:
@@ -86,39 +86,41 @@
             self.now = max(self.now, due[0])
             if due in self.timers:
                 self.timers.remove(due)
-                out += self.tell(api.TimerFired(due[1]))
+                out += self.handle(api.TimerFired(due[1]))
             else:
                 self.due.remove(due)
-                out += self.answer(due[1], due[2], self.alive.get(due[2], 40))
+                out += self.answer(due[1], due[2], self.answer_delays_ms.get(due[2], 40))
         self.now = when
         return out
 
     def servers(self, *servers: api.Server, kind: api.ListKind = api.ListKind.COMPLETE) -> list[api.Action]:
-        return self.tell(api.ServerList(kind, servers))
+        return self.handle(api.ServerList(kind, servers))
 
     def call(self, class_name: str = "low", first: int = 0, **more) -> tuple[str, list[api.Action]]:
         self.calls += 1
         call_id = more.pop("id", f"call-{self.calls}")
         more.setdefault("expires_ms", self.now + 3000)
-        return call_id, self.tell(api.Call(call_id, class_name, preferred_pool=first, **more))
+        return call_id, self.handle(api.Call(call_id, class_name, preferred_pool=first, **more))
 
     def answer(self, call_id: str, server: str, waited_ms: float = 40) -> list[api.Action]:
-        return self.tell(api.Established(call_id, self.attempts[call_id], server, waited_ms))
+        return self.handle(api.Established(call_id, self.attempts[call_id], server, waited_ms))
 
     def end(self, call_id: str, server: str, outcome: api.Outcome, **more) -> list[api.Action]:
         more.setdefault("finished", False)
-        return self.tell(api.AttemptEnded(call_id, self.attempts[call_id], server, outcome, **more))
+        return self.handle(api.AttemptEnded(call_id, self.attempts[call_id], server, outcome, **more))
 
     def full(self, call_id: str, server: str) -> list[api.Action]:
         return self.end(call_id, server, api.Outcome.FULL, processor_full=True)
 
-    def steady(self, server: str, first: int, count: int, gap_ms: float = 250, waited_ms: float = 40) -> None:
+    def serve_calls(
+        self, server: str, first: int, count: int, gap_ms: float = 250, waited_ms: float = 40
+    ) -> None:
         """Calls that a server answers as it should."""
-        self.alive[server] = waited_ms
+        self.answer_delays_ms[server] = waited_ms
         for _ in range(count):
             self.call(first=first)
-            self.until(self.now + gap_ms)
-        del self.alive[server]
+            self.advance_to(self.now + gap_ms)
+        del self.answer_delays_ms[server]
 
 
 def ready(name: str, pool: int, started_ms: float | None = None) -> api.Server:
@@ -146,5 +148,5 @@
     """A gateway with two warm servers, a for pool 0 and b for pool 1."""
     g = Gateway()
     g.servers(ready("a", 0), ready("b", 1))
-    g.until(10)
+    g.advance_to(10)
     return g
--- a/tests/race_conditions.py
+++ b/tests/race_conditions.py
@@ -44,7 +44,7 @@
     )
 
 
-def read_to_the_end(peer: socket.socket) -> bytes:
+def read_until_eof(peer: socket.socket) -> bytes:
     """All that comes; a reset is an error."""
     received = b""
     while chunk := peer.recv(65536):
@@ -93,7 +93,7 @@
         self.scheduler.now_ms = self.now_ms
         self.callers._pool.close_idle_connections()
 
-    async def let_pass(self, span_ms: float) -> None:
+    async def advance_time(self, span_ms: float) -> None:
         """Let this time pass, and run the timers that are due then."""
         self.now_ms += span_ms
         timers_ran = asyncio.Event()
--- a/tests/server_side.py
+++ b/tests/server_side.py
@@ -112,7 +112,7 @@
             for name, listener in self.listeners.items()
         ]
         self.scheduler.begin_iteration()
-        self.servers.listed(True, entries)
+        self.servers.update_endpoints(True, entries)
 
     async def accept(self) -> None:
         """Take a connection at each server."""
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -17,7 +17,7 @@
     def ready(self) -> bool:
         return self.is_ready
 
-    def figures(self) -> list[str]:
+    def metric_lines(self) -> list[str]:
         return ["edge_in_flight 3"]
 
     def quiesce(self) -> None:
@@ -48,8 +48,8 @@
 def test_counters_by_class():
     counters = Counters()
     for figure, name in [("served", "voice"), ("served", "voice"), ("attempts", "voice"), ("failed", 'a"b')]:
-        counters.by_class(figure, name)
-    lines = counters.figures(2, 5, 1)
+        counters.count_for_class(figure, name)
+    lines = counters.metric_lines(2, 5, 1)
     assert 'edge_served{class="voice"} 2' in lines
     assert 'edge_refused{class="voice"} 0' in lines, "a class seen has all its figures"
     assert 'edge_failed{class="a\\"b"} 1' in lines
--- a/tests/test_budget_limiter.py
+++ b/tests/test_budget_limiter.py
@@ -96,12 +96,12 @@
 
         g = Gateway(budgets=delay)
         g.servers(ready("a", 0))
-        g.alive["a"] = 40
+        g.answer_delays_ms["a"] = 40
         held_id, actions = g.call(tenant="acme")
         other_id, others = g.call(tenant="beta")
         assert not sent_to(actions) and sent_to(others) == ["a"]
         timers = len(g.timers)
-        g.until(900)
+        g.advance_to(900)
         assert len(g.timers) - timers < 12, "it tries again when the budget may admit it, not each tick"
-        assert sent_to(g.until(1400)) == ["a"]
+        assert sent_to(g.advance_to(1400)) == ["a"]
         assert spent == [(other_id, 0, "a"), (held_id, 0, "a")]
--- a/tests/test_budgets_processes.py
+++ b/tests/test_budgets_processes.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from canvasplank.fleet.lease_renewer import steady_ms
+from canvasplank.fleet.lease_renewer import boottime_ms
 from emulators.budgets import BudgetFleet, Plan
 from emulators.callers import Callers
 from emulators.fleet import fleet
@@ -113,7 +113,7 @@
     shared.links["n2"].cut(*ways)
     others = [name for name in NAMES if name != "n2"]
     await until(all_have(SEVENTH_PER_S, *others), shared, "a seventh each")
-    now_ms, before = steady_ms(), read_trace(shared.proxies["n2"].log, "all")
+    now_ms, before = boottime_ms(), read_trace(shared.proxies["n2"].log, "all")
     _, expired_ms, _ = before.shares[-1]
     assert expired_ms <= now_ms, "its lease ended before the others had its share"
     await asyncio.sleep(3.0)
@@ -143,9 +143,11 @@
     expired_ms = max(until_ms for trace in traces_of(shared) for _, until_ms, _ in trace.shares)
     # An unleased quota is a unit in two seconds here: a proxy may wait so long for its first.
     async with asyncio.timeout(WAIT_S):
-        while steady_ms() < expired_ms + 3000 or not used_per_s(traces_of(shared), expired_ms, steady_ms()):
+        while boottime_ms() < expired_ms + 3000 or not used_per_s(
+            traces_of(shared), expired_ms, boottime_ms()
+        ):
             await asyncio.sleep(0.05)
-    now_ms, traces = steady_ms(), traces_of(shared)
+    now_ms, traces = boottime_ms(), traces_of(shared)
     unleased_per_s, for_s = sum(trace.own for trace in traces), (now_ms - expired_ms) / 1000
     assert used_per_s(traces, expired_ms, now_ms) * for_s <= unleased_per_s * for_s + len(traces), (
         "one saved up each"
--- a/tests/test_ended_connections.py
+++ b/tests/test_ended_connections.py
@@ -55,7 +55,7 @@
         self.peers[SERVER].setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         self.listeners[SERVER].setblocking(False)
 
-    async def let_pass(self, span_ms: float) -> None:
+    async def advance_time(self, span_ms: float) -> None:
         """Let time pass in small steps, and take what connects."""
         for _ in range(round(span_ms / STEP_MS)):
             await self.step(STEP_MS)
@@ -159,10 +159,10 @@
         old = rig.accepted[0]
         old.sendall(NOISE)
         for _ in range(round(MAX_OPEN_MS / 2 / STEP_MS)):
-            await rig.let_pass(STEP_MS)
+            await rig.advance_time(STEP_MS)
             old.sendall(b"x" * 100)
         assert not has_ended(old)
-        await rig.let_pass(QUIET_MS + 4 * STEP_MS)
+        await rig.advance_time(QUIET_MS + 4 * STEP_MS)
         assert has_ended(old)
 
     run(play, monkeypatch)
@@ -180,7 +180,7 @@
         old = rig.accepted[0]
         old.sendall(NOISE)
         for _ in range(round((max_open_ms + 8 * STEP_MS) / STEP_MS)):
-            await rig.let_pass(STEP_MS)
+            await rig.advance_time(STEP_MS)
             old.sendall(written)
         assert has_ended(old)
 
@@ -198,9 +198,9 @@
         rig.now_ms += 2 * QUIET_MS
         old.sendall(b"x" * 100)
         await rig.step(0.0)
-        await rig.let_pass(STEP_MS)
+        await rig.advance_time(STEP_MS)
         assert not has_ended(old)
-        await rig.let_pass(QUIET_MS + 4 * STEP_MS)
+        await rig.advance_time(QUIET_MS + 4 * STEP_MS)
         assert has_ended(old)
 
     run(play, monkeypatch)
@@ -214,7 +214,7 @@
         old = rig.accepted[0]
         old.sendall(NOISE)
         for _ in range(round(2 * MAX_OPEN_MS / STEP_MS)):
-            await rig.let_pass(STEP_MS)
+            await rig.advance_time(STEP_MS)
             assert not has_ended(old)
             old.sendall(b"x" * 100)
         old.sendall(RELEASE)
@@ -231,9 +231,9 @@
         rig.scheduler.begin_iteration()
         rig.now_ms += 2 * QUIET_MS
         stream.abort_unreadable("a bad message")
-        await rig.let_pass(QUIET_MS / 2)
+        await rig.advance_time(QUIET_MS / 2)
         assert not has_ended(old)
-        await rig.let_pass(QUIET_MS)
+        await rig.advance_time(QUIET_MS)
         assert has_ended(old)
 
     run(play, monkeypatch)
@@ -243,7 +243,7 @@
     async def play(rig: Connections) -> None:
         old = rig.accepted[0]
         await rig.end_unreadably()
-        await rig.let_pass(MAX_OPEN_MS + LINGER_MS + 100.0)
+        await rig.advance_time(MAX_OPEN_MS + LINGER_MS + 100.0)
         old.setblocking(False)
         rig.received()
         with pytest.raises((ConnectionResetError, BrokenPipeError)):
@@ -270,7 +270,7 @@
             while count < len(rig.accepted):
                 rig.accepted[count].sendall(NOISE)
                 count += 1
-            await rig.let_pass(STEP_MS)
+            await rig.advance_time(STEP_MS)
         assert 10 < len(rig.connects_ms) <= 2 + (rig.now_ms - start_ms) / MIN_RECONNECT_DELAY_MS
 
     run(play, monkeypatch)
@@ -349,9 +349,9 @@
         await rig.offer()
         rig.peer.current.abort_unreadable("a bad message")
         at_once(rig)
-        await rig.let_pass(75.0)
+        await rig.advance_time(75.0)
         later(rig)
-        await rig.let_pass(2 * RULES.release_ms)
+        await rig.advance_time(2 * RULES.release_ms)
         assert len(rig.sent_ms) == 1
         rig.accepted[0].close()
         ended_ms = rig.now_ms
@@ -365,7 +365,7 @@
     async def play(rig: Connections) -> None:
         await rig.offer()
         rig.accepted[0].sendall(NOISE)
-        await rig.let_pass(QUIET_MS + LINGER_MS + RULES.release_ms + 100.0)
+        await rig.advance_time(QUIET_MS + LINGER_MS + RULES.release_ms + 100.0)
         assert len(rig.sent_ms) == 2
 
     run(play, monkeypatch)
@@ -392,7 +392,7 @@
         old = rig.accepted[0]
         await rig.end_unreadably()
         old.sendall(RELEASE + RELEASE.replace(ID.encode(), OTHER_ID.encode()))
-        await rig.let_pass(MAX_OPEN_MS)
+        await rig.advance_time(MAX_OPEN_MS)
         assert rig.exchange.established_calls == 1
         assert rig.exchange.counters["taken.ends_unknown"] == 0
 
@@ -406,14 +406,14 @@
         await rig.offer()
         old = rig.accepted[0]
         await rig.end_unreadably()
-        await rig.let_pass(50.0)
+        await rig.advance_time(50.0)
         assert b"BYE" in rig.received(), "for the answer that may have been lost"
         rig.scheduler.begin_iteration()
         rig.exchange.on_released_by_caller(ID, 16)  # the caller waits no longer: no attempt is in flight
-        await rig.let_pass(50.0)
+        await rig.advance_time(50.0)
         rig.received()
         old.sendall(ANSWER)
-        await rig.let_pass(50.0)
+        await rig.advance_time(50.0)
         assert b"BYE" in rig.received()
 
     run(play, monkeypatch)
@@ -429,7 +429,7 @@
         await rig.until(lambda: len(rig.sent_ms) == 2)
         rig.received()
         old.sendall(ANSWER)
-        await rig.let_pass(50.0)
+        await rig.advance_time(50.0)
         assert b"BYE" not in rig.received()
 
     run(play, monkeypatch)
@@ -446,17 +446,17 @@
         stream.write(b"x" * (MAX_UNSENT_BYTES // 2))
         if draining:
             address = f"127.0.0.1:{rig.listeners[SERVER].getsockname()[1]}"
-            rig.servers.listed(False, [Endpoint(SERVER, address, lifecycle="draining")])
+            rig.servers.update_endpoints(False, [Endpoint(SERVER, address, lifecycle="draining")])
         else:
             stream.write(b"x" * (MAX_UNSENT_BYTES + MAX_UNSENT_BYTES // 2))
         assert not stream.is_open
         old.sendall(ANSWER)
         await rig.until(lambda: len(rig.accepted) == 2 and rig.connected == 1)
-        await rig.let_pass(50.0)
+        await rig.advance_time(50.0)
         rig.scheduler.begin_iteration()
         if rig.exchange.open_calls:
             rig.exchange.on_released_by_caller(ID, 16)
-        await rig.let_pass(100.0)
+        await rig.advance_time(100.0)
         assert b"BYE" in rig.received()
 
     run(play, monkeypatch)
@@ -472,13 +472,13 @@
         rig.scheduler.begin_iteration()
         rig.peer.current.write(b"x" * 200_000)
         rig.servers.release(SERVER, ID, 16)
-        await rig.let_pass(100.0)
+        await rig.advance_time(100.0)
         assert not rig.peer.current.unsent
-        await rig.let_pass(3000.0)
+        await rig.advance_time(3000.0)
         old.sendall(sip.request("NOTIFY", "exchange", "0" * 16, 1, {}))
-        await rig.let_pass(50.0)
+        await rig.advance_time(50.0)
         await rig.end_unreadably()
-        await rig.let_pass(MAX_OPEN_MS + LINGER_MS + 100.0)
+        await rig.advance_time(MAX_OPEN_MS + LINGER_MS + 100.0)
         old.settimeout(WAIT_S)
         data = b""
         while chunk := old.recv(65_536):
@@ -501,7 +501,7 @@
             replaced.close_writing()
         rig.accepted[0].sendall(INCOMPLETE + RELEASE)
         rig.accepted[0].close()
-        await rig.let_pass(100.0)
+        await rig.advance_time(100.0)
         assert rig.exchange.established_calls == 0
 
     run(play, monkeypatch)
@@ -518,7 +518,7 @@
         rig.accepted[0].sendall(INCOMPLETE + RELEASE)
         await rig.until(lambda: bool(replaced.parser.in_message))
         timeout_ms = 100.0
-        await rig.let_pass(2 * timeout_ms)
+        await rig.advance_time(2 * timeout_ms)
         assert replaced.is_message_overdue(timeout_ms)
         rig.servers._connections._check_messages(rig.peer)
 
@@ -536,7 +536,7 @@
         time.sleep(0.05)  # noqa: ASYNC251
         rig.scheduler.begin_iteration()
         stream.close_writing()
-        await rig.let_pass(100.0)
+        await rig.advance_time(100.0)
         assert rig.exchange.established_calls == 0
 
     run(play, monkeypatch)
--- a/tests/test_endpoint_cache.py
+++ b/tests/test_endpoint_cache.py
@@ -103,12 +103,12 @@
             gateway = Gateway(settings(instances=4), seed)
             gateway.servers(ready("s-a", 0))
             for hint in hints:
-                gateway.tell(hint)
-            gateway.alive["s-a"] = 40
+                gateway.handle(hint)
+            gateway.answer_delays_ms["s-a"] = 40
             for _ in range(30):
                 gateway.call(first=0)
-                gateway.until(gateway.now + 100)
-            sent += sum(isinstance(action, api.SetUp) for _, action in gateway.done)
+                gateway.advance_to(gateway.now + 100)
+            sent += sum(isinstance(action, api.SetUp) for _, action in gateway.action_log)
         return sent
 
     budget = 4 * 0.29 * 20 * 3  # the rule's multiple, the coldest share, 20 calls a second, its span
--- a/tests/test_fleet_config.py
+++ b/tests/test_fleet_config.py
@@ -5,7 +5,7 @@
 import pytest
 
 from canvasplank.config.configuration import ConfigurationError
-from canvasplank.fleet.config import load_fleet
+from canvasplank.fleet.config import load_fleet_settings
 
 VALID_FILE = """backend = "sqlite"
 path = "x.db"
@@ -37,5 +37,5 @@
     path = tmp_path / "fleet.toml"
     path.write_text(VALID_FILE.replace(old, new, 1))
     with pytest.raises(ConfigurationError, match=message) as raised:
-        load_fleet(str(path))
+        load_fleet_settings(str(path))
     assert "\n" not in str(raised.value)
--- a/tests/test_fleet_departure.py
+++ b/tests/test_fleet_departure.py
@@ -10,7 +10,7 @@
 from canvasplank.counters import Counters
 from canvasplank.fleet.backend import Backend
 from canvasplank.fleet.budget_limiter import BudgetKind
-from canvasplank.fleet.config import Budget, Fleet
+from canvasplank.fleet.config import Budget, FleetSettings
 from canvasplank.fleet.lease_renewer import LeaseRenewer
 from emulators.postgresql import PostgresqlEmulator
 
@@ -51,7 +51,7 @@
         await store.start()
     budgets = [Budget("all", BudgetKind.SET_UPS, 80.0, reserve_fraction=0.2)]
     location = {"path": str(folder / "fleet.db")} if store is None else {"dsn": store.dsn}
-    settings = Fleet(
+    settings = FleetSettings(
         max_members=8, budget=budgets, renew_ms=50.0, lease_ms=60_000.0, backend=kind, **location
     )
     renewer, reader = LeaseRenewer(settings, "a", 1, Counters()), settings.create_backend()
--- a/tests/test_fleet_store.py
+++ b/tests/test_fleet_store.py
@@ -14,7 +14,7 @@
 from canvasplank.counters import Counters
 from canvasplank.database.errors import StoreUnavailableError
 from canvasplank.fleet.budget_limiter import BudgetKind
-from canvasplank.fleet.config import Budget, Fleet
+from canvasplank.fleet.config import Budget, FleetSettings
 from canvasplank.fleet.lease_holder import LeaseHolder
 from canvasplank.fleet.lease_renewer import LeaseRenewer
 from canvasplank.fleet.postgresql import IDLE_MS, Postgresql
@@ -37,8 +37,8 @@
 """
 
 
-def fleet(**more) -> Fleet:
-    return Fleet(max_members=8, budget=BUDGETS, renew_ms=50.0, lease_ms=400.0, **more)
+def fleet(**more) -> FleetSettings:
+    return FleetSettings(max_members=8, budget=BUDGETS, renew_ms=50.0, lease_ms=400.0, **more)
 
 
 @contextlib.asynccontextmanager
--- a/tests/test_policy_calls.py
+++ b/tests/test_policy_calls.py
@@ -28,12 +28,12 @@
         g.servers(draining("a", 0), ready("b", 1), ready("c", 2))
         for _ in range(2):
             g.call(first=1)
-            g.until(g.now + 50)
+            g.advance_to(g.now + 50)
         assert sent_to(g.call(first=0)[1]) == ["c"]
 
     def test_a_full_first_choice_gives_way_at_once(self, gateway):
         call_id, _ = gateway.call(first=0)
-        gateway.until(100)
+        gateway.advance_to(100)
         assert sent_to(gateway.full(call_id, "a")) in (["a"], ["b"])
         sent = [sent_to(gateway.call(first=0)[1]) for _ in range(6)]
         assert ["b"] in sent, "a cut bucket passes the rest on to the other server"
@@ -100,14 +100,14 @@
             api.TimerFired("no timer"),
             api.ProbeAnswered("no server", answered=True),
         ):
-            assert not [a for a in gateway.tell(event) if not isinstance(a, api.SetTimer)]
+            assert not [a for a in gateway.handle(event) if not isinstance(a, api.SetTimer)]
 
     def test_an_outcome_reported_twice_frees_no_call_for_a_second_attempt(self, gateway):
         call_id, _ = gateway.call(first=0)
         first = api.AttemptEnded(call_id, 0, "a", Outcome.ERROR, finished=False)
-        assert sent_to(gateway.tell(first)) == ["b"]
-        assert not sent_to(gateway.tell(first))
-        gateway.tell(api.Established(call_id, 0, "a", 10))
+        assert sent_to(gateway.handle(first)) == ["b"]
+        assert not sent_to(gateway.handle(first))
+        gateway.handle(api.Established(call_id, 0, "a", 10))
         assert call_id in gateway.controller._calls, "an answer to an attempt that ended is no answer"
 
     def test_a_served_call_is_not_remembered_as_unserved(self, gateway):
@@ -119,13 +119,13 @@
     def test_calls_at_a_server_that_is_gone_move_on(self, gateway):
         call_id, _ = gateway.call(first=0)
         gateway.servers(gone("a", 0), kind=api.ListKind.CHANGES)
-        seen = gateway.until(gateway.now + 700)
+        seen = gateway.advance_to(gateway.now + 700)
         assert [a for a in seen if isinstance(a, api.Cancel)] == [api.Cancel(call_id, 0)]
         gateway.end(call_id, "a", Outcome.CANCELLED)
-        assert sent_to(gateway.until(gateway.now + 400)) == ["b"]
+        assert sent_to(gateway.advance_to(gateway.now + 400)) == ["b"]
 
     def test_a_clock_that_steps_back_does_not_advance(self, gateway):
-        gateway.until(1000)
+        gateway.advance_to(1000)
         call_id, _ = gateway.call(expires_ms=1500)
         gateway.now = 200
         gateway.answer(call_id, "a")
@@ -140,7 +140,7 @@
         for _ in range(20):
             call_id, actions = gateway.call(number=None)
             server = sent_to(actions)[0]
-            gateway.until(gateway.now + 50)
+            gateway.advance_to(gateway.now + 50)
             gateway.answer(call_id, server)
             gateway.end(call_id, server, Outcome.ENDED, finished=True)
         gateway.servers()
@@ -162,8 +162,8 @@
             g.servers(draining("x", 0), ready("a", 1), ready("b", 2), ready("c", 3))
             for _ in range(50):
                 g.call(first=0)
-                g.until(g.now + 30)
-            return g.done
+                g.advance_to(g.now + 30)
+            return g.action_log
 
         assert run(3) == run(3)
         assert run(3) != run(4)
@@ -176,8 +176,8 @@
     def test_a_short_wait_is_used_except_its_last_tenth(self, gateway, wait_ms, fails_ms):
         started_at_ms = gateway.now
         gateway.call(first=0, expires_ms=started_at_ms + wait_ms)
-        gateway.until(started_at_ms + wait_ms)
-        assert [at - started_at_ms for at, action in gateway.done if isinstance(action, api.Fail)] == [
+        gateway.advance_to(started_at_ms + wait_ms)
+        assert [at - started_at_ms for at, action in gateway.action_log if isinstance(action, api.Fail)] == [
             fails_ms
         ]
 
@@ -186,32 +186,32 @@
     """What a gateway does when nothing is due: nothing."""
 
     def test_an_idle_gateway_sets_no_timer(self, gateway):
-        gateway.steady("a", 0, 3)
-        gateway.until(gateway.now + 2000)
-        before = sum(isinstance(a, api.SetTimer) for _, a in gateway.done)
-        gateway.until(gateway.now + 60_000)
-        gateway.tell(lines("a", 100))
+        gateway.serve_calls("a", 0, 3)
+        gateway.advance_to(gateway.now + 2000)
+        before = sum(isinstance(a, api.SetTimer) for _, a in gateway.action_log)
+        gateway.advance_to(gateway.now + 60_000)
+        gateway.handle(lines("a", 100))
         assert not gateway.timers
-        assert sum(isinstance(a, api.SetTimer) for _, a in gateway.done) == before
+        assert sum(isinstance(a, api.SetTimer) for _, a in gateway.action_log) == before
 
     def test_queued_calls_wait_for_the_next_capacity_not_for_the_clock(self):
         g = Gateway()
         for _ in range(50):
             g.call(expires_ms=10_000)
-        g.until(9000)
-        assert sum(isinstance(a, api.SetTimer) for _, a in g.done) <= 12
+        g.advance_to(9000)
+        assert sum(isinstance(a, api.SetTimer) for _, a in g.action_log) <= 12
 
     def test_the_memory_of_redials_is_in_the_order_of_the_notes(self):
         """A redial is noted anew with its old first try; what was noted first still goes first."""
         g = Gateway()
         for number in ("1", "2", "1", "3"):
             g.call(number=number, expires_ms=g.now)
-            g.until(g.now + 100)
+            g.advance_to(g.now + 100)
         unserved = g.controller._queue.redials
         assert [key for key, _ in unserved] == ["2", "1", "3"]
         noted = [at for _, at, _ in unserved.values()]
         assert noted == sorted(noted) and unserved["1", "low"][0] == 0
-        g.until(SETTINGS.classes[0].deadline_ms + 250)
+        g.advance_to(SETTINGS.classes[0].deadline_ms + 250)
         g.call(number="4", expires_ms=g.now)
         assert [key for key, _ in unserved] == ["3", "4"]
 
@@ -232,7 +232,7 @@
         sent = []
         for _ in range(20):
             sent += sent_to(gateway.call(first=0)[1])
-            gateway.until(gateway.now + 50)
+            gateway.advance_to(gateway.now + 50)
         assert sent.count("a") <= 1
 
     def test_an_outcome_of_a_server_that_has_left(self, gateway):
@@ -244,5 +244,5 @@
         call_id, _ = gateway.call(first=0)
         gateway.now += 3_600_000
         gateway.call(first=1)
-        gateway.until(gateway.now + 100)
-        assert [a.call_id for _, a in gateway.done if isinstance(a, api.Fail)] == [call_id]
+        gateway.advance_to(gateway.now + 100)
+        assert [a.call_id for _, a in gateway.action_log if isinstance(a, api.Fail)] == [call_id]
--- a/tests/test_policy_large_fleet.py
+++ b/tests/test_policy_large_fleet.py
@@ -29,13 +29,13 @@
     for step in range(int(seconds * 20)):
         now = start + step * 50
         for index, g in enumerate(gateways):
-            mark = len(g.done)
-            g.until(now)
+            mark = len(g.action_log)
+            g.advance_to(now)
             credit[index] += calls_per_s / 20 * weights[index] / total
             while credit[index] >= 1:
                 credit[index] -= 1
                 g.call(expires_ms=now + 3000)
-            for when, action in g.done[mark:]:
+            for when, action in g.action_log[mark:]:
                 if isinstance(action, api.SetUp) and action.server_id == "a":
                     sent.append(when)
                     if does:
@@ -69,13 +69,13 @@
         for g in gateways:
             g.servers(ready("a", 0) if known else ready("b", 1))
             if known:
-                g.tell(lines("a", self.CAPACITY * 8))
+                g.handle(lines("a", self.CAPACITY * 8))
         if known:
             offer(gateways, 6, self.CAPACITY * 0.9, weights, does=lambda now: self.CAPACITY)
         born = gateways[0].now
         for g in gateways:
             g.servers(ready("a", 0, started_ms=born), kind=api.ListKind.CHANGES)
-            g.tell(lines("a", self.CAPACITY * 8))
+            g.handle(lines("a", self.CAPACITY * 8))
         sent = offer(gateways, 6, self.CAPACITY * 1.5, weights, does=lambda now: self.present(now - born))
         assert sent, "it is used"
         assert self.within_limit(sent, born)
@@ -86,7 +86,7 @@
         gateways = fleet(instances)
         for g in gateways:
             g.servers(ready("a", 0))
-            g.tell(lines("a", self.CAPACITY * 8))
+            g.handle(lines("a", self.CAPACITY * 8))
         offer(gateways, 6, self.CAPACITY * 0.9, does=lambda now: self.CAPACITY)
         silent = offer(gateways, 10, self.CAPACITY * 0.9)
         back = [at for at in silent if at > silent[0] + 6000]  # by then each has seen for itself
@@ -101,7 +101,7 @@
 
     def cut_rate(self, g: Gateway) -> float:
         call_id, _ = g.call()
-        g.until(g.now + 20)
+        g.advance_to(g.now + 20)
         g.full(call_id, "a")
         return g.controller._servers["a"].rate.bucket.rate
 
@@ -110,7 +110,7 @@
             g = Gateway(large(4))
             g.servers(ready("a", 0))
             if reported:
-                g.tell(lines("a", 400))
+                g.handle(lines("a", 400))
             assert self.cut_rate(g) == rate_control.MIN_RATE_PER_S
 
     @pytest.mark.parametrize("count", [40, 400, 4000])
@@ -118,7 +118,7 @@
         """Found on the first busy day at full size: floors summed to several servers."""
         g = Gateway(large())
         g.servers(ready("a", 0))
-        g.tell(lines("a", count))
+        g.handle(lines("a", count))
         carries = count / 8.0
         assert 0 < self.cut_rate(g) * 250 <= carries / 2
 
@@ -131,29 +131,29 @@
         """A bucketful of every gateway is seconds of work; it must leak no faster than the demand."""
         g = Gateway(large())
         g.servers(ready("a", 0))
-        g.tell(lines("a", 200))
-        g.until(1000)
+        g.handle(lines("a", 200))
+        g.advance_to(1000)
         sent = []
         for _ in range(20):
             sent += sent_to(g.call()[1])
-            g.until(g.now + 20)
+            g.advance_to(g.now + 20)
         assert 1 <= len(sent) <= 2
 
     def test_a_gateway_that_gets_many_calls_earns_a_wider_bucket(self):
         g = Gateway(large())
         g.servers(ready("a", 0))
-        g.tell(lines("a", 800))
-        g.steady("a", 0, 60, gap_ms=100)
-        g.done.clear()
-        g.steady("a", 0, 20, gap_ms=100)
-        assert sum("a" in sent_to([a]) for _, a in g.done) >= 18
+        g.handle(lines("a", 800))
+        g.serve_calls("a", 0, 60, gap_ms=100)
+        g.action_log.clear()
+        g.serve_calls("a", 0, 20, gap_ms=100)
+        assert sum("a" in sent_to([a]) for _, a in g.action_log) >= 18
 
     @pytest.mark.parametrize("reported", [(-1, 5), (3, 0), (0, -4), (1, float("inf")), (1, float("nan"))])
     def test_absurd_circuits_are_no_measure(self, reported):
         g = Gateway(large())
         g.servers(ready("a", 0))
-        g.tell(api.CircuitsReported("a", *reported))
-        g.tell(api.CircuitsReported("no server", 1, 1))
+        g.handle(api.CircuitsReported("a", *reported))
+        g.handle(api.CircuitsReported("no server", 1, 1))
         assert sent_to(g.call()[1]) == ["a"]
 
     def test_second_choices_go_by_size_in_a_large_fleet_only(self):
@@ -164,7 +164,7 @@
                 g = Gateway(large(instances), seed=seed)
                 g.servers(ready("a", 0), ready("b", 1), ready("c", 2))
                 for name, count in (("a", 100), ("b", 2000), ("c", 2000)):
-                    g.tell(lines(name, count if instances > 4 else 2000))
-                g.until(50)
+                    g.handle(lines(name, count if instances > 4 else 2000))
+                g.advance_to(50)
                 small += sent_to(g.call(first=9)[1]) == ["a"]
             assert low <= small <= high
--- a/tests/test_policy_rate_control.py
+++ b/tests/test_policy_rate_control.py
@@ -57,9 +57,9 @@
     def full_after(self, count):
         g = Gateway()
         g.servers(ready("a", 0))
-        g.steady("a", 0, count, gap_ms=100)
+        g.serve_calls("a", 0, count, gap_ms=100)
         call_id, _ = g.call(first=0)
-        g.until(g.now + 50)
+        g.advance_to(g.now + 50)
         g.full(call_id, "a")
         return g
 
@@ -73,35 +73,35 @@
         """A second with one answer, after steady ones: the cut goes by a longer span."""
         g = Gateway()
         g.servers(ready("a", 0))
-        g.steady("a", 0, 8, gap_ms=250)
-        g.until(g.now + 950)
+        g.serve_calls("a", 0, 8, gap_ms=250)
+        g.advance_to(g.now + 950)
         call_id, _ = g.call(first=0)
-        g.until(g.now + 40)
+        g.advance_to(g.now + 40)
         g.full(call_id, "a")
         assert g.controller._servers["a"].rate.bucket.rate > 1.5
 
     def test_one_jam_cuts_once(self, gateway):
         ids = [gateway.call(first=0)[0] for _ in range(3)]
-        gateway.until(60)
+        gateway.advance_to(60)
         gateway.full(ids[0], "a")
         first = gateway.controller._servers["a"].rate.bucket.rate
-        gateway.until(120)
+        gateway.advance_to(120)
         gateway.full(ids[1], "a")
         assert gateway.controller._servers["a"].rate.bucket.rate == first
 
     def test_grows_in_quiet_seconds(self):
         g = self.full_after(0)
         g.call(first=0, expires_ms=g.now + 20_000)
-        g.until(g.now + 100)
+        g.advance_to(g.now + 100)
         before = g.controller._servers["a"].rate.bucket.rate
         g.servers(ready("a", 0), kind=api.ListKind.CHANGES)
-        g.until(g.now + 3000)
+        g.advance_to(g.now + 3000)
         g.servers(ready("a", 0), kind=api.ListKind.CHANGES)
         assert g.controller._servers["a"].rate.bucket.rate >= before
 
     def test_slow_answers_count_as_an_early_full(self, gateway):
         call_id, _ = gateway.call(first=0)
-        gateway.until(400)
+        gateway.advance_to(400)
         gateway.answer(call_id, "a", waited_ms=390)
         assert gateway.controller._servers["a"].rate.bucket.rate < leaky_bucket.NEVER
 
@@ -113,8 +113,8 @@
         """A jammed or silent server is fed a bucketful at most, and the rest goes elsewhere."""
         for _ in range(12):
             gateway.call(first=0)
-            gateway.until(gateway.now + 60)
-        to_a = sum("a" in sent_to([a]) for _, a in gateway.done)
+            gateway.advance_to(gateway.now + 60)
+        to_a = sum("a" in sent_to([a]) for _, a in gateway.action_log)
         assert to_a <= leaky_bucket.MAX_FILL + 5
 
     @pytest.mark.parametrize(
@@ -123,37 +123,37 @@
     def test_it_takes_two_slow_answers_in_a_row(self, gateway, waits, cut):
         """Found on sockets: cut at each chance wait, a busy gateway held calls from servers at rest."""
         for waited_ms in waits:
-            gateway.steady("a", 0, 1, gap_ms=400, waited_ms=waited_ms)
+            gateway.serve_calls("a", 0, 1, gap_ms=400, waited_ms=waited_ms)
         assert (gateway.controller._servers["a"].rate.bucket.rate < leaky_bucket.NEVER) is cut
 
     def test_a_single_overdue_answer_is_no_congestion(self, gateway):
-        gateway.steady("a", 0, 4)
+        gateway.serve_calls("a", 0, 4)
         gateway.call(first=0)
-        gateway.until(gateway.now + 450)
+        gateway.advance_to(gateway.now + 450)
         assert gateway.controller._servers["a"].rate.bucket.rate == leaky_bucket.NEVER
 
     @pytest.mark.parametrize(("full", "rate"), [(False, 4.5), (True, 3.0)])
     def test_prompt_answers_undo_a_cut_unless_a_full_confirmed_it(self, gateway, full, rate):
         server = gateway.controller._servers["a"]
-        gateway.steady("a", 0, 1)
+        gateway.serve_calls("a", 0, 1)
         server.rate.bucket.rate, server.rate.rate_before_cut = 3.0, leaky_bucket.NEVER
         server.rate.quiet_since_ms = leaky_bucket.NEVER
         if full:
             gateway.full(gateway.call(first=0)[0], "a")
             server.rate.bucket.rate, server.rate.quiet_since_ms = 3.0, leaky_bucket.NEVER
-        gateway.steady("a", 0, server_observations.MIN_ANSWERS + 1, gap_ms=400)
+        gateway.serve_calls("a", 0, server_observations.MIN_ANSWERS + 1, gap_ms=400)
         assert server.rate.bucket.rate == rate
 
     def test_what_is_lost_for_good_does_not_halt_the_bucket(self, gateway):
         """Found on sockets: a server spoke on, its set-ups hung on a dead connection, and none followed."""
         gateway.servers(ready("a", 0))
-        gateway.steady("a", 0, 4)
+        gateway.serve_calls("a", 0, 4)
         server = gateway.controller._servers["a"]
         server.rate.bucket.rate = 1.0
         for _ in range(3):
             gateway.call(first=0, expires_ms=gateway.now + 9000)
         for _ in range(50):
-            gateway.until(gateway.now + 100)
+            gateway.advance_to(gateway.now + 100)
             server.last_received_ms = gateway.now
         assert sent_to(gateway.call(first=0)[1]) == ["a"]
 
@@ -178,9 +178,9 @@
         classes = tuple(replace(c, hold_ms=2000.0) for c in SETTINGS.classes)
         g = Gateway(settings(classes=classes))
         g.servers(ready("a", 0))
-        g.tell(api.CircuitsReported("a", 80, 80))
+        g.handle(api.CircuitsReported("a", 80, 80))
         call_id, _ = g.call(first=0)
-        g.until(400 if sign == "late" else 100)
+        g.advance_to(400 if sign == "late" else 100)
         if sign == "late":  # the first of all, so that no answer in time speaks for chance
             g.answer(call_id, "a", waited_ms=400)
         else:
@@ -191,9 +191,9 @@
         """Found on sockets: with half the first resend at 62 ms, a server 60 ms away passed for congested."""
         g = Gateway(settings(resend_ms=125))
         g.servers(ready("a", 0))
-        g.steady("a", 0, 20, gap_ms=100, waited_ms=55)
+        g.serve_calls("a", 0, 20, gap_ms=100, waited_ms=55)
         call_id, _ = g.call(first=0)
-        g.until(g.now + 70)
+        g.advance_to(g.now + 70)
         g.answer(call_id, "a", waited_ms=70)
         assert g.controller._servers["a"].rate.bucket.rate == leaky_bucket.NEVER
 
@@ -210,17 +210,17 @@
         assert server.capacity_per_s is None and server.even_share_per_s() is None
 
     def test_it_sets_the_even_share_where_circuits_promise_more(self, gateway):
-        gateway.tell(api.CircuitsReported("a", 200, 200))
+        gateway.handle(api.CircuitsReported("a", 200, 200))
         settings_of = gateway.controller._settings
         server = gateway.controller._servers["a"]
-        gateway.tell(api.ProbeAnswered("a", answered=True, report=report(8.0)))
+        gateway.handle(api.ProbeAnswered("a", answered=True, report=report(8.0)))
         assert server.even_share_per_s() == pytest.approx(8.0 / settings_of.instances)
 
     def test_a_report_from_before_a_slowdown_does_not_leave_a_rate_open(self, gateway):
-        gateway.steady("a", 0, 8)
-        gateway.tell(api.ProbeAnswered("a", answered=True, report=report(50.0)))
+        gateway.serve_calls("a", 0, 8)
+        gateway.handle(api.ProbeAnswered("a", answered=True, report=report(50.0)))
         for _ in range(4):
             gateway.call(first=0)
-            gateway.until(gateway.now + 100)
-        gateway.until(gateway.now + 1000)
+            gateway.advance_to(gateway.now + 100)
+        gateway.advance_to(gateway.now + 1000)
         assert gateway.controller._servers["a"].rate.bucket.rate < 50.0
--- a/tests/test_policy_retries.py
+++ b/tests/test_policy_retries.py
@@ -16,17 +16,17 @@
     def test_a_redial_ranks_by_its_first_try(self):
         g = Gateway()
         g.call(number="77", expires_ms=500)
-        g.until(2000)
+        g.advance_to(2000)
         g.call(number="77", id="redial")
         g.call(number="78", id="fresh")
         g.servers(ready("a", 0))
-        assert [a.call_id for _, a in g.done if isinstance(a, api.SetUp)][:1] == ["fresh"]
+        assert [a.call_id for _, a in g.action_log if isinstance(a, api.SetUp)][:1] == ["fresh"]
 
-    @pytest.mark.parametrize("second", [{"number": "78"}, {"number": "77", "was_cut": True}, {}])
+    @pytest.mark.parametrize("second", [{"number": "78"}, {"number": "77", "replaces_cut_call": True}, {}])
     def test_others_do_not(self, second):
         g = Gateway()
         g.call(number="77", expires_ms=500)
-        g.until(2000)
+        g.advance_to(2000)
         call_id, _ = g.call(**second)
         call, target_ms = g.controller._calls[call_id], 2000 + LOW.target_ms
         assert call.first_ms + LOW.target_ms == target_ms
@@ -58,7 +58,7 @@
         gap_ms = call_queue.INITIAL_BUSY_MS
         for _ in range(6):
             assert answers(gateway.call(number="thin")[1])
-            gateway.until(gateway.now + gap_ms)
+            gateway.advance_to(gateway.now + gap_ms)
             tries = [gateway.call(number="thin") for _ in range(5)]
             assert sum(bool(sent_to(actions)) for _, actions in tries) == 1
             busy(gateway, tries[0][0])
@@ -67,7 +67,7 @@
     def test_an_established_call_ends_it(self, gateway):
         call_id, _ = gateway.call(number="thin")
         busy(gateway, call_id)
-        gateway.until(gateway.now + call_queue.INITIAL_BUSY_MS)
+        gateway.advance_to(gateway.now + call_queue.INITIAL_BUSY_MS)
         call_id, _ = gateway.call(number="thin")
         gateway.answer(call_id, "a")
         assert sent_to(gateway.call(number="thin")[1])
@@ -99,7 +99,7 @@
         for tenant in tenants:
             call_id, _ = g.call(tenant=tenant)
             weights.append(g.controller._calls[call_id].weight(g.now))
-            g.until(g.now + 100)
+            g.advance_to(g.now + 100)
         return weights
 
     def test_calls_over_quota_weigh_less(self):
@@ -119,5 +119,5 @@
         for _ in range(30):
             call_id, _ = g.call(tenant="small", number="n")
             quota_weight = g.controller._calls[call_id].quota_weight
-            g.tell(api.CallAbandoned(call_id))
+            g.handle(api.CallAbandoned(call_id))
         assert quota_weight == 1.0, "thirty tries of one call"
--- a/tests/test_policy_rules.py
+++ b/tests/test_policy_rules.py
@@ -19,8 +19,8 @@
         for g in (gateway, held):
             call_id, _ = g.call(expires_ms=g.now + 1000)
             due = g.now + 1000
-            g.until(due + 500)
-            final = [(when, a) for when, a in g.done if isinstance(a, api.Refuse | api.Fail)]
+            g.advance_to(due + 500)
+            final = [(when, a) for when, a in g.action_log if isinstance(a, api.Refuse | api.Fail)]
             assert [a.call_id for _, a in final] == [call_id]
             assert final[0][0] <= due
 
@@ -31,12 +31,12 @@
     def test_1_after_a_cancel_that_crossed_the_answer_a_final_answer_is_pending(self, gateway):
         """Found by the drill: the call was established, then came back as cancelled and unfinished."""
         call_id, _ = gateway.call()
-        gateway.until(50)
+        gateway.advance_to(50)
         gateway.answer(call_id, "a")
         gateway.end(call_id, "a", Outcome.CANCELLED)
-        seen = gateway.until(4000)
+        seen = gateway.advance_to(4000)
         assert sent_to(seen)[:1] or answers(seen)
-        assert [a.call_id for _, a in gateway.done if isinstance(a, api.Fail | api.Refuse)] == [call_id]
+        assert [a.call_id for _, a in gateway.action_log if isinstance(a, api.Fail | api.Refuse)] == [call_id]
 
     def test_2_one_attempt_at_a_time_and_no_more_than_allowed(self, gateway):
         call_id, _ = gateway.call()
@@ -44,7 +44,7 @@
             call = gateway.controller._calls.get(call_id)
             if call is None or call.server is None:
                 break
-            gateway.until(gateway.now + 20)
+            gateway.advance_to(gateway.now + 20)
             gateway.full(call_id, call.server.entry.id)
         assert gateway.attempts[call_id] + 1 <= SETTINGS.max_attempts
 
@@ -53,7 +53,7 @@
         gateway.servers(reported, kind=api.ListKind.CHANGES)
         for _ in range(3):
             assert sent_to(gateway.call(first=0)[1]) == ["b"]
-            gateway.until(gateway.now + 50)
+            gateway.advance_to(gateway.now + 50)
 
     def test_3_absent_from_a_complete_list_is_gone(self, gateway):
         gateway.servers(ready("b", 1))
@@ -62,15 +62,15 @@
     @pytest.mark.parametrize("outcome", [Outcome.TIMED_OUT, Outcome.RESET, Outcome.CANCELLED])
     def test_5_release_is_awaited(self, gateway, outcome):
         call_id, _ = gateway.call()
-        gateway.until(100)
+        gateway.advance_to(100)
         assert not sent_to(gateway.end(call_id, "a", outcome))
-        assert not sent_to(gateway.until(100 + RULES.release_ms))
-        assert len(sent_to(gateway.until(100 + RULES.release_ms + 100))) == 1
+        assert not sent_to(gateway.advance_to(100 + RULES.release_ms))
+        assert len(sent_to(gateway.advance_to(100 + RULES.release_ms + 100))) == 1
 
     @pytest.mark.parametrize("outcome", [Outcome.FULL, Outcome.ERROR, Outcome.NO_CONNECTION])
     def test_5_others_need_no_wait(self, gateway, outcome):
         call_id, _ = gateway.call()
-        gateway.until(100)
+        gateway.advance_to(100)
         assert len(sent_to(gateway.end(call_id, "a", outcome))) == 1
 
 
--- a/tests/test_policy_silence.py
+++ b/tests/test_policy_silence.py
@@ -14,20 +14,20 @@
     """Nothing received from a server for too long."""
 
     def test_silence_is_noticed_and_the_server_tried_again(self, gateway):
-        gateway.steady("a", 0, 4)
+        gateway.serve_calls("a", 0, 4)
         lost = [gateway.call(first=0)[0] for _ in range(2)]
         start = gateway.now
-        seen = gateway.until(start + 900)
+        seen = gateway.advance_to(start + 900)
         assert any(isinstance(a, api.Log) and "silent" in a.text for a in seen)
         assert {a.call_id for a in seen if isinstance(a, api.Cancel)} == set(lost)
         for call_id in lost:
             gateway.end(call_id, "a", Outcome.CANCELLED)
-        moved = gateway.until(start + 1400)
+        moved = gateway.advance_to(start + 1400)
         assert sent_to(moved) == ["b", "b"], "the calls move once their release time is over"
         tried = []
         for _ in range(40):
             tried += sent_to(gateway.call(first=0)[1])
-            tried += sent_to(gateway.until(gateway.now + 200))
+            tried += sent_to(gateway.advance_to(gateway.now + 200))
         assert 1 <= tried.count("a") <= 8, "a silent server is tried, with little"
 
     def test_all_silent_is_no_reason_to_refuse_everything(self):
@@ -35,8 +35,8 @@
         g.servers(ready("a", 0))
         for _ in range(60):
             g.call(first=0)
-            g.until(g.now + 200)
-        late = [a for when, a in g.done if when > 4000 and isinstance(a, api.SetUp)]
+            g.advance_to(g.now + 200)
+        late = [a for when, a in g.action_log if when > 4000 and isinstance(a, api.SetUp)]
         assert late
 
 
@@ -47,19 +47,19 @@
         g = Gateway(large(instances))
         g.servers(ready("a", 0), ready("b", 1))
         for name in ("a", "b"):
-            g.tell(lines(name, 400))
-        g.alive = {"b": 40}
+            g.handle(lines(name, 400))
+        g.answer_delays_ms = {"b": 40}
         g.call(first=0)
-        g.until(g.now + 1500)
+        g.advance_to(g.now + 1500)
         assert g.controller._servers["a"].silence.silent
         return g
 
     def tried(self, g: Gateway, class_name: str, seconds: int = 20) -> int:
-        mark = len(g.done)
+        mark = len(g.action_log)
         for _ in range(seconds * 2):
             g.call(class_name, first=1)
-            g.until(g.now + 500)
-        return sum("a" in sent_to([a]) for _, a in g.done[mark:])
+            g.advance_to(g.now + 500)
+        return sum("a" in sent_to([a]) for _, a in g.action_log[mark:])
 
     def test_all_gateways_together_try_as_a_few_would(self):
         """Found on grown days: 200 gateways tried a jammed server more often than it could answer."""
@@ -79,14 +79,14 @@
 def test_trials_do_not_cut_the_rate_of_a_silent_server():
     g = Gateway()
     g.servers(ready("a", 0))
-    g.steady("a", 0, 24, gap_ms=100)
+    g.serve_calls("a", 0, 24, gap_ms=100)
     g.call(expires_ms=g.now + 1000)
-    g.until(g.now + 900)
+    g.advance_to(g.now + 900)
     rate = g.controller._servers["a"].rate.bucket.rate
-    g.until(g.now + 600)
+    g.advance_to(g.now + 600)
     _, actions = g.call()
     assert sent_to(actions) == ["a"] and rate > 5
-    g.until(g.now + 2500)
+    g.advance_to(g.now + 2500)
     assert g.controller._servers["a"].rate.bucket.rate >= rate
 
 
@@ -94,7 +94,7 @@
     g = Gateway(settings(resend_ms=125))
     g.servers(ready("a", 0))
     g.call(expires_ms=g.now + 300)
-    g.until(500)
+    g.advance_to(500)
     _, actions = g.call()
     assert sent_to(actions) == ["a"]
 
@@ -105,21 +105,21 @@
     def lossy(self) -> tuple[Gateway, str]:
         g = Gateway()
         g.servers(ready("a", 0), ready("b", 1))
-        g.steady("a", 0, 8)
+        g.serve_calls("a", 0, 8)
         lost, _ = g.call(expires_ms=g.now + 8000)
-        g.until(g.now + 200)
-        g.steady("a", 0, 2)
+        g.advance_to(g.now + 200)
+        g.serve_calls("a", 0, 2)
         return g, lost
 
     def test_an_overtaken_set_up_moves(self):
         g, lost = self.lossy()
-        g.until(g.now + 200)
-        assert api.Cancel(lost, 0) in [action for _, action in g.done]
+        g.advance_to(g.now + 200)
+        assert api.Cancel(lost, 0) in [action for _, action in g.action_log]
 
     def test_one_or_two_unanswered_are_no_congestion(self):
         g, _ = self.lossy()
         g.call()
-        g.until(g.now + 400)
+        g.advance_to(g.now + 400)
         assert g.controller._servers["a"].rate.bucket.rate == leaky_bucket.NEVER
 
 
@@ -129,7 +129,7 @@
     def stall(self, ms: float) -> tuple[Gateway, list[str]]:
         g = Gateway()
         g.servers(ready("a", 0), ready("b", 1))
-        g.steady("a", 0, 4)
+        g.serve_calls("a", 0, 4)
         ids = [g.call(first=0)[0] for _ in range(2)]
         g.now += ms  # no timer rings meanwhile
         return g, ids
@@ -138,10 +138,10 @@
         g, ids = self.stall(1800)
         for call_id in ids:
             g.answer(call_id, "a", waited_ms=1800)
-        g.until(g.now + 1000)
+        g.advance_to(g.now + 1000)
         server = g.controller._servers["a"]
         assert not server.silence.silent and server.usual_delay_ms < 100 and server.rate.last_cut_ms < 0
-        assert not [a for _, a in g.done if isinstance(a, api.Cancel)]
+        assert not [a for _, a in g.action_log if isinstance(a, api.Cancel)]
 
     def test_the_first_event_of_a_batch_is_not_the_whole_batch(self):
         g, ids = self.stall(1800)
@@ -149,17 +149,17 @@
         assert not g.controller._servers["a"].silence.silent
         for call_id in ids:
             g.answer(call_id, "a", waited_ms=1800)
-        g.until(g.now + 500)
+        g.advance_to(g.now + 500)
         assert not g.controller._servers["a"].silence.silent
 
     def test_what_did_not_come_with_the_batch_is_silence_after_all(self):
         g, _ = self.stall(1800)
         g.call(first=1)
-        g.until(g.now + 100)
+        g.advance_to(g.now + 100)
         assert g.controller._servers["a"].silence.silent
 
     def test_what_is_past_its_time_is_not_sent(self):
         g, _ = self.stall(1800)
-        g.done.clear()
+        g.action_log.clear()
         _, actions = g.call(first=1, expires_ms=g.now - 300)
         assert [type(a) for a in actions if not isinstance(a, api.SetTimer)] == [api.Fail]
--- a/tests/test_policy_slow_start.py
+++ b/tests/test_policy_slow_start.py
@@ -22,42 +22,42 @@
         """Found on a busy day: one call a second from every gateway tipped a small server."""
         g = Gateway()
         g.servers(ready("a", 0) if cause == "restarted" else ready("b", 1))
-        g.until(5000)
+        g.advance_to(5000)
         g.servers(ready("a", 0, started_ms=4000), kind=api.ListKind.CHANGES)
         for _ in range(80):
             g.call(first=0)
-            g.until(g.now + 50)
-        sent = sum("a" in sent_to([a]) for _, a in g.done)
+            g.advance_to(g.now + 50)
+        sent = sum("a" in sent_to([a]) for _, a in g.action_log)
         assert 1 <= sent <= 4000 / 1000 / SETTINGS.instances + 1
 
     def test_4_a_cold_server_gets_more_as_it_answers(self):
         g = Gateway(settings(classes=(replace(LOW, hold_ms=8000.0),)))
         g.servers(ready("a", 0))
-        g.tell(api.CircuitsReported("a", 500, 500))
-        g.steady("a", 0, 40, gap_ms=100)
+        g.handle(api.CircuitsReported("a", 500, 500))
+        g.serve_calls("a", 0, 40, gap_ms=100)
         g.servers(ready("a", 0, started_ms=g.now), kind=api.ListKind.CHANGES)
-        g.done.clear()
-        g.steady("a", 0, 40, gap_ms=100)
-        sent = sum("a" in sent_to([a]) for _, a in g.done)
+        g.action_log.clear()
+        g.serve_calls("a", 0, 40, gap_ms=100)
+        sent = sum("a" in sent_to([a]) for _, a in g.action_log)
         assert 8 <= sent <= 30
-        g.until(g.now + RULES.warm_within_ms)
-        g.done.clear()
-        g.steady("a", 0, 40, gap_ms=100)
-        assert sum("a" in sent_to([a]) for _, a in g.done) >= 38
+        g.advance_to(g.now + RULES.warm_within_ms)
+        g.action_log.clear()
+        g.serve_calls("a", 0, 40, gap_ms=100)
+        assert sum("a" in sent_to([a]) for _, a in g.action_log) >= 38
 
     @pytest.mark.parametrize("late", [True, False])
     def test_4_back_from_silence_is_cold_unless_it_answers_what_came_before(self, gateway, late):
         server = gateway.controller._servers["a"]
         call_id, _ = gateway.call(first=0)
-        gateway.until(1300)
+        gateway.advance_to(1300)
         assert server.silence.silent
         if late:
             gateway.answer(call_id, "a")
         else:
-            gateway.alive = {"a": 40, "b": 40}
+            gateway.answer_delays_ms = {"a": 40, "b": 40}
             gateway.end(call_id, "a", Outcome.CANCELLED)
             for _ in range(10):
-                gateway.until(gateway.now + 300)
+                gateway.advance_to(gateway.now + 300)
                 gateway.call(first=0)
         assert not server.silence.silent
         assert (server.slow_start.until_ms > gateway.now) is not late
@@ -74,11 +74,11 @@
     def test_the_budget_of_a_cold_successor_over_all_gateways_is_within_the_rule(
         self, gateway, reported, max_fraction
     ):
-        gateway.tell(api.ProbeAnswered("a", answered=True, report=report(100.0)))
+        gateway.handle(api.ProbeAnswered("a", answered=True, report=report(100.0)))
         gateway.servers(gone("a", 0), ready("c", 0, started_ms=gateway.now))
         server = gateway.controller._servers["c"]
         if reported:
-            gateway.tell(api.ProbeAnswered("c", answered=True, report=report(reported)))
+            gateway.handle(api.ProbeAnswered("c", answered=True, report=report(reported)))
         sum_of_all = server.slow_start.rate_per_s() * SETTINGS.instances
         assert sum_of_all == pytest.approx(
             max_fraction * RULES.overload_multiple * (reported or 100.0), rel=0.01
@@ -86,7 +86,7 @@
         assert sum_of_all < RULES.overload_multiple * (reported or RULES.cold_share * 100.0)
 
     def test_a_report_from_before_a_restart_is_no_measure_of_the_cold_server(self, gateway):
-        gateway.tell(api.ProbeAnswered("a", answered=True, report=report(100.0)))
+        gateway.handle(api.ProbeAnswered("a", answered=True, report=report(100.0)))
         gateway.servers(ready("a", 0, started_ms=gateway.now + 1), ready("b", 1))
         rate = gateway.controller._servers["a"].slow_start.rate_per_s()
         assert rate * SETTINGS.instances < RULES.overload_multiple * RULES.cold_share * 100.0
@@ -108,20 +108,20 @@
     def test_has_the_circuits_of_its_pool_until_it_reports_its_own(self):
         g = Gateway(large(instances=3))
         g.servers(ready("a", 0))
-        g.tell(lines("a", 176))
+        g.handle(lines("a", 176))
         g.servers(gone("a", 0), kind=api.ListKind.CHANGES)
         for _ in range(30):
             g.call()
-        g.until(g.now + 1000)
-        mark = len(g.done)
+        g.advance_to(g.now + 1000)
+        mark = len(g.action_log)
         g.servers(ready("b", 0), kind=api.ListKind.CHANGES)
-        g.until(g.now + 50)
-        assert 1 <= len(sent_to([action for _, action in g.done[mark:]])) <= 4
+        g.advance_to(g.now + 50)
+        assert 1 <= len(sent_to([action for _, action in g.action_log[mark:]])) <= 4
 
     def test_remembered_reports_are_bounded(self):
         g = Gateway(large(instances=3))
         for pool in range(server_observations.MAX_POOLS + 5):
             g.servers(ready("a", pool))
-            g.tell(lines("a", 10))
+            g.handle(lines("a", 10))
             g.servers(gone("a", pool))
         assert len(g.controller._context.pool_reports) == server_observations.MAX_POOLS
--- a/tests/test_race_conditions_callers.py
+++ b/tests/test_race_conditions_callers.py
@@ -19,7 +19,7 @@
     TEST,
     WAIT_S,
     CallerSide,
-    read_to_the_end,
+    read_until_eof,
     run_coroutine,
     set_up,
 )
@@ -67,7 +67,7 @@
         first.sendall(crossing)  # the loop has not run since: it lies in the machine, unread
         close(caller_side)
         async with asyncio.timeout(WAIT_S):
-            received = await loop.run_in_executor(None, read_to_the_end, first)
+            received = await loop.run_in_executor(None, read_until_eof, first)
         first.close(), second.close()
         await asyncio.sleep(0.05)
         caller_side.callers.stop_listening()
@@ -131,7 +131,7 @@
             caller_side.scheduler.begin_iteration()
             caller_side.callers.quiesce()
             caller_side.exchange.on_attempt_ended("a", ID, 0, api.Outcome.FULL)
-            received = await loop.run_in_executor(None, read_to_the_end, peer)
+            received = await loop.run_in_executor(None, read_until_eof, peer)
         peer.close()
         caller_side.callers.stop_listening()
         return received
@@ -159,7 +159,7 @@
                 first.shutdown(socket.SHUT_WR)
                 await loop.run_in_executor(None, first.recv, 64)  # progress: its end of stream was read
             second.sendall(RELEASE)
-            received = await loop.run_in_executor(None, read_to_the_end, first)
+            received = await loop.run_in_executor(None, read_until_eof, first)
         first.close(), second.close()
         caller_side.callers.stop_listening()
         return received, caller_side
@@ -206,7 +206,7 @@
     other.stream.sendall(TEST)
     other.gets("\\x00\\x0d\\x35<*>\\x01")
     flood.shutdown(socket.SHUT_WR)
-    answered = [call_id.hex() for call_id in ANSWERED.findall(PROGRESS.sub(b"", read_to_the_end(flood)))]
+    answered = [call_id.hex() for call_id in ANSWERED.findall(PROGRESS.sub(b"", read_until_eof(flood)))]
     assert sorted(answered) == ids
 
 
--- a/tests/test_race_conditions_servers.py
+++ b/tests/test_race_conditions_servers.py
@@ -68,13 +68,15 @@
         with socket.create_server(("127.0.0.1", 0)) as listener:
             listener.settimeout(WAIT_S)
             entry = Endpoint("s-a", f"127.0.0.1:{listener.getsockname()[1]}", lifecycle="ready")
-            servers.listed(True, [entry])
+            servers.update_endpoints(True, [entry])
             old, _ = await loop.run_in_executor(None, listener.accept)
             while exchange.counters["sockets.servers"] == 0:
                 await asyncio.sleep(0.005)
             exchange.offer(call)
             scheduler.begin_iteration()
-            servers.listed(False, [msgspec.structs.replace(entry, started_at_ms=scheduler.now_ms + 1)])
+            servers.update_endpoints(
+                False, [msgspec.structs.replace(entry, started_at_ms=scheduler.now_ms + 1)]
+            )
             new, _ = await loop.run_in_executor(None, listener.accept)
             new.settimeout(WAIT_S)
             received = await loop.run_in_executor(None, new.recv, 65536)
@@ -111,7 +113,9 @@
             writer.write(notify)
 
         server = await asyncio.start_server(on_connected, "127.0.0.1", 0)
-        servers.listed(True, [Endpoint("s-a", f"127.0.0.1:{server.sockets[0].getsockname()[1]}", "ready")])
+        servers.update_endpoints(
+            True, [Endpoint("s-a", f"127.0.0.1:{server.sockets[0].getsockname()[1]}", "ready")]
+        )
         async with asyncio.timeout(WAIT_S):
             while not writers:
                 await asyncio.sleep(0.005)
--- a/tests/test_race_conditions_shutdown.py
+++ b/tests/test_race_conditions_shutdown.py
@@ -14,7 +14,7 @@
 
 import pytest
 from exchange_replay import SETTINGS, Replay
-from race_conditions import ANSWERED, ID, ROOT, TEST, WAIT_S, read_to_the_end, run_coroutine, set_up
+from race_conditions import ANSWERED, ID, ROOT, TEST, WAIT_S, read_until_eof, run_coroutine, set_up
 from test_operations import free_port
 
 from canvasplank.codecs import isup
@@ -50,7 +50,7 @@
     replay.process.send_signal(signal.SIGCONT)
     for number, caller in enumerate([*crowd, old]):
         caller.stream.settimeout(WAIT_S)
-        received = read_to_the_end(caller.stream)
+        received = read_until_eof(caller.stream)
         assert ANSWERED.match(received)[1].hex() == f"{number + 1:016x}"
     replay.step("program exits 0")
 
@@ -163,7 +163,7 @@
         program._callers.unsent = unsent
         program._terminate()
         async with asyncio.timeout(WAIT_S):
-            received = await loop.run_in_executor(None, read_to_the_end, peer)
+            received = await loop.run_in_executor(None, read_until_eof, peer)
             peer.close()
             await running
         return received
@@ -200,7 +200,7 @@
         # the process would have exited, and lost what the kernel had not taken
         ended_early = running.done()
         async with asyncio.timeout(WAIT_S):
-            received = await loop.run_in_executor(None, read_to_the_end, peer) if reads else answers
+            received = await loop.run_in_executor(None, read_until_eof, peer) if reads else answers
             await running
         peer.close()
         return ended_early, received
--- a/tests/test_release_wait.py
+++ b/tests/test_release_wait.py
@@ -32,7 +32,7 @@
 def cancel_at_gone_server(rig: ServerSide) -> None:
     """The list shows that the server is gone while its connection is still open."""
     entry = Endpoint(rig.first_server, "127.0.0.1:1", lifecycle="gone")
-    rig.servers.listed(False, [entry])
+    rig.servers.update_endpoints(False, [entry])
 
 
 def reset_unreadable(rig: ServerSide) -> None:
@@ -42,7 +42,7 @@
 def reset_for_restart(rig: ServerSide) -> None:
     port = rig.listeners[rig.first_server].getsockname()[1]
     entry = Endpoint(rig.first_server, f"127.0.0.1:{port}", "ready", started_at_ms=rig.scheduler.now_ms + 1)
-    rig.servers.listed(False, [entry])
+    rig.servers.update_endpoints(False, [entry])
 
 
 def reset_by_peer(rig: ServerSide) -> None:
--- a/tests/test_releases_across_processes.py
+++ b/tests/test_releases_across_processes.py
@@ -15,7 +15,7 @@
 
 import pytest
 from exchange_replay import SETTINGS
-from race_conditions import ID, TEST, WAIT_S, read_to_the_end, run_coroutine, set_up
+from race_conditions import ID, TEST, WAIT_S, read_until_eof, run_coroutine, set_up
 from server_side import ServerSide, offered_call
 from two_processes import Deployment, StandInServer, read_message
 
@@ -73,7 +73,7 @@
     server.release(ID)
     assert select.select([caller], [], [], WAIT_S)[0], "the release is written"
     caller.close()  # and unread
-    server.read_to_the_end(connection)
+    server.read_until_eof(connection)
     assert old.wait(WAIT_S) == 0
 
 
@@ -162,7 +162,7 @@
     """The process is told to stop, and fails the caller's call as it ends."""
     deployment.processes[0].send_signal(signal.SIGTERM)
     assert read_message(caller, isup.Kind.RELEASE).call_id == ID
-    read_to_the_end(caller)
+    read_until_eof(caller)
 
 
 def assert_not_released_by_the_next_process(deployment: Deployment, server: StandInServer) -> None:
@@ -321,7 +321,7 @@
             await rig.step(after_ms)
             stream.buffer_updated(fill(stream, received))
             rig.servers.disconnect()
-            return await asyncio.get_running_loop().run_in_executor(None, read_to_the_end, peer)
+            return await asyncio.get_running_loop().run_in_executor(None, read_until_eof, peer)
 
     sent = run_coroutine(run())
     assert b"CANCEL" in sent
--- a/tests/test_releases_behind_unreadable_messages.py
+++ b/tests/test_releases_behind_unreadable_messages.py
@@ -694,7 +694,7 @@
 def list_as_draining(play: Play) -> None:
     port = play.rig.listeners[SERVER].getsockname()[1]
     play.rig.scheduler.begin_iteration()
-    play.rig.servers.listed(False, [Endpoint(SERVER, f"127.0.0.1:{port}", lifecycle="draining")])
+    play.rig.servers.update_endpoints(False, [Endpoint(SERVER, f"127.0.0.1:{port}", lifecycle="draining")])
 
 
 def test_a_connection_that_was_left_unread(run_play):
--- a/tests/test_releases_to_callers.py
+++ b/tests/test_releases_to_callers.py
@@ -114,9 +114,9 @@
             release = CallerRelease(ID, 16, lambda: delivered.append(ID))
             caller_side.callers.releases.send(origin, release)
             assert await received(peer, len(RELEASED)) == RELEASED
-            await caller_side.let_pass(window_ms - 1)
+            await caller_side.advance_time(window_ms - 1)
             assert delivered == []
-            await caller_side.let_pass(1 + CHECK_INTERVAL_MS)
+            await caller_side.advance_time(1 + CHECK_INTERVAL_MS)
             assert delivered == [ID]
             peer.close()
 
@@ -132,7 +132,7 @@
             caller_side.callers.releases.send(stream, CallerRelease(ID, 16, lambda: delivered.append(ID)))
             peer.close()
             await all_are_gone(caller_side)
-            await caller_side.let_pass(MAX_RETRY_AGE_MS)
+            await caller_side.advance_time(MAX_RETRY_AGE_MS)
             assert delivered == []
 
     run_coroutine(run())
@@ -196,12 +196,12 @@
             older, newer = await calling_caller(caller_side), await calling_caller(caller_side)
             caller_side.exchange.on_released_by_server(SERVER, ID, 16)
             assert await received(newer, len(RELEASED)) == RELEASED
-            await caller_side.let_pass(RETRY_DELAY_MS - 1)
+            await caller_side.advance_time(RETRY_DELAY_MS - 1)
             assert caller_side.exchange.counters["sent.releases_again"] == 0
             for peer in [older, newer][: MAX_FOREIGN_SENDS - 1]:
-                await caller_side.let_pass(RETRY_DELAY_MS)
+                await caller_side.advance_time(RETRY_DELAY_MS)
                 assert await received(peer, len(RELEASED)) == RELEASED
-            await caller_side.let_pass(RETRY_DELAY_MS)
+            await caller_side.advance_time(RETRY_DELAY_MS)
             assert caller_side.exchange.counters["sent.releases_again"] == MAX_FOREIGN_SENDS - 1
             older.close(), newer.close()
 
@@ -242,10 +242,10 @@
             crowd = [await calling_caller(caller_side) for _ in range(MAX_FOREIGN_SENDS + 1)]
             caller_side.exchange.on_released_by_server(SERVER, ID, 16)
             for _ in range(2 * MAX_FOREIGN_SENDS):
-                await caller_side.let_pass(RETRY_DELAY_MS)
+                await caller_side.advance_time(RETRY_DELAY_MS)
             assert caller_side.exchange.counters["sent.releases_again"] == MAX_FOREIGN_SENDS - 1
             caller = await placing_caller(caller_side)
-            await caller_side.let_pass(CHECK_INTERVAL_MS)
+            await caller_side.advance_time(CHECK_INTERVAL_MS)
             assert await received(caller, len(RELEASED)) == RELEASED
             for peer in [caller, *crowd]:
                 peer.close()
@@ -296,7 +296,7 @@
             first = await calling_caller(caller_side)
             await confirmed_release(caller_side, first, ID)
             second = await calling_caller(caller_side)
-            await caller_side.let_pass(RETRY_DELAY_MS)
+            await caller_side.advance_time(RETRY_DELAY_MS)
             assert caller_side.exchange.counters["sent.releases_again"] == 0
             first.close(), second.close()
 
@@ -320,9 +320,9 @@
             caller_side.exchange.on_released_by_server(SERVER, ID, 16)
             assert next_timer_ms(caller_side) == CHECK_INTERVAL_MS
             assert await received(caller, len(RELEASED)) == RELEASED
-            await caller_side.let_pass(CHECK_INTERVAL_MS)
+            await caller_side.advance_time(CHECK_INTERVAL_MS)
             assert next_timer_ms(caller_side) == CHECK_INTERVAL_MS, "it may yet be sent again"
-            await caller_side.let_pass(MAX_RETRY_AGE_MS)
+            await caller_side.advance_time(MAX_RETRY_AGE_MS)
             assert next_timer_ms(caller_side) == IDLE_CHECK_INTERVAL_MS
             caller.close()
 
--- a/tests/test_rendezvous_subset.py
+++ b/tests/test_rendezvous_subset.py
@@ -187,12 +187,12 @@
                 settings(instances=12, classes=(api.CallClass("low", 1600, 9000, 1, 0.1, hold_ms=1000.0),))
             )
             gateway.servers(api.Server("a", 0, api.ServerState.READY, 0.0, senders))
-            gateway.tell(api.CircuitsReported("a", 60.0, 60.0))
-            gateway.alive["a"] = 40
+            gateway.handle(api.CircuitsReported("a", 60.0, 60.0))
+            gateway.answer_delays_ms["a"] = 40
             for _ in range(100):
                 gateway.call()
-                gateway.until(gateway.now + 20)
-            return sum(isinstance(action, api.SetUp) for _, action in gateway.done)
+                gateway.advance_to(gateway.now + 20)
+            return sum(isinstance(action, api.SetUp) for _, action in gateway.action_log)
 
         assert sent(3) > 1.5 * sent(None)
 
@@ -204,11 +204,11 @@
         for seed in range(300):
             gateway = Gateway(settings(instances=300), seed)
             gateway.servers(api.Server("a", 0, api.ServerState.READY, None, None, initial_rate_per_s))
-            gateway.alive["a"] = 40
+            gateway.answer_delays_ms["a"] = 40
             for _ in range(3):
                 gateway.call(expires_ms=9000, class_name=class_name)
-            gateway.until(8000)
-            sent += [at for at, action in gateway.done if isinstance(action, api.SetUp)]
+            gateway.advance_to(8000)
+            sent += [at for at, action in gateway.action_log if isinstance(action, api.SetUp)]
         first = sum(at < 1000 for at in sent)
         if initial_rate_per_s is None:
             assert first > 300, "what this guards against"
--- a/tests/test_rules_property.py
+++ b/tests/test_rules_property.py
@@ -64,7 +64,7 @@
         self.g.servers(*(api.Server(n, i, api.ServerState.READY) for i, n in enumerate(NAMES)))
 
     def check(self) -> None:
-        for when, action in self.g.done[self.seen :]:
+        for when, action in self.g.action_log[self.seen :]:
             match action:
                 case api.SetUp(call, server, timeout):
                     assert call in self.unanswered, "1: nothing is sent for a call that is over"
@@ -76,9 +76,9 @@
                 case api.Refuse(call) | api.Fail(call):
                     assert call in self.unanswered, "1: exactly one final answer"
                     assert when <= self.unanswered.pop(call) + RULES.answer_slack_ms, "1: in time"
-        self.seen = len(self.g.done)
-        for call, until in self.unanswered.items():
-            assert self.g.now <= until + RULES.answer_slack_ms or call in self.established, "1: overdue"
+        self.seen = len(self.g.action_log)
+        for call, advance_to in self.unanswered.items():
+            assert self.g.now <= advance_to + RULES.answer_slack_ms or call in self.established, "1: overdue"
 
     def finish_attempt(self, call: str, outcome: Outcome) -> None:
         server = self.out.pop(call, None) or self.established.pop(call)
@@ -92,9 +92,9 @@
     def wait(self, ms: float) -> None:
         target = self.g.now + ms
         while self.g.timers and min(self.g.timers)[0] <= target:
-            self.g.until(max(self.g.now, min(self.g.timers)[0]))
+            self.g.advance_to(max(self.g.now, min(self.g.timers)[0]))
             self.check()
-        self.g.until(target)
+        self.g.advance_to(target)
 
     def answer(self, call: str, what: str | Outcome) -> None:
         if what == "established":
@@ -125,12 +125,12 @@
             case ("leave", which) if self.unanswered:
                 call = sorted(self.unanswered)[which % len(self.unanswered)]
                 del self.unanswered[call]
-                self.g.tell(api.CallAbandoned(call))
+                self.g.handle(api.CallAbandoned(call))
             case ("lines", name, free, lines):
-                self.g.tell(api.CircuitsReported(name, free, lines))
+                self.g.handle(api.CircuitsReported(name, free, lines))
             case ("report", name, figure):
                 report = api.Report(figure, figure, figure, figure, figure)
-                self.g.tell(api.ProbeAnswered(name, answered=figure > 0, report=report))
+                self.g.handle(api.ProbeAnswered(name, answered=figure > 0, report=report))
             case ("list", name, state, restarted):
                 self.states[name] = state
                 if restarted:
@@ -156,7 +156,7 @@
     g.servers(api.Server("a", 0, api.ServerState.READY))
     for _ in range(calls):
         call, actions = g.call(expires_ms=g.now + 2000)
-        g.until(g.now + 1000 / capacity)
+        g.advance_to(g.now + 1000 / capacity)
         if sent_to(actions):
             g.answer(call, "a", 1000 / capacity)
     return g
@@ -179,7 +179,7 @@
     g = warm_gateway(seed, warm_calls, capacity)
     born = g.now
     g.servers(api.Server("a", 0, api.ServerState.READY, born), kind=api.ListKind.CHANGES)
-    g.done.clear()
+    g.action_log.clear()
     sends: list[float] = []
     seen, free_at = 0, born
     waiting: list[tuple[float, str]] = []
@@ -187,21 +187,21 @@
         g.call(expires_ms=g.now + 3000)
         target = g.now + gap
         while True:
-            for when, action in g.done[seen:]:
+            for when, action in g.action_log[seen:]:
                 if isinstance(action, api.SetUp):
                     sends.append(when)
                     free_at = max(free_at, when) + 1000 / (capacity * cold_share(when - born))
                     waiting.append((free_at, action.call_id))
-            seen = len(g.done)
+            seen = len(g.action_log)
             due = min([target, *(at for at, _ in waiting), *(at for at, _ in g.timers)])
             if due >= target:
                 break
-            g.until(due)
+            g.advance_to(due)
             for at, call in [w for w in waiting if w[0] <= due]:
                 waiting.remove((at, call))
                 if call in g.controller._calls and silence:
                     g.answer(call, "a", 50)
-        g.until(target)
+        g.advance_to(target)
     span = RULES.overload_span_ms
     for index, at in enumerate(sends):
         count = sum(at - span < s <= at for s in sends[: index + 1])
--- a/tests/test_warm_start.py
+++ b/tests/test_warm_start.py
@@ -117,11 +117,11 @@
         peer = Gateway()
         peer.now = slowdown_at_ms
         peer.servers(ready("a", 0), ready("b", 1))
-        peer.steady("b", first=1, count=10)
-        peer.alive["b"] = 40  # b goes on responding; a never does
+        peer.serve_calls("b", first=1, count=10)
+        peer.answer_delays_ms["b"] = 40  # b goes on responding; a never does
         for _ in range(6):
             peer.call(first=0)
-            peer.until(peer.now + 300)
+            peer.advance_to(peer.now + 300)
         return peer_snapshot.decode(
             peer_snapshot.encode(
                 peer_snapshot.make_snapshot("n1", peer.controller.learned_servers(), peer.now)
@@ -142,12 +142,12 @@
         for event in start_hints.to_warm_start_hints(
             start_hints.derive_start_hints(seen, now_ms, listed, fresh_rate_per_s=None)
         ):
-            new.tell(event)
-        new.alive["b"] = 40
+            new.handle(event)
+        new.answer_delays_ms["b"] = 40
         for _ in range(20):
             new.call(first=0)
-            new.until(new.now + 100)
-        return sum(isinstance(a, api.SetUp) and a.server_id == "a" for _, a in new.done)
+            new.advance_to(new.now + 100)
+        return sum(isinstance(a, api.SetUp) and a.server_id == "a" for _, a in new.action_log)
 
     def test_a_running_gateway_exports_what_it_saw(self):
         seen = self.running(0.0)
@@ -164,10 +164,10 @@
 
         peer = Gateway()
         peer.servers(ready("a", 0), ready("b", 1))
-        peer.alive["b"] = 40
+        peer.answer_delays_ms["b"] = 40
         while peer.now < 30_000:
             peer.call(first=0)
-            peer.until(peer.now + 250)
+            peer.advance_to(peer.now + 250)
         [seen] = [
             s
             for s in peer_snapshot.make_snapshot("n1", peer.controller.learned_servers(), peer.now).servers
@@ -189,8 +189,8 @@
 
         peer = Gateway()
         peer.servers(ready("a", 0))
-        peer.steady("a", first=0, count=10)
-        peer.steady("a", first=0, count=late, gap_ms=1500, waited_ms=900)
+        peer.serve_calls("a", first=0, count=10)
+        peer.serve_calls("a", first=0, count=late, gap_ms=1500, waited_ms=900)
         [exported] = peer_snapshot.make_snapshot("n1", peer.controller.learned_servers(), peer.now).servers
         assert exported.slow is slow
 
@@ -200,7 +200,7 @@
 
         new = Gateway()
         new.servers(ready("a", 0), ready("b", 1))
-        new.tell(api.WarmStartHint("a", 50.0, eject=False))
+        new.handle(api.WarmStartHint("a", 50.0, eject=False))
         new.full(new.call(first=0)[0], "a")
         rates = {each.server_id: each.rate_per_s for each in new.controller.learned_servers()}
         assert rates["a"] < 50.0
@@ -210,6 +210,6 @@
 
         new = Gateway()
         new.servers(ready("a", 0))
-        new.steady("a", first=0, count=3)
-        new.tell(api.WarmStartHint("a", None, eject=True))
+        new.serve_calls("a", first=0, count=3)
+        new.handle(api.WarmStartHint("a", None, eject=True))
         assert sent_to(new.call(first=0)[1]) == ["a"]
--- a/tests/test_worker_processes.py
+++ b/tests/test_worker_processes.py
@@ -20,7 +20,7 @@
 from canvasplank.config.configuration import ConfigurationError
 from canvasplank.store.records import CallOutcome
 from canvasplank.worker import usage_ledger
-from canvasplank.worker.config import load_work
+from canvasplank.worker.config import load_worker_settings
 from emulators.link import Link
 
 ROOT = Path(__file__).parent.parent
@@ -160,7 +160,7 @@
     text = "\n".join([each for each in text.splitlines() if not each.startswith(key)] + [line])
     (tmp_path / "work.toml").write_text(text)
     with pytest.raises(ConfigurationError, match=message) as error:
-        load_work(str(tmp_path / "work.toml"))
+        load_worker_settings(str(tmp_path / "work.toml"))
     assert "\n" not in str(error.value)
 
 
--- a/tests/two_processes.py
+++ b/tests/two_processes.py
@@ -73,7 +73,7 @@
             self.connections.remove(connection)
             connection.close()
 
-    def read_to_the_end(self, connection: socket.socket) -> None:
+    def read_until_eof(self, connection: socket.socket) -> None:
         """Take all messages up to the end of the connection, and close it."""
         with contextlib.suppress(ConnectionResetError):  # its peer has ended with something unread
             while data := connection.recv(READ_BYTES):
@@ -87,7 +87,7 @@
         while select.select([self.listener], [], [], 0.0)[0]:
             self.accept()
         for connection in list(self.connections):
-            self.read_to_the_end(connection)
+            self.read_until_eof(connection)
 
     def answer(self, connection: socket.socket, invite: sip.Message) -> None:
         """Establish the call of this set-up."""
