--- a/canvasplank/policy/call_queue.py
+++ b/canvasplank/policy/call_queue.py
@@ -7,24 +7,33 @@
 from canvasplank.policy.leaky_bucket import HIGHEST_THRESHOLD, LOWEST_THRESHOLD
 from canvasplank.policy.server import Server
 
-MARGIN_MS, MARGIN_TICKS = 25.0, 2  # a final answer leaves both before the caller's time is up
+# A final answer is sent MARGIN_MS plus MARGIN_TICKS ticks before the caller's deadline.
+MARGIN_MS = 25.0
+MARGIN_TICKS = 2
 MARGIN_FRACTION = 0.1  # of the caller's wait, where that is less than MARGIN_MS
-MAX_QUEUED_CALLS = 400  # past it the call of lowest rank is refused
-MAX_REDIALS, MAX_BUSY_NUMBERS = 4000, 1000  # remembered: unserved calls, busy numbers
-INITIAL_BUSY_MS, MAX_BUSY_MS = 500.0, 4000.0  # backoff of a number found busy, doubling
-MAX_CREDIT_CALLS = 4.0  # that a tenant may bring in a row beyond its quota
+MAX_QUEUED_CALLS = 400  # beyond this the call of lowest rank is refused
+MAX_REDIALS = 4000  # unserved calls remembered in case their callers dial again
+MAX_BUSY_NUMBERS = 1000  # busy numbers remembered
+INITIAL_BUSY_MS = 500.0  # first backoff of a busy number; it doubles ...
+MAX_BUSY_MS = 4000.0  # ... up to this
+MAX_CREDIT_CALLS = 4.0  # calls in a row that a tenant may make beyond its quota
 
 
 class CallRecord:
     """One call that still lacks its final answer."""
 
     def __init__(self, call: api.Call, call_class: api.CallClass, context: DecisionContext) -> None:
-        self.request, self.call_class = call, call_class
-        self.arrived_ms = self.first_ms = self.not_before_ms = now_ms = context.now_ms  # not before: rule 5
+        self.request = call
+        self.call_class = call_class
+        now_ms = context.now_ms
+        self.arrived_ms = now_ms
+        self.first_ms = now_ms
+        self.not_before_ms = now_ms  # rule 5
         self.quota_weight = 1.0  # of its class's weight: less past its tenant's quota
         margin_ms = max(0.0, min(MARGIN_MS, MARGIN_FRACTION * (call.expires_ms - now_ms)))
         self.deadline_ms = call.expires_ms - margin_ms - MARGIN_TICKS * context.tick_ms
-        self.attempts, self.cancel_sent = 0, False
+        self.attempts = 0
+        self.cancel_sent = False
         self.failed_server_id: str | None = None  # where its latest attempt failed
         self.server: Server | None = None  # where its one attempt is in flight
 
@@ -40,7 +49,8 @@
     """Calls and their order: thresholds by weight, tenants' credits, redials and busy numbers."""
 
     def __init__(self, context: DecisionContext) -> None:
-        self._context, settings = context, context.settings
+        self._context = context
+        settings = context.settings
         self.calls: dict[str, CallRecord] = {}  # those that still lack their final answer
         self.waiting: dict[str, CallRecord] = {}  # those of them that have no attempt in flight
         # Of calls that may be dialled again: first attempt, time of the note (their order), quota weight.
@@ -59,7 +69,8 @@
 
     def add(self, call: CallRecord) -> None:
         """Exception (redials): the target of a caller back under its number and class runs from the first."""
-        request, key = call.request, (call.request.number, call.request.class_name)
+        request = call.request
+        key = (call.request.number, call.request.class_name)
         self.calls[request.id] = call
         if request.replaces_cut_call or key not in self.redials:
             call.quota_weight = self._take_credit(request.tenant)
@@ -78,7 +89,8 @@
 
     def remove(self, call: CallRecord) -> None:
         """Drop an unserved call, noting it for a redial."""
-        number, now_ms = call.request.number, self._context.now_ms
+        number = call.request.number
+        now_ms = self._context.now_ms
         del self.calls[call.request.id]
         self.waiting.pop(call.request.id, None)
         if number is None:
--- a/canvasplank/policy/controller.py
+++ b/canvasplank/policy/controller.py
@@ -89,7 +89,9 @@
             self._wake_for_queue()
         if call is None or (established and event.finished):
             return
-        call.server, call.failed_server_id, call.cancel_sent = None, event.server_id, False
+        call.server = None
+        call.failed_server_id = event.server_id
+        call.cancel_sent = False
         if event.outcome in (api.Outcome.TIMED_OUT, api.Outcome.RESET, api.Outcome.CANCELLED):  # rule 5
             released_ms = max(self._context.now_ms, event.released_ms)
             call.not_before_ms = released_ms + self._settings.rules.release_ms + self._settings.tick_ms
@@ -110,7 +112,8 @@
 
     def _check_all(self) -> None:
         """Check what time alone changes: servers, overdue calls, then whatever may leave now."""
-        now_ms, next_ms = self._context.now_ms, NEVER
+        now_ms = self._context.now_ms
+        next_ms = NEVER
         if now_ms > self._context.resumed_ms:
             for server in [s for s in self._servers.values() if s.pending]:
                 next_ms = min(next_ms, server.check())
@@ -130,7 +133,8 @@
 
     def _check_attempt(self, call: CallRecord, server: Server) -> float:
         """Move a call that waits in vain; gives when to check again."""
-        now_ms, settings = self._context.now_ms, self._settings
+        now_ms = self._context.now_ms
+        settings = self._settings
         if now_ms >= call.deadline_ms:
             self._fail(call)
             return NEVER
@@ -161,7 +165,8 @@
 
     def _offer(self, call: CallRecord) -> None:
         """What becomes of a call without an attempt in flight: an end, an attempt, or it waits for one."""
-        now_ms, attempts_left = self._context.now_ms, self._settings.max_attempts - call.attempts
+        now_ms = self._context.now_ms
+        attempts_left = self._settings.max_attempts - call.attempts
         if attempts_left <= 0 or self._queue.is_number_busy(call.request.number):
             self._refuse(call)
         elif now_ms >= call.deadline_ms:
@@ -175,7 +180,9 @@
 
     def _gate(self, call: CallRecord, server: Server) -> bool:
         """The one way out for a set-up; it checks the five rules whatever came before."""
-        now_ms, call_id, entry = self._context.now_ms, call.request.id, server.entry
+        now_ms = self._context.now_ms
+        call_id = call.request.id
+        entry = server.entry
         if now_ms >= call.deadline_ms or self._calls.get(call_id) is not call:
             return False  # 1: in time, and only while it is unanswered
         if call.server is not None or call.attempts >= self._settings.max_attempts:  # 2: one at a time
@@ -188,7 +195,8 @@
             return False
         server.on_sent(call_id)
         self._queue.on_sent(call.request.number)
-        call.server, call.attempts = server, call.attempts + 1
+        call.server = server
+        call.attempts = call.attempts + 1
         self._context.actions.append(api.SetUp(call_id, entry.id, call.deadline_ms - now_ms))
         self._context.wake_at(min(now_ms + server.overdue_after_ms(), call.deadline_ms))
         return True
--- a/canvasplank/policy/decision_context.py
+++ b/canvasplank/policy/decision_context.py
@@ -13,8 +13,10 @@
     """The time and the actions of the event in hand, and what outlives it."""
 
     def __init__(self, settings: api.Settings, seed: int) -> None:
-        self.settings, self.rng = settings, random.Random(seed)
-        self.now_ms, self.resumed_ms = 0.0, -1.0  # resumed: when a standstill of ours was last noticed
+        self.settings = settings
+        self.rng = random.Random(seed)
+        self.now_ms = 0.0
+        self.resumed_ms = -1.0  # when a standstill of this gateway was last noticed
         self.actions: list[api.Action] = []
         self.pool_reports: dict[int, tuple[float | None, float | None]] = {}  # last circuits and capacity
         self.tick_ms = max(settings.tick_ms, 1.0)
@@ -23,14 +25,17 @@
         self.congested_wait_ms = CONGESTION_FRACTION * self.harmful_wait_ms
         holds = [c.hold_ms for c in settings.classes if c.hold_ms is not None]
         self.mean_hold_ms = sum(holds) / len(holds) if holds else None
-        self._wakeup_ms, self._wakeups = NEVER, 0  # when the one timer that counts comes due; its number
+        self._wakeup_ms = NEVER  # when the current timer fires
+        self._wakeups = 0  # number of the current timer
 
     def start_event(self, now_ms: float) -> None:
         """Start on an event; a clock that steps back stands still."""
-        self.now_ms, self.actions = max(self.now_ms, now_ms), []
+        self.now_ms = max(self.now_ms, now_ms)
+        self.actions = []
         if self.now_ms > self._wakeup_ms + STALL_TICKS * self.tick_ms:
             # Exception (standstill): what a batch brings after one is read whole before time counts.
-            self.resumed_ms, self._wakeup_ms = self.now_ms, NEVER
+            self.resumed_ms = self.now_ms
+            self._wakeup_ms = NEVER
             self.wake_at(self.now_ms + self.tick_ms)
 
     def wake_at(self, at_ms: float) -> None:
--- a/canvasplank/policy/rate_control.py
+++ b/canvasplank/policy/rate_control.py
@@ -7,7 +7,8 @@
 
 MIN_RATE_PER_S = 1.0  # the rate rule (ND1621's adaptation): at least after a cut, and ...
 GROWTH_FRACTION = 0.1  # ... of the rate per quiet second, or MIN_RATE_PER_S, whichever is more
-MAX_LEAK_SHARES, MAX_LEAK_MULTIPLE = 1.5, 4.0  # of an even share; of the calls a second that it answers us
+MAX_LEAK_SHARES = 1.5  # highest leak rate, as a multiple of the even share or of the answered rate ...
+MAX_LEAK_MULTIPLE = 4.0  # ... or, with MIN_ANSWERS in the window, this multiple of the answered rate
 PROMPT_FRACTION = 0.5  # of the congested wait: MIN_ANSWERS no slower in a row show that congestion ended
 RECOVERY_FACTOR = 1.5  # of the rate at each such row, up to what it was
 LOG_INTERVAL_MS = 5000.0  # between two lines about the congestion of one server
@@ -19,11 +20,14 @@
     """The bucket of one server and the rate at which it leaks."""
 
     def __init__(self, server: ServerObservations, dither: float, initial_per_s: float | None) -> None:
-        self._server, self._context = server, server.context
-        self.quiet_since_ms = now_ms = server.context.now_ms  # since when the present quiet second runs
+        self._server = server
+        self._context = server.context
+        now_ms = server.context.now_ms
+        self.quiet_since_ms = now_ms  # since when the present quiet second runs
         self.bucket = LeakyBucket(now_ms, dither, NEVER if initial_per_s is None else initial_per_s)
         self.rate_before_cut = None if initial_per_s is None else NEVER  # one that no 'full' has confirmed
-        self.last_cut_ms = self._last_logged_ms = -NEVER
+        self.last_cut_ms = -NEVER
+        self._last_logged_ms = -NEVER
         self._prompt_answers = 0  # in a row
 
     def limit(self, rate_per_s: float) -> None:
@@ -33,7 +37,9 @@
 
     def settle(self) -> None:
         """Bring the bucket up to now: what leaked, and what its rate grew in quiet seconds."""
-        bucket, server, now_ms = self.bucket, self._server, self._context.now_ms
+        bucket = self.bucket
+        server = self._server
+        now_ms = self._context.now_ms
         if bucket.last_ms == now_ms:
             return
         after_ms = server.overdue_after_ms()
@@ -55,7 +61,9 @@
             bucket.max_rate = max(MAX_LEAK_SHARES * max(share, answered), by_answers)
 
     def cut(self, reason: str, *, full: bool = False) -> None:
-        now_ms, bucket, server = self._context.now_ms, self.bucket, self._server
+        now_ms = self._context.now_ms
+        bucket = self.bucket
+        server = self._server
         self.settle()
         self.quiet_since_ms = now_ms
         if now_ms - self.last_cut_ms < max(SECOND_MS, server.usual_delay_ms or 0.0):
@@ -78,7 +86,8 @@
     def on_answer(self, sent_ms: float, waited_ms: float) -> None:
         """Exception (eased cuts): one that no 'full' has confirmed lasts only while answers wait."""
         prompt_ms = (self._server.min_delay_ms or 0.0) + PROMPT_FRACTION * self._context.congested_wait_ms
-        prompt, rate = sent_ms > self.last_cut_ms and waited_ms <= prompt_ms, self.bucket.rate
+        prompt = sent_ms > self.last_cut_ms and waited_ms <= prompt_ms
+        rate = self.bucket.rate
         self._prompt_answers = self._prompt_answers + 1 if prompt else 0
         if self.rate_before_cut is not None and self._prompt_answers >= MIN_ANSWERS:
             self.bucket.rate = min(max(rate, self.rate_before_cut), RECOVERY_FACTOR * rate)
@@ -87,7 +96,8 @@
 
     def check(self, silent: bool) -> float:
         """Cut if answers are overdue, but not by trials of a silent server; gives when to check again."""
-        since_ms, after_ms = self._server.oldest_overdue_ms(), self._server.overdue_after_ms()
+        since_ms = self._server.oldest_overdue_ms()
+        after_ms = self._server.overdue_after_ms()
         if (waited_ms := self._context.now_ms - since_ms) >= after_ms and not silent:
             self.cut(f"no answer for {waited_ms:.0f} ms")
         return max(since_ms + after_ms, self.last_cut_ms + max(SECOND_MS, self._server.usual_delay_ms or 0.0))
--- a/canvasplank/policy/routing.py
+++ b/canvasplank/policy/routing.py
@@ -15,7 +15,9 @@
     """Finds candidates for a call; it sends nothing itself."""
 
     def __init__(self, context: DecisionContext, queue: CallQueue, budgets: api.BudgetDelay | None) -> None:
-        self._context, self._queue, self._budgets = context, queue, budgets
+        self._context = context
+        self._queue = queue
+        self._budgets = budgets
         self.servers: dict[str, Server] = {}
 
     def on_list(self, event: api.ServerList) -> None:
@@ -51,7 +53,8 @@
         return [first, choices(rest, [s.fleet_fraction() for s in rest])[0]]
 
     def serves(self, server: Server, call: CallRecord) -> bool:
-        pools, entry = call.call_class.pools, server.entry
+        pools = call.call_class.pools
+        entry = server.entry
         return entry.state is api.ServerState.READY and (pools is None or entry.pool in pools)
 
     def _admits(self, server: Server, call: CallRecord) -> bool:
@@ -61,15 +64,18 @@
         return admits and self.budget_at_ms(server, call) <= self._context.now_ms
 
     def budget_at_ms(self, server: Server, call: CallRecord, *, take: bool = False) -> float:
-        budgets, server_id = self._budgets, server.entry.id
+        budgets = self._budgets
+        server_id = server.entry.id
         delay_ms = budgets(call.request, call.attempts, server_id, take) if budgets else 0.0
         return self._context.now_ms + delay_ms
 
     def room_at_ms(self, call: CallRecord) -> float:
         """When a server may next take a call that finds no room now, by time alone; rates grow meanwhile."""
-        at_ms, threshold = self._context.now_ms + SECOND_MS, self._queue.threshold(call)
+        at_ms = self._context.now_ms + SECOND_MS
+        threshold = self._queue.threshold(call)
         for server in self.servers.values():
-            silent, bucket = server.silence.silent, server.rate.bucket
+            silent = server.silence.silent
+            bucket = server.rate.bucket
             if self.serves(server, call) and not (silent and server.pending):
                 ready_ms = server.silence.next_trial_ms if silent else bucket.admits_at_ms(threshold)
                 ready_ms = max(ready_ms, server.slow_start.ready_at_ms(), self.budget_at_ms(server, call))
--- a/canvasplank/policy/server.py
+++ b/canvasplank/policy/server.py
@@ -8,11 +8,17 @@
 from canvasplank.policy.rate_control import MIN_RATE_PER_S, SILENCE_DELAYS, RateControl
 from canvasplank.policy.server_observations import ANSWER_WINDOW_MS, SMOOTHING_WEIGHT, ServerObservations
 
-BY_CIRCUITS, BY_POOL, BY_REPORT, ANSWERS_MULTIPLE = 0.3, 0.6, 0.8, 1.2  # of a cold server's budget; answers
+# Fractions of the limit of rule 4 that a cold server's budget uses, by what its capacity is known from.
+BY_CIRCUITS = 0.3  # its circuits, and its age
+BY_POOL = 0.6  # an earlier report of the server or its pool, and its age
+BY_REPORT = 0.8  # a fresh report of its own
+ANSWERS_MULTIPLE = 1.2  # of the answered rate: the budget is at least this
 REPORT_FRESH_MS = 2000.0  # so long a report counts as of now
 MASS_START_MS = 10_000.0  # where hundreds of gateways start at once, set-ups come evenly spaced for so long
 
-INITIAL_TRIAL_BACKOFF, MAX_TRIAL_BACKOFF = 2.0, 8.0  # harmful waits between two trials, doubling
+# The time between two trials of a silent server, in harmful waits, doubles between these.
+INITIAL_TRIAL_BACKOFF = 2.0
+MAX_TRIAL_BACKOFF = 8.0
 RETURN_SLOW_START_MS = 5000.0  # the list is seconds late: so long may a return from silence be a fresh start
 
 
@@ -28,9 +34,11 @@
         self.slow_start.start(entry.started_ms)
 
     def on_entry(self, entry: api.Server) -> None:
-        restarted, self.entry = entry.started_ms != self.entry.started_ms, entry
+        restarted = entry.started_ms != self.entry.started_ms
+        self.entry = entry
         if restarted:  # what waited there is lost and proves nothing
-            self.answered_sent_ms = self.restart_seen_ms = self.context.now_ms
+            self.answered_sent_ms = self.context.now_ms
+            self.restart_seen_ms = self.context.now_ms
             self.silence.on_restart()
             self.slow_start.start(entry.started_ms)
 
@@ -46,11 +54,13 @@
         self.rate.settle()
         self.slow_start.bucket.add()
         self.rate.bucket.add()
-        self.pending[call_id] = self.last_attempt_ms = self.context.now_ms
+        self.pending[call_id] = self.context.now_ms
+        self.last_attempt_ms = self.context.now_ms
 
     def on_established(self, event: api.Established) -> None:
         self.rate.settle()
-        sent_ms, now_ms = self.pending.pop(event.call_id), self.context.now_ms
+        sent_ms = self.pending.pop(event.call_id)
+        now_ms = self.context.now_ms
         self.silence.on_answer(sent_ms)
         self.last_received_ms = now_ms
         self.answered_sent_ms = max(self.answered_sent_ms, sent_ms)
@@ -64,7 +74,8 @@
             usual_ms = event.waited_ms if self.usual_delay_ms is None else self.usual_delay_ms
             self.usual_delay_ms = usual_ms + SMOOTHING_WEIGHT * (event.waited_ms - usual_ms)
             self.min_delay_ms = min(event.waited_ms, self.min_delay_ms or NEVER)
-            was_slow, self.last_answer_slow = self.last_answer_slow, event.waited_ms > self.overdue_after_ms()
+            was_slow = self.last_answer_slow
+            self.last_answer_slow = event.waited_ms > self.overdue_after_ms()
             if was_slow and self.last_answer_slow:  # cut to the answers before these two
                 self.rate.cut(f"answers take {event.waited_ms:.0f} ms")
             self.rate.on_answer(sent_ms, event.waited_ms)
@@ -85,12 +96,14 @@
             self.silence.enter("no connection")
 
     def check(self) -> float:  # gives when to check again
-        rate_ms, silent_ms = self.rate.check(self.silence.silent), self.silence.check()
+        rate_ms = self.rate.check(self.silence.silent)
+        silent_ms = self.silence.check()
         return rate_ms if self.silence.silent else min(rate_ms, silent_ms)
 
     def learned(self) -> api.LearnedServer:
         rate = self.rate.bucket.rate if self.rate.bucket.rate < NEVER else None
-        slow, silent = (self.usual_delay_ms or 0.0) >= self.context.harmful_wait_ms, self.silence.silent
+        slow = (self.usual_delay_ms or 0.0) >= self.context.harmful_wait_ms
+        silent = self.silence.silent
         silence_ms = max(self.silence.since_ms, self.last_attempt_ms) if silent else -NEVER
         observed_ms = max(self.last_received_ms, silence_ms)
         return api.LearnedServer(self.entry.id, self.entry.started_ms, rate, slow, silent, observed_ms)
@@ -100,7 +113,9 @@
     """A bucket one set-up deep, which spaces what one server is sent."""
 
     def __init__(self, server: Server, dither: float) -> None:
-        self._server, self._context, mass_start = server, server.context, server.entry.initial_rate_per_s
+        self._server = server
+        self._context = server.context
+        mass_start = server.entry.initial_rate_per_s
         self.bucket = LeakyBucket(self._context.now_ms, dither)
         self.until_ms = -NEVER
         self._paced_until_ms = -NEVER if mass_start is None else self._context.now_ms + MASS_START_MS
@@ -117,7 +132,9 @@
 
     def rate_per_s(self) -> float:
         """What we may send a cold server each second: over all gateways, within the rule's multiple."""
-        rules, server, now_ms = self._context.settings.rules, self._server, self._context.now_ms
+        rules = self._context.settings.rules
+        server = self._server
+        now_ms = self._context.now_ms
         warm = rules.cold_share  # the fraction of its capacity that it surely has
         if server.entry.started_ms is not None and rules.warm_within_ms > 0:
             age = min(1.0, max(0.0, (now_ms - server.entry.started_ms) / rules.warm_within_ms))
@@ -143,20 +160,24 @@
     """Whether one server is silent, and when it may be tried again."""
 
     def __init__(self, server: Server) -> None:
-        self._server, self._context = server, server.context
+        self._server = server
+        self._context = server.context
         self.silent = False
-        self.since_ms = self.next_trial_ms = self._context.now_ms
+        self.since_ms = self._context.now_ms
+        self.next_trial_ms = self._context.now_ms
         self._backoff = INITIAL_TRIAL_BACKOFF
 
     def enter(self, reason: str) -> None:
         if not self.silent:
-            self.silent, self.since_ms = True, self._context.now_ms
+            self.silent = True
+            self.since_ms = self._context.now_ms
             self._schedule_trial()
             self._context.log(f"server {self._server.entry.id}: taken for silent: {reason}")
 
     def on_answer(self, sent_ms: float) -> None:
         if self.silent:
-            self.silent, self._backoff = False, INITIAL_TRIAL_BACKOFF
+            self.silent = False
+            self._backoff = INITIAL_TRIAL_BACKOFF
             if sent_ms >= self.since_ms + SECOND_MS:  # an answer to a trial may come from a fresh start
                 self._server.slow_start.start(self._context.now_ms, RETURN_SLOW_START_MS)
             self._context.log(f"server {self._server.entry.id}: answers again")
--- a/canvasplank/policy/server_observations.py
+++ b/canvasplank/policy/server_observations.py
@@ -8,10 +8,14 @@
 from canvasplank.policy.decision_context import DecisionContext
 from canvasplank.policy.leaky_bucket import NEVER, SECOND_MS
 
-ANSWER_WINDOW_MS, MIN_ANSWERS = 4000.0, 6  # answers before it count no more; fewer are no measure of a rate
+ANSWER_WINDOW_MS = 4000.0  # older answers no longer count
+MIN_ANSWERS = 6  # fewer answers do not measure a rate
 SMOOTHING_WEIGHT = 0.25  # of the newest value in the usual delay and in the reported capacity
-IGNORED_LOSSES, IGNORED_OVERDUE = 2, 1  # set-ups unanswered where some are lost; overdue after one in time
-MIN_RATE_SHARE, MIN_RATE_GATEWAYS = 0.25, 8  # Exception (fleet size): of an even share; gateways at a second
+IGNORED_LOSSES = 2  # unanswered set-ups ignored while set-ups to the server get lost
+IGNORED_OVERDUE = 1  # overdue set-ups ignored after an answer in time
+# Exception (fleet size): a gateway's minimum rate falls below one call a second where many share a server.
+MIN_RATE_SHARE = 0.25  # as a fraction of the even share, where that is known
+MIN_RATE_GATEWAYS = 8  # else: minimum rates of all gateways add up to those of this many
 MAX_POOLS = 256  # whose last report is remembered
 
 
@@ -19,7 +23,8 @@
     """The observations of one server, its list entry and its load reports."""
 
     def __init__(self, entry: api.Server, context: DecisionContext) -> None:
-        self.entry, self.context = entry, context
+        self.entry = entry
+        self.context = context
         # Exception (successors): until it reports, the last report of its pool stands in for its own.
         self.circuits, self.capacity_per_s = context.pool_reports.get(entry.pool, (None, None))
         self.capacity_reported_ms = -NEVER  # when it last reported that itself
@@ -28,7 +33,9 @@
         self.usual_delay_ms: float | None = None
         self.min_delay_ms: float | None = None  # the network's round trip, without a wait
         self.last_answer_slow = True  # no answer has come in time since the last that took too long
-        self.known_since_ms = self.last_received_ms = self.last_attempt_ms = context.now_ms
+        self.known_since_ms = context.now_ms
+        self.last_received_ms = context.now_ms
+        self.last_attempt_ms = context.now_ms
         self.answered_sent_ms = -1.0  # the latest time of sending among the set-ups that it has answered
         self.established_sent_ms = -1.0  # and among those whose calls were established
         self.restart_seen_ms = -1.0  # when the list showed a restart
@@ -40,7 +47,9 @@
         self.capacity_reported_ms = -NEVER
 
     def on_capacity(self, circuits: float | None, capacity_per_s: float | None) -> None:
-        self.circuits, self.capacity_per_s, pools = circuits, capacity_per_s, self.context.pool_reports
+        self.circuits = circuits
+        self.capacity_per_s = capacity_per_s
+        pools = self.context.pool_reports
         pools[self.entry.pool] = circuits, capacity_per_s
         if len(pools) > MAX_POOLS:
             del pools[next(iter(pools))]
--- a/canvasplank/simulator_adapter.py
+++ b/canvasplank/simulator_adapter.py
@@ -41,9 +41,14 @@
     "full": api.ListKind.COMPLETE,
     "cached": api.ListKind.CACHED,
 }
-_REDIALLED, _WAS_CUT = 2, 16  # bits of a request's flags
-_NOTE_BITS, _NOTE_PROCESSOR_FULL, _NOTE_NUMBER_BUSY = 4, 3, 4  # above the bits a wait may be coded
+# Bits of a request's flags.
+_REDIALLED = 2
+_WAS_CUT = 16
+# A note holds a reason in its low bits, and may hold the wait at the processor (ms) above them.
+_NOTE_BITS = 4
 _NOTE_MASK = 15
+_NOTE_PROCESSOR_FULL = 3
+_NOTE_NUMBER_BUSY = 4
 
 
 class WireError(Exception):
@@ -82,7 +87,8 @@
         Raises ``WireError`` for a message or an instance that is unknown.
         """
         for message in messages:
-            name, instance = message[0], message[1]
+            name = message[0]
+            instance = message[1]
             if name == "sheet":
                 self._lists[instance] = tuple(self._entry(entry) for entry in message[2])
                 continue
@@ -93,7 +99,8 @@
                 if name == "shutdown":
                     del self._instances[instance]
                     continue
-                controller, reader = self._instances[instance].controller, self._readers[name]
+                controller = self._instances[instance].controller
+                reader = self._readers[name]
             except KeyError as unknown:
                 raise WireError(f"{name!r} for instance {instance!r}: unknown {unknown.args[0]!r}") from None
             except api.SettingsError as error:
@@ -152,7 +159,8 @@
 
     def _settled(self, message: list[Any]) -> api.Event:
         _, instance, call, attempt, server, code, _waited, finished, note, row = message
-        reason, wait_ms = (note or 0) & _NOTE_MASK, (note or 0) >> _NOTE_BITS
+        reason = (note or 0) & _NOTE_MASK
+        wait_ms = (note or 0) >> _NOTE_BITS
         return api.AttemptEnded(
             call_id=call,
             attempt=attempt,
