--- a/canvasplank/policy/__init__.py
+++ b/canvasplank/policy/__init__.py
@@ -1,7 +1,7 @@
-"""Every decision of the call controller: one multi-priority leaky bucket per server, and what protects it.
+"""All decisions of the call controller, around one multi-priority leaky bucket per server.
 
-The types, events, actions and settings are in ``canvasplank/interface.py``; read that first.  What departs
-from the ordinary path is marked "Exception (name)": ``docs/design.md`` says when it acts and why.
+The types, events, actions and settings are in ``canvasplank/interface.py``; read that first.  Special cases
+are marked "Exception (name)"; ``docs/design.md`` lists when each applies and why.
 """
 
 from canvasplank.policy.controller import Controller as Controller
--- a/canvasplank/policy/call_queue.py
+++ b/canvasplank/policy/call_queue.py
@@ -1,4 +1,4 @@
-"""The call queue and retries: calls without a final answer, their order, redials and busy numbers."""
+"""Calls without a final answer: their order, redials, busy numbers and tenants' quotas."""
 
 from collections import OrderedDict
 
@@ -20,7 +20,7 @@
 
 
 class CallRecord:
-    """One call that still lacks its final answer."""
+    """One call and its attempts; it stays until its final answer, or its end where it is established."""
 
     def __init__(self, call: api.Call, call_class: api.CallClass, context: DecisionContext) -> None:
         self.request = call
@@ -28,34 +28,39 @@
         now_ms = context.now_ms
         self.arrived_ms = now_ms
         self.first_ms = now_ms
-        self.not_before_ms = now_ms  # rule 5
-        self.quota_weight = 1.0  # of its class's weight: less past its tenant's quota
+        self.not_before_ms = now_ms  # no attempt before this time (rule 5)
+        self.quota_weight = 1.0  # factor on the weight of its class: lower beyond its tenant's quota
         margin_ms = max(0.0, min(MARGIN_MS, MARGIN_FRACTION * (call.expires_ms - now_ms)))
         self.deadline_ms = call.expires_ms - margin_ms - MARGIN_TICKS * context.tick_ms
         self.attempts = 0
         self.cancel_sent = False
-        self.failed_server_id: str | None = None  # where its latest attempt failed
-        self.server: Server | None = None  # where its one attempt is in flight
+        self.failed_server_id: str | None = None  # server of its latest failed attempt
+        self.server: Server | None = None  # server of its attempt in flight
 
     def is_in_flight(self, event: api.Established | api.AttemptEnded) -> bool:
-        return self.server is not None and event.attempt == self.attempts - 1  # a repeated event is not
+        """Return whether the event is about the attempt in flight; a repeated event is not."""
+        return self.server is not None and event.attempt == self.attempts - 1
 
     def weight(self, now_ms: float) -> float:
+        """Return the weight of the call; it drops once the target time has passed."""
         late = now_ms >= self.first_ms + self.call_class.target_ms
         return self.call_class.weight * self.quota_weight * (self.call_class.late_weight if late else 1.0)
 
 
 class CallQueue:
-    """Calls and their order: thresholds by weight, tenants' credits, redials and busy numbers."""
+    """The calls without a final answer, the bucket threshold of each, and what is remembered for retries."""
 
     def __init__(self, context: DecisionContext) -> None:
         self._context = context
         settings = context.settings
-        self.calls: dict[str, CallRecord] = {}  # those that still lack their final answer
-        self.waiting: dict[str, CallRecord] = {}  # those of them that have no attempt in flight
-        # Of calls that may be dialled again: first attempt, time of the note (their order), quota weight.
+        self.calls: dict[str, CallRecord] = {}  # all without a final answer
+        self.waiting: dict[str, CallRecord] = {}  # those of ``calls`` without an attempt in flight
+        # Unserved calls, by number and class, oldest entry first: time of the first attempt, time of the
+        # entry, quota weight.
         self.redials: OrderedDict[tuple[str | None, str], tuple[float, float, float]] = OrderedDict()
-        self.busy: dict[str | None, tuple[float, float]] = {}  # by number: when to try again, backoff
+        self.busy: dict[
+            str | None, tuple[float, float]
+        ] = {}  # by number: time of the next attempt, backoff (ms)
         self._redial_window_ms = max(c.deadline_ms for c in settings.classes)
         total = sum(c.quota_per_s for c in settings.tenants)
         self._fractions = {c.name: c.quota_per_s / total for c in settings.tenants if total}
@@ -68,7 +73,7 @@
         self.trial_threshold = self._thresholds[min(c.weight for c in settings.classes)]
 
     def add(self, call: CallRecord) -> None:
-        """Exception (redials): the target of a caller back under its number and class runs from the first."""
+        """Exception (redials): a redial of the same number and class keeps its first target and quota."""
         request = call.request
         key = (call.request.number, call.request.class_name)
         self.calls[request.id] = call
@@ -78,7 +83,7 @@
             call.first_ms, _, call.quota_weight = self.redials.pop(key)
 
     def _take_credit(self, tenant: str | None) -> float:
-        """Exception (tenants' quotas): each call credits all with their fractions and takes one of its."""
+        """Exception (tenants' quotas): a call credits all tenants their fractions and costs its own one."""
         if tenant is None or tenant not in self._fractions:
             return 1.0
         for name, fraction in self._fractions.items():
@@ -88,7 +93,7 @@
         return 1.0 if within else self._context.settings.over_quota_weight
 
     def remove(self, call: CallRecord) -> None:
-        """Drop an unserved call, noting it for a redial."""
+        """Remove an unserved call, and remember it in case it is dialled again."""
         number = call.request.number
         now_ms = self._context.now_ms
         del self.calls[call.request.id]
@@ -96,22 +101,24 @@
         if number is None:
             return
         self.redials[number, call.call_class.name] = call.first_ms, now_ms, call.quota_weight
-        for _ in range(2):  # two out for one in: bounded and cheap
-            _, noted_ms, _ = next(iter(self.redials.values()), (0.0, now_ms, 1.0))
-            if noted_ms < now_ms - self._redial_window_ms or len(self.redials) > MAX_REDIALS:
+        for _ in range(2):  # removes up to two for each one added: memory and time are bounded
+            _, added_ms, _ = next(iter(self.redials.values()), (0.0, now_ms, 1.0))
+            if added_ms < now_ms - self._redial_window_ms or len(self.redials) > MAX_REDIALS:
                 self.redials.popitem(last=False)
 
     def threshold(self, call: CallRecord) -> float:
+        """Return the fill of a server's bucket up to which the call is admitted."""
         return self._thresholds[call.weight(self._context.now_ms)]
 
     def rank(self, call: CallRecord) -> tuple[float, float]:
-        return call.weight(self._context.now_ms), call.arrived_ms  # the newest has most time to its target
+        """Return the sort key of the queue: the weight, then the arrival; the newest has most time left."""
+        return call.weight(self._context.now_ms), call.arrived_ms
 
     def is_number_busy(self, number: str | None) -> bool:
         return self.busy.get(number, (0.0, 0.0))[0] > self._context.now_ms
 
     def on_number_busy(self, number: str | None) -> None:
-        """Exception (busy numbers): no server has a line to it, so none is tried for a while that doubles."""
+        """Exception (busy numbers): no server has a line to it, so attempts wait for a doubling backoff."""
         if number is not None:
             _, backoff_ms = self.busy.pop(number, (0.0, INITIAL_BUSY_MS))
             self.busy[number] = self._context.now_ms + backoff_ms, min(2 * backoff_ms, MAX_BUSY_MS)
@@ -119,5 +126,6 @@
                 del self.busy[next(iter(self.busy))]
 
     def on_sent(self, number: str | None) -> None:
+        """Restart the backoff of a busy number, so that one call at a time tries it."""
         if number in self.busy:
             self.busy[number] = self._context.now_ms + self.busy[number][1], self.busy[number][1]
--- a/canvasplank/policy/controller.py
+++ b/canvasplank/policy/controller.py
@@ -1,4 +1,4 @@
-"""The decisions about calls: whether, when and where to each is sent, and what it is answered."""
+"""The decisions about calls: whether, when and to which server each is sent, and its final answer."""
 
 from canvasplank import interface as api
 from canvasplank.policy.call_queue import MAX_QUEUED_CALLS, CallQueue, CallRecord
@@ -9,7 +9,7 @@
 
 
 class Controller:
-    """The decisions of one gateway."""
+    """Turns the events of one gateway into actions."""
 
     def __init__(self, settings: api.Settings, seed: int, budgets: api.BudgetDelay | None = None) -> None:
         self._settings = settings
@@ -19,14 +19,14 @@
         self._router = Router(self._context, self._queue, budgets)
         self._servers = self._router.servers
         self._calls = self._queue.calls
-        self._established: dict[str, CallRecord] = {}  # until they end
+        self._established: dict[str, CallRecord] = {}  # calls, from their answer until their end
 
     def learned_servers(self) -> list[api.LearnedServer]:
-        """What a new instance may start from."""
+        """Return what a new instance may use for its start."""
         return [server.learned() for server in self._servers.values()]
 
     def handle(self, now_ms: float, event: api.Event) -> list[api.Action]:
-        """Take one event, at a time in ms, and give the actions to carry out in their order."""
+        """Handle one event at a time in ms; return the actions to carry out, in this order."""
         self._context.start_event(now_ms)
         match event:
             case api.Call() if event.id not in self._calls and event.id not in self._established:
@@ -74,7 +74,8 @@
             self._wake_for_queue()
 
     def _wake_for_queue(self) -> None:
-        if self._queue.waiting:  # a server has room again: calls may leave, once the batch is read
+        """Request a check of the queue, as a server has room again; the rest of the batch is read first."""
+        if self._queue.waiting:
             self._context.wake_at(self._context.now_ms + self._context.tick_ms)
 
     def _on_ended(self, event: api.AttemptEnded) -> None:
@@ -82,7 +83,7 @@
         if call is not None and not call.is_in_flight(event):
             return
         established = self._established.pop(event.call_id, None) is not None
-        if call is not None and established and not event.finished:  # a cancel that crossed the answer
+        if call is not None and established and not event.finished:  # a cancel crossed the answer
             self._calls[event.call_id] = call
         if (server := self._servers.get(event.server_id)) is not None:
             server.on_ended(event)
@@ -104,14 +105,14 @@
             self._offer(call)
 
     def _refuse(self, call: CallRecord) -> None:
-        """Refuse it; callers who heed the wait are spread over its second half, not back together."""
+        """Refuse a call, with a random wait in the upper half, so that callers do not all retry at once."""
         self._queue.remove(call)
         wait_ms = self._settings.retry_after_max_ms
         spread_ms = wait_ms and wait_ms * self._context.rng.uniform(0.5, 1.0)
         self._context.actions.append(api.Refuse(call.request.id, spread_ms))
 
     def _check_all(self) -> None:
-        """Check what time alone changes: servers, overdue calls, then whatever may leave now."""
+        """Check what changes with time alone: servers, overdue attempts, then calls that may be sent now."""
         now_ms = self._context.now_ms
         next_ms = NEVER
         if now_ms > self._context.resumed_ms:
@@ -120,38 +121,43 @@
         for call in list(self._calls.values()):
             if call.server is not None:
                 next_ms = min(next_ms, self._check_attempt(call, call.server))
-        stuck: set[tuple[object, ...]] = set()
+        blocked: set[tuple[object, ...]] = set()
         for call in sorted(self._queue.waiting.values(), key=self._queue.rank, reverse=True):
-            kind = call.call_class.pools, call.request.tenant, call.attempts > 0  # budgets tell these apart
-            if kind in stuck and now_ms < call.deadline_ms:
+            # Pools and the fleet's budgets treat all calls with the same key alike, so where one finds no
+            # room, one of lower rank finds none either.
+            key = call.call_class.pools, call.request.tenant, call.attempts > 0
+            if key in blocked and now_ms < call.deadline_ms:
                 next_ms = min(next_ms, call.deadline_ms)
-            else:  # where a call found no room, one of lower rank finds none
+            else:
                 self._offer(call)
                 if now_ms >= call.not_before_ms and call.request.id in self._queue.waiting:
-                    stuck.add(kind)
+                    blocked.add(key)
         self._context.wake_at(next_ms)
 
     def _check_attempt(self, call: CallRecord, server: Server) -> float:
-        """Move a call that waits in vain; gives when to check again."""
+        """Cancel an attempt that will not be answered; return when to check again."""
         now_ms = self._context.now_ms
         settings = self._settings
         if now_ms >= call.deadline_ms:
             self._fail(call)
             return NEVER
         sent_ms = server.pending.get(call.request.id, now_ms)
-        # Exception (lost set-ups): one overtaken by a call that was established will not be answered.
+        # Exception (lost set-ups): a set-up sent before one that was established will not be answered.
         lost = sent_ms <= max(server.restart_seen_ms, server.established_sent_ms - 1)
         lost = lost or server.silence.silent or self._servers.get(server.entry.id) is not server
-        may_move = settings.cancel_allowed and not call.cancel_sent and call.attempts < settings.max_attempts
+        may_cancel = (
+            settings.cancel_allowed and not call.cancel_sent and call.attempts < settings.max_attempts
+        )
         in_time = now_ms + settings.rules.release_ms < call.deadline_ms
-        audible = (s for s in self._servers.values() if not s.silence.silent)
-        if lost and may_move and in_time and any(self._router.serves(s, call) for s in audible):
-            if now_ms < (moves_ms := sent_ms + self._context.harmful_wait_ms):
-                return min(moves_ms, call.deadline_ms)
+        responding = (s for s in self._servers.values() if not s.silence.silent)
+        if lost and may_cancel and in_time and any(self._router.serves(s, call) for s in responding):
+            if now_ms < (cancel_at_ms := sent_ms + self._context.harmful_wait_ms):
+                return min(cancel_at_ms, call.deadline_ms)
             self._cancel(call)
         return call.deadline_ms
 
-    def _fail(self, call: CallRecord) -> None:  # rule 1: the caller's time is nearly up
+    def _fail(self, call: CallRecord) -> None:
+        """Fail a call, shortly before its caller stops waiting (rule 1)."""
         if call.server is not None:
             self._cancel(call)
             call.server.pending.pop(call.request.id, None)
@@ -164,7 +170,7 @@
             self._context.actions.append(api.Cancel(call.request.id, call.attempts - 1))
 
     def _offer(self, call: CallRecord) -> None:
-        """What becomes of a call without an attempt in flight: an end, an attempt, or it waits for one."""
+        """Answer, send or queue a call that has no attempt in flight."""
         now_ms = self._context.now_ms
         attempts_left = self._settings.max_attempts - call.attempts
         if attempts_left <= 0 or self._queue.is_number_busy(call.request.number):
@@ -175,23 +181,23 @@
             self._queue.waiting.pop(call.request.id, None)
         else:
             self._queue.waiting[call.request.id] = call
-            room_ms = max(call.not_before_ms, self._router.room_at_ms(call))
-            self._context.wake_at(min(call.deadline_ms, room_ms))
+            next_offer_ms = max(call.not_before_ms, self._router.next_offer_at_ms(call))
+            self._context.wake_at(min(call.deadline_ms, next_offer_ms))
 
     def _gate(self, call: CallRecord, server: Server) -> bool:
-        """The one way out for a set-up; it checks the five rules whatever came before."""
+        """Send a set-up if the five rules allow it; return whether it was sent.  Nothing else sends one."""
         now_ms = self._context.now_ms
         call_id = call.request.id
         entry = server.entry
         if now_ms >= call.deadline_ms or self._calls.get(call_id) is not call:
-            return False  # 1: in time, and only while it is unanswered
+            return False  # 1: only in time, and while the call is unanswered
         if call.server is not None or call.attempts >= self._settings.max_attempts:  # 2: one at a time
             return False
         if self._servers.get(entry.id) is not server or entry.state is not api.ServerState.READY:
-            return False  # 3: drains
+            return False  # 3: only to a ready server of the list
         if server.slow_start.ready_at_ms() > now_ms or now_ms < call.not_before_ms:
-            return False  # 4: a cold server's budget; 5: release awaited
-        if self._router.budget_at_ms(server, call, take=True) > now_ms:  # what the whole fleet may
+            return False  # 4: the budget of a cold server; 5: only after the release
+        if self._router.budget_at_ms(server, call, take=True) > now_ms:  # the fleet's budgets
             return False
         server.on_sent(call_id)
         self._queue.on_sent(call.request.number)
--- a/canvasplank/policy/decision_context.py
+++ b/canvasplank/policy/decision_context.py
@@ -1,16 +1,16 @@
-"""What the collaborators share: settings, waits derived from them, time, random draws, actions, the timer."""
+"""State shared by the policy's classes: settings, derived waits, time, random draws, actions, the timer."""
 
 import random
 
 from canvasplank import interface as api
 from canvasplank.policy.leaky_bucket import NEVER
 
-CONGESTION_FRACTION = 0.5  # of the harmful wait: an answer that takes longer is a sign of congestion
-STALL_TICKS = 4  # a timer so late shows that this gateway stood still
+CONGESTION_FRACTION = 0.5  # of the harmful wait: a slower answer is a sign of congestion
+STALL_TICKS = 4  # a timer later than this shows that this gateway did not run meanwhile
 
 
 class DecisionContext:
-    """The time and the actions of the event in hand, and what outlives it."""
+    """Time and actions of the current event, and state that outlives it."""
 
     def __init__(self, settings: api.Settings, seed: int) -> None:
         self.settings = settings
@@ -18,9 +18,11 @@
         self.now_ms = 0.0
         self.resumed_ms = -1.0  # when a standstill of this gateway was last noticed
         self.actions: list[api.Action] = []
-        self.pool_reports: dict[int, tuple[float | None, float | None]] = {}  # last circuits and capacity
+        # The last reported circuits and capacity (set-ups/s) of a server in each pool.
+        self.pool_reports: dict[int, tuple[float | None, float | None]] = {}
         self.tick_ms = max(settings.tick_ms, 1.0)
         target_ms = min(c.target_ms for c in settings.classes)
+        # A longer wait harms a call: the set-up is sent again, or its target is missed.
         self.harmful_wait_ms = min(settings.resend_ms or target_ms, target_ms)
         self.congested_wait_ms = CONGESTION_FRACTION * self.harmful_wait_ms
         holds = [c.hold_ms for c in settings.classes if c.hold_ms is not None]
@@ -29,25 +31,26 @@
         self._wakeups = 0  # number of the current timer
 
     def start_event(self, now_ms: float) -> None:
-        """Start on an event; a clock that steps back stands still."""
+        """Start handling an event; where the clock steps back, time stands still."""
         self.now_ms = max(self.now_ms, now_ms)
         self.actions = []
         if self.now_ms > self._wakeup_ms + STALL_TICKS * self.tick_ms:
-            # Exception (standstill): what a batch brings after one is read whole before time counts.
+            # Exception (standstill): events that piled up are all read before any wait counts as too long.
             self.resumed_ms = self.now_ms
             self._wakeup_ms = NEVER
             self.wake_at(self.now_ms + self.tick_ms)
 
     def wake_at(self, at_ms: float) -> None:
-        """Check again at this time at the latest.  One timer counts; an earlier one takes its place."""
+        """Request a check at this time at the latest; only one timer is current, the earliest."""
         if at_ms < self._wakeup_ms:
             self._wakeup_ms = max(at_ms, self.now_ms + self.tick_ms)
             self._wakeups += 1
             self.actions.append(api.SetTimer(self._wakeup_ms - self.now_ms, f"look {self._wakeups}"))
 
     def take_timer(self, token: str) -> bool:
+        """Return whether the token is that of the current timer, which has then fired."""
         current = token == f"look {self._wakeups}"
-        self._wakeup_ms = NEVER if current else self._wakeup_ms  # it is spent now
+        self._wakeup_ms = NEVER if current else self._wakeup_ms
         return current
 
     def log(self, text: str) -> None:
--- a/canvasplank/policy/routing.py
+++ b/canvasplank/policy/routing.py
@@ -1,4 +1,4 @@
-"""The servers of the list, and the route rule: which of them may take a call now, and in which order."""
+"""The servers of the list, and the routing: which of them may take a call now, and in which order."""
 
 from collections.abc import Iterator
 
@@ -8,11 +8,11 @@
 from canvasplank.policy.leaky_bucket import SECOND_MS
 from canvasplank.policy.server import Server
 
-RANDOM_CHOICES = 2  # other servers drawn, of which the idler comes first
+RANDOM_CHOICES = 2  # servers drawn at random; the one with fewer pending set-ups is tried first
 
 
 class Router:
-    """Finds candidates for a call; it sends nothing itself."""
+    """Finds the candidate servers of a call; sends nothing itself."""
 
     def __init__(self, context: DecisionContext, queue: CallQueue, budgets: api.BudgetDelay | None) -> None:
         self._context = context
@@ -21,6 +21,7 @@
         self.servers: dict[str, Server] = {}
 
     def on_list(self, event: api.ServerList) -> None:
+        """Apply a server list or a change to it; a server absent from a complete list is removed."""
         for entry in event.servers:
             if entry.state is api.ServerState.GONE:
                 self.servers.pop(entry.id, None)
@@ -33,44 +34,51 @@
                 del self.servers[server_id]
 
     def candidates(self, call: CallRecord) -> Iterator[Server]:
-        """First choice while its bucket admits it, else the idler of two drawn at random."""
+        """Yield servers that admit the call: the preferred pool, then two at random, then one that failed.
+
+        Of the two at random the one with fewer pending set-ups comes first.  A call of the lowest weight is
+        offered to silent servers whose trial is due before all of these.
+        """
         serving = [s for s in self.servers.values() if self.serves(s, call)]
         if self._queue.threshold(call) <= self._queue.trial_threshold:  # Exception (silence): a trial
             yield from (s for s in serving if s.silence.is_trial_due())
         failed = [s for s in serving if s.entry.id == call.failed_server_id]  # Exception (failures): last
-        first = [s for s in serving if s.entry.pool == call.request.preferred_pool and s not in failed]
-        yield from (s for s in first if self._admits(s, call))
-        others = [s for s in serving if s not in first and s not in failed and self._admits(s, call)]
+        preferred = [s for s in serving if s.entry.pool == call.request.preferred_pool and s not in failed]
+        yield from (s for s in preferred if self._admits(s, call))
+        others = [s for s in serving if s not in preferred and s not in failed and self._admits(s, call)]
         yield from sorted(self._draw_two(others), key=lambda s: len(s.pending))
         yield from (s for s in failed if self._admits(s, call))
 
     def _draw_two(self, others: list[Server]) -> list[Server]:
+        """Draw two different servers at random."""
         if len(others) <= RANDOM_CHOICES:
             return others
-        choices = self._context.rng.choices  # Exception (fleet size): weighted by our part of each
+        choices = self._context.rng.choices  # Exception (fleet size): weighted by this gateway's share
         first = choices(others, [s.fleet_fraction() for s in others])[0]
         rest = [s for s in others if s is not first]
         return [first, choices(rest, [s.fleet_fraction() for s in rest])[0]]
 
     def serves(self, server: Server, call: CallRecord) -> bool:
+        """Return whether the server is ready and the call's class may use its pool."""
         pools = call.call_class.pools
         entry = server.entry
         return entry.state is api.ServerState.READY and (pools is None or entry.pool in pools)
 
     def _admits(self, server: Server, call: CallRecord) -> bool:
-        server.rate.settle()
+        server.rate.update()
         ready = not server.silence.silent and server.slow_start.ready_at_ms() <= self._context.now_ms
         admits = ready and server.rate.bucket.admits(self._queue.threshold(call))
         return admits and self.budget_at_ms(server, call) <= self._context.now_ms
 
     def budget_at_ms(self, server: Server, call: CallRecord, *, take: bool = False) -> float:
+        """Return when the fleet's budgets allow the attempt; ``take`` uses up their units if that is now."""
         budgets = self._budgets
         server_id = server.entry.id
         delay_ms = budgets(call.request, call.attempts, server_id, take) if budgets else 0.0
         return self._context.now_ms + delay_ms
 
-    def room_at_ms(self, call: CallRecord) -> float:
-        """When a server may next take a call that finds no room now, by time alone; rates grow meanwhile."""
+    def next_offer_at_ms(self, call: CallRecord) -> float:
+        """Return when to offer a waiting call again: within a second, since rates grow meanwhile."""
         at_ms = self._context.now_ms + SECOND_MS
         threshold = self._queue.threshold(call)
         for server in self.servers.values():
--- a/canvasplank/policy/server.py
+++ b/canvasplank/policy/server.py
@@ -1,4 +1,4 @@
-"""One server as this gateway knows it, with a collaborator each for rate control, slow start and silence."""
+"""One call server: its events, slow start and silence detection."""
 
 from __future__ import annotations
 
@@ -13,17 +13,21 @@
 BY_POOL = 0.6  # an earlier report of the server or its pool, and its age
 BY_REPORT = 0.8  # a fresh report of its own
 ANSWERS_MULTIPLE = 1.2  # of the answered rate: the budget is at least this
-REPORT_FRESH_MS = 2000.0  # so long a report counts as of now
-MASS_START_MS = 10_000.0  # where hundreds of gateways start at once, set-ups come evenly spaced for so long
+REPORT_FRESH_MS = 2000.0  # age up to which a report counts as current
+MASS_START_MS = 10_000.0  # duration of even spacing of set-ups where hundreds of gateways start at once
 
 # The time between two trials of a silent server, in harmful waits, doubles between these.
 INITIAL_TRIAL_BACKOFF = 2.0
 MAX_TRIAL_BACKOFF = 8.0
-RETURN_SLOW_START_MS = 5000.0  # the list is seconds late: so long may a return from silence be a fresh start
+# A server that answers again may have restarted; the server list shows that only seconds later.
+RETURN_SLOW_START_MS = 5000.0
 
 
 class Server(ServerObservations):
-    """What this gateway knows of one server; its events go to the collaborators in an order that matters."""
+    """Passes the events of one server to rate control, slow start and silence detection.
+
+    The order of the calls matters.
+    """
 
     def __init__(self, entry: api.Server, context: DecisionContext) -> None:
         super().__init__(entry, context)
@@ -34,31 +38,33 @@
         self.slow_start.start(entry.started_ms)
 
     def on_entry(self, entry: api.Server) -> None:
+        """Replace the list entry; a changed start time means a restart."""
         restarted = entry.started_ms != self.entry.started_ms
         self.entry = entry
-        if restarted:  # what waited there is lost and proves nothing
+        if restarted:  # set-ups that waited there are lost, which is no sign of silence
             self.answered_sent_ms = self.context.now_ms
             self.restart_seen_ms = self.context.now_ms
             self.silence.on_restart()
             self.slow_start.start(entry.started_ms)
 
     def on_warm_start_hint(self, hint: api.WarmStartHint) -> None:
-        if not self.answered_ms and not self.pending:  # Exception (learned start): only before any of our own
+        """Apply a running peer's knowledge of the server to its start values."""
+        if not self.answered_ms and not self.pending:  # Exception (learned start): before any of its own
             if hint.rate_per_s is not None:
                 self.rate.limit(hint.rate_per_s)
             if hint.eject:
-                self.silence.enter("a running peer saw it so")
+                self.silence.enter("reported by a running peer")
 
     def on_sent(self, call_id: str) -> None:
         self.silence.on_sent()
-        self.rate.settle()
+        self.rate.update()
         self.slow_start.bucket.add()
         self.rate.bucket.add()
         self.pending[call_id] = self.context.now_ms
         self.last_attempt_ms = self.context.now_ms
 
     def on_established(self, event: api.Established) -> None:
-        self.rate.settle()
+        self.rate.update()
         sent_ms = self.pending.pop(event.call_id)
         now_ms = self.context.now_ms
         self.silence.on_answer(sent_ms)
@@ -66,23 +72,23 @@
         self.answered_sent_ms = max(self.answered_sent_ms, sent_ms)
         self.established_sent_ms = max(self.established_sent_ms, sent_ms)
         oldest_ms = next(iter(self.pending.values()), NEVER)
-        if oldest_ms < self.established_sent_ms:  # it was overtaken: it is checked when its wait does harm
+        if oldest_ms < self.established_sent_ms:  # overtaken: check it once its wait does harm
             self.context.wake_at(max(now_ms, oldest_ms + self.context.harmful_wait_ms))
             if now_ms > oldest_ms + self.overdue_after_ms():
                 self._last_loss_ms = now_ms
-        if now_ms > self.context.resumed_ms:  # what is read on waking came some time before
+        if now_ms > self.context.resumed_ms:  # after a standstill the wait says nothing
             usual_ms = event.waited_ms if self.usual_delay_ms is None else self.usual_delay_ms
             self.usual_delay_ms = usual_ms + SMOOTHING_WEIGHT * (event.waited_ms - usual_ms)
             self.min_delay_ms = min(event.waited_ms, self.min_delay_ms or NEVER)
             was_slow = self.last_answer_slow
             self.last_answer_slow = event.waited_ms > self.overdue_after_ms()
-            if was_slow and self.last_answer_slow:  # cut to the answers before these two
+            if was_slow and self.last_answer_slow:  # to the rate without this answer
                 self.rate.cut(f"answers take {event.waited_ms:.0f} ms")
             self.rate.on_answer(sent_ms, event.waited_ms)
         self.answered_ms.append(now_ms)
 
     def on_ended(self, event: api.AttemptEnded) -> None:
-        self.rate.settle()
+        self.rate.update()
         sent_ms = self.pending.pop(event.call_id, None)
         if event.outcome in (api.Outcome.ENDED, api.Outcome.ERROR, api.Outcome.FULL):
             self.on_report(event.report)
@@ -95,12 +101,14 @@
         if event.outcome is api.Outcome.NO_CONNECTION:
             self.silence.enter("no connection")
 
-    def check(self) -> float:  # gives when to check again
+    def check(self) -> float:
+        """Check for overdue answers and silence; return when to check again."""
         rate_ms = self.rate.check(self.silence.silent)
         silent_ms = self.silence.check()
         return rate_ms if self.silence.silent else min(rate_ms, silent_ms)
 
     def learned(self) -> api.LearnedServer:
+        """Return what a new instance may use for its start."""
         rate = self.rate.bucket.rate if self.rate.bucket.rate < NEVER else None
         slow = (self.usual_delay_ms or 0.0) >= self.context.harmful_wait_ms
         silent = self.silence.silent
@@ -110,7 +118,7 @@
 
 
 class SlowStart:
-    """A bucket one set-up deep, which spaces what one server is sent."""
+    """Spaces the set-ups sent to one cold server with a bucket that holds one set-up."""
 
     def __init__(self, server: Server, dither: float) -> None:
         self._server = server
@@ -121,33 +129,37 @@
         self._paced_until_ms = -NEVER if mass_start is None else self._context.now_ms + MASS_START_MS
 
     def start(self, started_ms: float | None, span_ms: float = NEVER) -> None:
-        """From its start until it is surely warm, or did not start, a server has a budget."""
+        """Begin slow start for a server started at this time; it lasts until the server is surely warm.
+
+        ``span_ms`` shortens it where a restart is only suspected.
+        """
         if started_ms is None:
             return
         span_ms = min(span_ms, self._context.settings.rules.warm_within_ms)
         self.until_ms = max(self.until_ms, started_ms + span_ms)
         self._server.discard_before(started_ms)
         self.bucket.leak(self._context.now_ms)
-        self.bucket.fill = self._context.rng.random() * SPLASH  # all gateways hear of it at once
+        self.bucket.fill = self._context.rng.random() * SPLASH  # all gateways learn of the start at once
 
     def rate_per_s(self) -> float:
-        """What we may send a cold server each second: over all gateways, within the rule's multiple."""
+        """Return this gateway's set-ups a second to a cold server; all gateways together keep rule 4."""
         rules = self._context.settings.rules
         server = self._server
         now_ms = self._context.now_ms
-        warm = rules.cold_share  # the fraction of its capacity that it surely has
+        warm = rules.cold_share  # the fraction of its capacity that the server surely has
         if server.entry.started_ms is not None and rules.warm_within_ms > 0:
             age = min(1.0, max(0.0, (now_ms - server.entry.started_ms) / rules.warm_within_ms))
             warm = rules.cold_share + (1 - rules.cold_share) * age
         by_age = warm * (BY_CIRCUITS if server.capacity_per_s is None else BY_POOL)
         fraction = BY_REPORT if now_ms < server.capacity_reported_ms + REPORT_FRESH_MS else by_age
         by_share = fraction * rules.overload_multiple * (server.even_share_per_s() or 0.0)
-        answered = max(0.0, server.window_rate_per_s() - SECOND_MS / ANSWER_WINDOW_MS)  # one alone is chance
+        # One answer less than there were, as a single one may be chance.
+        answered = max(0.0, server.window_rate_per_s() - SECOND_MS / ANSWER_WINDOW_MS)
         by_answers = min(ANSWERS_MULTIPLE, rules.overload_multiple) * answered
         return max(MIN_RATE_PER_S / server.senders(), by_share, by_answers)
 
     def ready_at_ms(self) -> float:
-        """When the next set-up may go: spaced at a cold server and (Exception: mass start) at any."""
+        """Return when the next set-up may go: spaced at a cold server, and (Exception: mass start) at any."""
         now_ms = self._context.now_ms
         if max(self.until_ms, self._paced_until_ms) <= now_ms:
             return now_ms
@@ -157,7 +169,7 @@
 
 
 class SilenceDetection:
-    """Whether one server is silent, and when it may be tried again."""
+    """Decides whether one server is silent, and when a trial set-up may be sent to it."""
 
     def __init__(self, server: Server) -> None:
         self._server = server
@@ -168,23 +180,26 @@
         self._backoff = INITIAL_TRIAL_BACKOFF
 
     def enter(self, reason: str) -> None:
+        """Mark the server as silent."""
         if not self.silent:
             self.silent = True
             self.since_ms = self._context.now_ms
             self._schedule_trial()
-            self._context.log(f"server {self._server.entry.id}: taken for silent: {reason}")
+            self._context.log(f"server {self._server.entry.id}: silent: {reason}")
 
     def on_answer(self, sent_ms: float) -> None:
+        """End the silence; ``sent_ms`` is the send time of the answered set-up."""
         if self.silent:
             self.silent = False
             self._backoff = INITIAL_TRIAL_BACKOFF
-            if sent_ms >= self.since_ms + SECOND_MS:  # an answer to a trial may come from a fresh start
+            if sent_ms >= self.since_ms + SECOND_MS:  # an answer to a trial: it may have restarted
                 self._server.slow_start.start(self._context.now_ms, RETURN_SLOW_START_MS)
-            self._context.log(f"server {self._server.entry.id}: answers again")
-            self._context.wake_at(self._context.now_ms + self._context.tick_ms)  # others' calls can move here
+            self._context.log(f"server {self._server.entry.id}: responding again")
+            self._context.wake_at(self._context.now_ms + self._context.tick_ms)  # other calls can move here
 
     def on_restart(self) -> None:
-        self.silent = False  # slow start paces what takes its place, which needs no trial
+        """End the silence: slow start limits the restarted server, so it needs no trials."""
+        self.silent = False
 
     def is_trial_due(self) -> bool:
         return self.silent and self._context.now_ms >= self.next_trial_ms and not self._server.pending
@@ -195,13 +210,13 @@
             self._schedule_trial()
 
     def _schedule_trial(self) -> None:
-        """All gateways together try a silent server about as often as a few would, and not in step."""
+        """Set the next trial; a large fleet makes about as many as a few gateways, spread at random."""
         fraction = self._server.fleet_fraction()
         spread = 1.0 if fraction == 1.0 else self._context.rng.uniform(0.5, 1.5) / fraction
         self.next_trial_ms = self._context.now_ms + self._backoff * self._context.harmful_wait_ms * spread
 
     def check(self) -> float:
-        """Enter silence if nothing has come for too long; gives when that is."""
+        """Enter silence if nothing was received for too long; return when that is."""
         limit_ms = max(self._context.harmful_wait_ms, SILENCE_DELAYS * (self._server.usual_delay_ms or 0.0))
         silent_ms = max(self._server.oldest_unanswered_ms(), self._server.last_received_ms) + limit_ms
         if not self.silent and self._context.now_ms >= silent_ms:
