--- a/canvasplank/__init__.py
+++ b/canvasplank/__init__.py
@@ -1,1 +1,1 @@
-"""canvasplank: the decisions of a call controller in front of central servers whose processors run short."""
+"""A signalling proxy between callers and call servers, with overload control for the servers."""
--- a/canvasplank/interface.py
+++ b/canvasplank/interface.py
@@ -1,10 +1,10 @@
-"""The messages between a gateway and the controller: settings, events and actions.
+"""The interface between a gateway and the controller: settings, events and actions.
 
-Nothing here decides anything, and nothing here knows a wire format.  A gateway builds :class:`Settings` once,
-passes every event to ``Controller.handle(now_ms, event)`` and executes the actions that it returns, in order.
+This module makes no decisions and knows no wire format.  A gateway builds :class:`Settings` once, passes
+every event to ``Controller.handle(now_ms, event)`` and executes the returned actions in order.
 
-All times are milliseconds on one clock that never runs backwards.  Ids of calls and servers are opaque text
-and are returned unmodified.  An optional figure that is ``None`` is unknown, which is not the same as zero.
+All times are milliseconds on one monotonic clock.  Ids of calls and servers are opaque text, returned
+unmodified.  An optional value that is ``None`` is unknown, which is not the same as zero.
 """
 
 from __future__ import annotations
@@ -16,12 +16,12 @@
 
 
 class SettingsError(ValueError):
-    """A setting is missing or out of range; the message names it, by the configuration's key."""
+    """A setting is missing or out of range; the message names its configuration key."""
 
 
 def _require(holds: bool, name: str, value: object) -> None:
     if not holds:
-        raise SettingsError(f"setting {name!r} cannot be {value!r}")
+        raise SettingsError(f"invalid value for setting {name!r}: {value!r}")
 
 
 def _finite(value: object, low: float, *, above: bool = False) -> bool:
@@ -33,18 +33,18 @@
 class Outcome(enum.Enum):
     """How an attempt ended."""
 
-    ENDED = "ended"  # the call was established, and released in the ordinary way
+    ENDED = "ended"  # the call was established, and released normally
     ERROR = "error"  # the number is busy, or a signalling fault
     FULL = "full"  # rejected: the processor (or the pool) was full
     TIMED_OUT = "timed out"
     NO_CONNECTION = "no connection"
-    RESET = "reset"  # the set-up or the established call was cut
+    RESET = "reset"  # the set-up or the established call was cut off
     CANCELLED = "cancelled"
     NOT_SENT = "not sent"
 
 
 class ServerState(enum.Enum):
-    """The state of a server, by the server list."""
+    """The state of a server in the server list."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -52,11 +52,11 @@
 
 
 class ListKind(enum.Enum):
-    """How a server list relates to the list held so far."""
+    """How a server list relates to the previous one."""
 
     CHANGES = "changes"
     COMPLETE = "complete"
-    CACHED = "cached"  # complete, as this gateway last had it: possibly stale
+    CACHED = "cached"  # the complete list that this gateway last had; may be stale
 
 
 class ReportField(enum.Enum):
@@ -64,9 +64,9 @@
 
     UTILISATION = "utilisation"  # share of the processor that is busy
     QUEUE = "queue"  # set-ups waiting at the processor
-    WAIT_MS = "wait_ms"  # the wait at the processor
-    RATE_PER_S = "rate_per_s"  # new set-ups a second that it can take from all senders
-    HOLD_BACK = "hold_back"  # fraction of new set-ups that every sender is to withhold
+    WAIT_MS = "wait_ms"  # wait at the processor
+    RATE_PER_S = "rate_per_s"  # new set-ups a second that the server can take from all senders
+    HOLD_BACK = "hold_back"  # fraction of new set-ups that each sender should withhold
 
 
 class ReportSource(enum.Enum):
@@ -79,15 +79,15 @@
 
 @dataclass(frozen=True, slots=True)
 class CallClass:
-    """One class of call."""
+    """A class of calls: its time limits and its value."""
 
     name: str
     target_ms: float
     deadline_ms: float
     weight: float
-    late_weight: float  # share of the weight when the call is established after its target
-    pools: tuple[int, ...] | None = None  # pools it may go to; None: any
-    hold_ms: float | None = None  # how long its calls last on average
+    late_weight: float  # weight factor of a call established after its target
+    pools: tuple[int, ...] | None = None  # pools that its calls may use; None: any
+    hold_ms: float | None = None  # mean duration of its calls
 
     def __post_init__(self) -> None:
         _require(self.hold_ms is None or _finite(self.hold_ms, 0, above=True), "hold_ms", self.hold_ms)
@@ -110,15 +110,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Rules:
-    """The figures of the five rules."""
+    """Limits of the five rules."""
 
     release_ms: float
     drain_grace_ms: float
     answer_slack_ms: float
     cold_share: float
     warm_within_ms: float
-    overload_multiple: float  # of what it can do now: a cold server sent more for ...
-    overload_span_ms: float  # ... so long collapses
+    overload_multiple: float  # a cold server collapses if sent this multiple of its present capacity ...
+    overload_span_ms: float  # ... for this long
 
     def __post_init__(self) -> None:
         for name in ("release_ms", "drain_grace_ms", "answer_slack_ms", "warm_within_ms"):
@@ -134,17 +134,17 @@
 class Settings:
     """The settings of a controller.
 
-    What is reported and probed, and the grace and span of the rules, have no effect on decisions today
-    (``docs/design.md`` gives the reasons).  A gateway knows them and passes them, so that a decision that
-    comes to need them changes no gateway.
+    ``reports``, ``report_fields``, ``probes_allowed`` and the rules' ``drain_grace_ms`` and
+    ``overload_span_ms`` do not affect decisions at present (``docs/design.md`` gives the reasons).  Gateways
+    pass them so that they need no change once a decision uses them.
     """
 
-    instances: int  # gateways in this tier, this one among them
+    instances: int  # gateways in this tier, including this one
     classes: tuple[CallClass, ...]
     rules: Rules
     max_attempts: int
-    tick_ms: float  # events come no closer together than this
-    resend_ms: float | None = None  # a waiting set-up is repeated after this and then at doubling gaps
+    tick_ms: float  # least time between two events
+    resend_ms: float | None = None  # first interval of set-up retransmission; the next ones double
     tenants: tuple[Tenant, ...] = ()
     over_quota_weight: float = 1.0
     reports: ReportSource = ReportSource.NONE
@@ -176,9 +176,9 @@
     id: str
     pool: int
     state: ServerState
-    started_ms: float | None = None  # its latest start; None: long ago
-    senders: int | None = None  # gateways that share it, at the most; None: all
-    initial_rate_per_s: float | None = None  # this gateway's first rate there, set-ups/s; None: no bound
+    started_ms: float | None = None  # latest start; None: long ago
+    senders: int | None = None  # gateways that share it at most; None: all
+    initial_rate_per_s: float | None = None  # this gateway's first rate to it, set-ups/s; None: no bound
 
 
 @dataclass(frozen=True, slots=True)
@@ -191,21 +191,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Call:
-    """A call that this gateway has taken, and must give one final answer."""
+    """A call accepted by this gateway, which must give it one final answer."""
 
     id: str
     class_name: str
-    expires_ms: float  # when the caller abandons this attempt of its own
+    expires_ms: float  # when the caller stops waiting for this call
     preferred_pool: int
     tenant: str | None = None
     number: str | None = None  # the number called
-    redialled: bool = False  # the caller marks this as a retry
-    replaces_cut_call: bool = False  # it was established before and cut
+    redialled: bool = False  # the caller marked this call as a retry
+    replaces_cut_call: bool = False  # the call was established before and cut off
 
 
 @dataclass(frozen=True, slots=True)
 class Report:
-    """A server's load figures, late and noisy; None where a figure is not known."""
+    """Load report of a server; values are delayed and noisy, and None where unknown."""
 
     utilisation: float | None = None
     queue: float | None = None
@@ -226,22 +226,22 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptEnded:
-    """How an attempt ended; every set-up gets exactly one of these."""
+    """An attempt has ended; every set-up gets exactly one of these."""
 
     call_id: str
     attempt: int
     server_id: str
     outcome: Outcome
     finished: bool  # the call has ended; otherwise a final answer is still pending
-    processor_full: bool = False  # with FULL: it was the processor that was full
+    processor_full: bool = False  # with FULL: the processor was full, not the circuits
     number_busy: bool = False  # with ERROR: every line of the number called is busy
     report: Report | None = None
-    released_ms: float = 0.0  # by when its release had left, where that is later than this event's time
+    released_ms: float = 0.0  # send time of its release, where later than this event
 
 
 @dataclass(frozen=True, slots=True)
 class CallAbandoned:
-    """The caller has abandoned the call: no answer is pending any more."""
+    """The caller has abandoned the call, which needs no answer any more."""
 
     call_id: str
 
@@ -264,7 +264,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CircuitsReported:
-    """A server's free circuits and all its circuits, which it reports from time to time."""
+    """A server reported its free and total circuits."""
 
     server_id: str
     free: float
@@ -273,10 +273,10 @@
 
 @dataclass(frozen=True, slots=True)
 class WarmStartHint:
-    """What a running peer has learned of one server, weighted by age, for a new instance's start.
+    """What a running peer has learned about one server, weighted by age, for the start of a new instance.
 
-    A rate that is ``None`` was not learned, or is too old to count; ``eject``: the peer has found the server
-    slow or silent in the last seconds.  See ``canvasplank.warm_start``.
+    ``rate_per_s`` is ``None`` where not known or too old; ``eject`` means that the peer found the server slow
+    or silent in the last seconds.  See ``canvasplank.warm_start``.
     """
 
     server_id: str
@@ -286,18 +286,18 @@
 
 @dataclass(frozen=True, slots=True)
 class LearnedServer:
-    """What a controller has learned of a server, for the start of another instance."""
+    """What a controller has learned about a server, for the start of another instance."""
 
     server_id: str
     started_ms: float | None
-    rate_per_s: float | None  # None: not bounded
-    slow: bool  # its usual answer delay reaches that of silence
+    rate_per_s: float | None  # None: no bound
+    slow: bool  # its usual answer delay reaches the harmful wait
     silent: bool
-    observed_ms: float  # the latest observation behind these
+    observed_ms: float  # time of the latest observation used
 
 
-# How long an attempt must wait for fleet-wide budgets, in ms, by the call, the attempt's number, the server
-# and whether to take the budgets' units.  0: it may be sent now, and its units are taken if so requested.
+# Returns how long (ms) an attempt must wait for fleet-wide budgets, from the call, the attempt's number, the
+# server id and whether to take the budgets' units.  0: send now; the units are taken if requested.
 BudgetDelay = Callable[[Call, int, str, bool], float]
 
 Event = (
@@ -318,7 +318,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SetUp:
-    """Send the call to a server; attempts of a call are numbered 0, 1, 2 ... in the order of these."""
+    """Send the call to a server; each set-up of a call is an attempt, numbered 0, 1, 2 ... in order."""
 
     call_id: str
     server_id: str
@@ -327,7 +327,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Cancel:
-    """Stop waiting for an attempt."""
+    """Cancel an attempt."""
 
     call_id: str
     attempt: int
@@ -335,7 +335,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Refuse:
-    """Final answer: refused.  The caller may retry, after ``retry_after_ms`` where that is given."""
+    """Final answer: refused.  The caller may retry after ``retry_after_ms``, if given."""
 
     call_id: str
     retry_after_ms: float | None = None
@@ -350,7 +350,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
-    """Request :class:`TimerFired` after a delay."""
+    """Request a :class:`TimerFired` event after a delay."""
 
     after_ms: float
     token: str
@@ -365,7 +365,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Log:
-    """A line for the operators."""
+    """A log line for the operators."""
 
     text: str
 
