--- a/canvasplank/simulator_adapter.py
+++ b/canvasplank/simulator_adapter.py
@@ -1,7 +1,7 @@
-"""The simulator's adapter: many controllers behind its JSON lines on standard input and output.
+"""Adapter to the simulator: many controllers, driven by JSON lines on standard input and output.
 
-It frames messages, maps them to and from :mod:`canvasplank.interface`, and flushes.  It decides nothing.  A
-broken frame ends it with one line on standard error and exit status 2.
+It maps messages to and from :mod:`canvasplank.interface` and makes no decisions.  A malformed frame ends the
+process with one line on standard error and exit status 2.
 """
 
 from __future__ import annotations
@@ -43,7 +43,7 @@
 }
 # Bits of a request's flags.
 _REDIALLED = 2
-_WAS_CUT = 16
+_REPLACES_CUT_CALL = 16
 # A note holds a reason in its low bits, and may hold the wait at the processor (ms) above them.
 _NOTE_BITS = 4
 _NOTE_MASK = 15
@@ -52,45 +52,45 @@
 
 
 class WireError(Exception):
-    """The other side broke the framing, or named something that it never introduced."""
+    """The simulator sent a malformed frame, or an unknown message or instance."""
 
 
 @dataclass(frozen=True, slots=True)
 class _Instance:
-    """One controller, and what reads the load figures of its deployment."""
+    """One controller, and the reader for the load reports of its deployment."""
 
     controller: Controller
-    columns: tuple[str, ...]
+    report_columns: tuple[str, ...]
     load_reports: LoadReportReader
 
 
 class ControllerHost:
-    """Many controllers, with nothing in common, behind one wire."""
+    """Independent controllers on one connection."""
 
     def __init__(self) -> None:
         self._instances: dict[int, _Instance] = {}
         self._lists: dict[int, tuple[api.Server, ...]] = {}
         self._readers: dict[str, Callable[[list[Any]], api.Event | None]] = {
-            "update": self._update,
-            "request": self._request,
+            "update": self._read_update,
+            "request": self._read_request,
             "head_received": lambda m: api.Established(m[2], m[3], m[5], m[4]),
-            "settled": self._settled,
+            "settled": self._read_settled,
             "hangup": lambda m: api.CallAbandoned(m[2]),
             "ring": lambda m: api.TimerFired(m[2]),
-            "echo": self._echo,
+            "echo": self._read_echo,
             "peer": lambda m: None,
         }
 
-    def batch(self, now_ms: float, messages: list[list[Any]]) -> Iterator[list[Any]]:
-        """Handle the events of one batch, and give back the actions, in the wire's form.
+    def handle_batch(self, now_ms: float, messages: list[list[Any]]) -> Iterator[list[Any]]:
+        """Handle the events of one batch; yield the actions as messages.
 
-        Raises ``WireError`` for a message or an instance that is unknown.
+        Raises ``WireError`` for an unknown message or instance.
         """
         for message in messages:
             name = message[0]
             instance = message[1]
             if name == "sheet":
-                self._lists[instance] = tuple(self._entry(entry) for entry in message[2])
+                self._lists[instance] = tuple(self._read_server(entry) for entry in message[2])
                 continue
             try:
                 if name == "configure":
@@ -101,8 +101,8 @@
                     continue
                 controller = self._instances[instance].controller
                 reader = self._readers[name]
-            except KeyError as unknown:
-                raise WireError(f"{name!r} for instance {instance!r}: unknown {unknown.args[0]!r}") from None
+            except KeyError as error:
+                raise WireError(f"{name!r} for instance {instance!r}: unknown {error.args[0]!r}") from None
             except api.SettingsError as error:
                 yield ["give_in", instance, str(error)]
                 continue
@@ -111,9 +111,9 @@
     def _configure(self, message: list[Any]) -> None:
         _, instance, seed, options = message
         settings = read_settings(options)
-        columns = tuple(options["load_report"]["names"])
+        report_columns = tuple(options["load_report"]["names"])
         load_reports = read_load_report_reader(options)
-        self._instances[instance] = _Instance(Controller(settings, seed), columns, load_reports)
+        self._instances[instance] = _Instance(Controller(settings, seed), report_columns, load_reports)
 
     def _handle(
         self,
@@ -128,36 +128,36 @@
         name, instance = message[:2]
         try:
             actions = controller.handle(now_ms, event)
-        except Exception as error:  # the wire has a message for a module that failed, with the cause
+        except Exception as error:  # reported to the simulator, with its cause
             yield ["give_in", instance, f"{type(error).__name__} on {name}: {error}"]
             return
         for action in actions:
             yield _encode(instance, action)
 
-    def _entry(self, entry: list[Any]) -> api.Server:
-        server, _zone, _kind, pool, phase, _units, born = entry
-        return api.Server(server, pool, _STATES[phase], reported_or_none(born) or None)
+    def _read_server(self, entry: list[Any]) -> api.Server:
+        server, _zone, _kind, pool, state, _units, started_ms = entry
+        return api.Server(server, pool, _STATES[state], reported_or_none(started_ms) or None)
 
-    def _update(self, message: list[Any]) -> api.Event | None:
+    def _read_update(self, message: list[Any]) -> api.Event | None:
         if message[3] == "failed":
             return None
         return api.ServerList(_LIST_KINDS[message[3]], self._lists[message[2]])
 
-    def _request(self, message: list[Any]) -> api.Event:
-        _, _, call, gives_up, _units, flags, _cost, _advice, number, tenant, class_name, pool = message
+    def _read_request(self, message: list[Any]) -> api.Event:
+        _, _, call, expires_ms, _units, flags, _cost, _advice, number, tenant, class_name, pool = message
         flags = flags or 0
         return api.Call(
             id=call,
             class_name=class_name,
-            expires_ms=gives_up,
+            expires_ms=expires_ms,
             preferred_pool=pool,
             tenant=tenant or None,
             number=number,
             redialled=bool(flags & _REDIALLED),
-            replaces_cut_call=bool(flags & _WAS_CUT),
+            replaces_cut_call=bool(flags & _REPLACES_CUT_CALL),
         )
 
-    def _settled(self, message: list[Any]) -> api.Event:
+    def _read_settled(self, message: list[Any]) -> api.Event:
         _, instance, call, attempt, server, code, _waited, finished, note, row = message
         reason = (note or 0) & _NOTE_MASK
         wait_ms = (note or 0) >> _NOTE_BITS
@@ -169,25 +169,25 @@
             finished=bool(finished),
             processor_full=code == "FULL" and reason == _NOTE_PROCESSOR_FULL,
             number_busy=code == "BAD" and reason == _NOTE_NUMBER_BUSY,
-            report=self._report(instance, row, wait_ms or None),
+            report=self._read_report(instance, row, wait_ms or None),
         )
 
-    def _echo(self, message: list[Any]) -> api.Event | None:
-        """The answer to a probe, or the free circuits, which come unasked and in no time."""
+    def _read_echo(self, message: list[Any]) -> api.Event | None:
+        """Read an answer to a probe, or a report of circuits, which comes unsolicited and without a wait."""
         _, instance, server, code, waited, row = message
-        report = self._report(instance, row)
+        report = self._read_report(instance, row)
         if waited or report is not None or code != "GOOD":
             return api.ProbeAnswered(server, code == "GOOD", report)
-        circuits = self._instances[instance].load_reports.circuits(self._reported(instance, row))
+        circuits = self._instances[instance].load_reports.circuits(self._report_values(instance, row))
         return None if circuits is None else api.CircuitsReported(server, *circuits)
 
-    def _reported(self, instance: int, row: list[float | None] | None) -> dict[str, float | None]:
-        return dict(zip(self._instances[instance].columns, row or (), strict=False))
+    def _report_values(self, instance: int, row: list[float | None] | None) -> dict[str, float | None]:
+        return dict(zip(self._instances[instance].report_columns, row or (), strict=False))
 
-    def _report(
+    def _read_report(
         self, instance: int, row: list[float | None] | None, wait_ms: float | None = None
     ) -> api.Report | None:
-        return self._instances[instance].load_reports.report(self._reported(instance, row), wait_ms)
+        return self._instances[instance].load_reports.report(self._report_values(instance, row), wait_ms)
 
 
 def _encode(instance: int, action: api.Action) -> list[Any]:
@@ -209,15 +209,15 @@
 
 
 def _read_batch(lines: Iterator[str]) -> tuple[float, int, list[list[Any]]] | None:
-    """The next batch, or None at the end of input between two batches."""
+    """Read the next batch; return None at the end of input between two batches."""
     first = next(lines, None)
     if first is None:
         return None
     match _parse(first):
         case ["sync", int() | float() as now_ms, int() as number]:
             messages: list[list[Any]] = []
-        case opening:
-            raise WireError(f"a batch begins with 'sync', its time and its number, not with {opening!r}")
+        case other:
+            raise WireError(f"expected 'sync' with the time and number of a batch, got {other!r}")
     for line in lines:
         message = _parse(line)
         if message[0] == "end":
@@ -236,20 +236,20 @@
     return message
 
 
-def serve(source: TextIO, sink: TextIO) -> None:
-    """Answer batches until the input ends."""
+def serve(input_stream: TextIO, output_stream: TextIO) -> None:
+    """Answer the batches read from ``input_stream`` on ``output_stream`` until the input ends."""
     host = ControllerHost()
-    lines = iter(source)
+    lines = iter(input_stream)
     while (batch := _read_batch(lines)) is not None:
         now_ms, number, messages = batch
-        reply = list(host.batch(now_ms, messages))
+        reply = list(host.handle_batch(now_ms, messages))
         reply.append(["finished", number])
-        sink.write("".join(json.dumps(line, separators=(",", ":")) + "\n" for line in reply))
-        sink.flush()
+        output_stream.write("".join(json.dumps(line, separators=(",", ":")) + "\n" for line in reply))
+        output_stream.flush()
 
 
 def main() -> int:
-    """Run on standard input and output."""
+    """Run on standard input and output; return the exit status."""
     try:
         serve(sys.stdin, sys.stdout)
     except (WireError, LookupError, TypeError, ValueError) as error:
--- a/tests/test_simulator_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -123,7 +123,7 @@
 def decode(*messages):
     """The events that a ``ControllerHost`` reads from the messages of one instance."""
     host = simulator_adapter.ControllerHost()
-    list(host.batch(100.0, [["configure", 0, 7, OPTIONS]]))
+    list(host.handle_batch(100.0, [["configure", 0, 7, OPTIONS]]))
     return [host._readers[message[0]](message) for message in messages]
 
 
