--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""A small gateway around one controller: what the tests say things with."""
+"""A simulated gateway around one controller, and settings and servers that the tests share."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 pytest_plugins = ("pytester",)
 KNOWN_RED_OPTION = "--known-red"
 
-hypothesis.settings.register_profile("without deadline", deadline=None)  # no test depends on speed
+hypothesis.settings.register_profile("without deadline", deadline=None)  # tests do not depend on speed
 hypothesis.settings.load_profile("without deadline")
 
 
@@ -51,7 +51,10 @@
 
 
 class Gateway:
-    """Feeds events to a controller, keeps its timers, and remembers what it asked for."""
+    """Passes events to a controller, runs its timers, and records its actions.
+
+    All times are ms on the clock ``now``.
+    """
 
     def __init__(
         self, settings: api.Settings = SETTINGS, seed: int = 1, budgets: api.BudgetDelay | None = None
@@ -62,7 +65,7 @@
         self.action_log: list[tuple[float, api.Action]] = []
         self.calls = 0
         self.attempts: dict[str, int] = {}
-        self.answer_delays_ms: dict[str, float] = {}  # servers that answer by themselves, and after how long
+        self.answer_delays_ms: dict[str, float] = {}  # servers that answer set-ups automatically: delay
         self.due: list[tuple[float, str, str]] = []
 
     def handle(self, event: api.Event) -> list[api.Action]:
@@ -79,7 +82,7 @@
         return actions
 
     def advance_to(self, when: float) -> list[api.Action]:
-        """Let time pass, with the timers and the answers of live servers that come due."""
+        """Advance the clock, with the timers and automatic answers due until then; return all actions."""
         out: list[api.Action] = []
         while (pending := [*self.timers, *self.due]) and min(pending)[0] <= when:
             due = min(pending)
@@ -115,7 +118,7 @@
     def serve_calls(
         self, server: str, first: int, count: int, gap_ms: float = 250, waited_ms: float = 40
     ) -> None:
-        """Calls that a server answers as it should."""
+        """Make ``count`` calls that the server answers after ``waited_ms``."""
         self.answer_delays_ms[server] = waited_ms
         for _ in range(count):
             self.call(first=first)
@@ -145,7 +148,7 @@
 
 @pytest.fixture
 def gateway() -> Gateway:
-    """A gateway with two warm servers, a for pool 0 and b for pool 1."""
+    """A gateway with two warm servers: a in pool 0, b in pool 1."""
     g = Gateway()
     g.servers(ready("a", 0), ready("b", 1))
     g.advance_to(10)
--- a/tests/policy_helpers.py
+++ b/tests/policy_helpers.py
@@ -1,4 +1,4 @@
-"""Helpers that several tests of the decisions share."""
+"""Helpers shared by the tests of the policy."""
 
 from __future__ import annotations
 
--- a/tests/test_gate.py
+++ b/tests/test_gate.py
@@ -1,4 +1,4 @@
-"""The gate by itself: each of the five rules is checked there, whatever the code before it let through."""
+"""The gate alone: it checks each of the five rules, even where earlier code has already checked them."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 
 
 @pytest.fixture
-def held():
-    """A gateway that holds a call which no server could take, and a server that has just become ready."""
+def queued_call():
+    """A controller with a queued call, and a server that has become ready unnoticed."""
     g = Gateway()
     call_id, _ = g.call()
     controller = g.controller
@@ -24,29 +24,29 @@
 
 def sends(controller, call, server) -> bool:
     controller._context.actions = []
-    opened = controller._gate(call, server)
-    assert opened == any(isinstance(a, api.SetUp) for a in controller._context.actions)
-    return opened
+    sent = controller._gate(call, server)
+    assert sent == any(isinstance(a, api.SetUp) for a in controller._context.actions)
+    return sent
 
 
-def test_it_opens_when_every_rule_holds(held):
-    assert sends(*held)
+def test_gate_sends_when_every_rule_holds(queued_call):
+    assert sends(*queued_call)
 
 
-@pytest.mark.parametrize("late", ["time is up", "no longer owed"])
-def test_1_in_time_and_only_while_unanswered(held, late):
-    controller, call, server = held
-    if late == "time is up":
+@pytest.mark.parametrize("cause", ["deadline passed", "already answered"])
+def test_1_in_time_and_only_while_unanswered(queued_call, cause):
+    controller, call, server = queued_call
+    if cause == "deadline passed":
         controller._context.now_ms = call.request.expires_ms - 1
     else:
         del controller._calls[call.request.id]
     assert not sends(controller, call, server)
 
 
-@pytest.mark.parametrize("spent", [False, True])
-def test_2_one_attempt_at_a_time_and_no_more_than_allowed(held, spent):
-    controller, call, server = held
-    if spent:
+@pytest.mark.parametrize("attempts_used_up", [False, True])
+def test_2_one_attempt_at_a_time_and_no_more_than_allowed(queued_call, attempts_used_up):
+    controller, call, server = queued_call
+    if attempts_used_up:
         call.attempts = SETTINGS.max_attempts
     else:
         call.server = server
@@ -54,9 +54,9 @@
 
 
 @pytest.mark.parametrize("state", [api.ServerState.DRAINING, api.ServerState.GONE, None])
-def test_3_nothing_to_a_server_that_drains_or_is_gone(held, state):
-    controller, call, server = held
-    if state is None:  # gone, and another server of that id came in its place
+def test_3_nothing_to_a_server_that_drains_or_is_gone(queued_call, state):
+    controller, call, server = queued_call
+    if state is None:  # replaced by another server with the same id
         controller._servers["a"] = object()
     else:
         server.entry = replace(server.entry, state=state)
@@ -69,14 +69,14 @@
     g.servers(ready("a", 0, started_ms=0.0))
     controller = g.controller
     server, call = controller._servers["a"], controller._calls[call_id]
-    assert not call.server, "its first set-up waits for its turn"
+    assert not call.server, "the first set-up to a cold server is delayed"
     server.slow_start.bucket.fill = 1.0
     assert not sends(controller, call, server)
     server.slow_start.bucket.fill = 0.0
     assert sends(controller, call, server)
 
 
-def test_5_release_awaited(held):
-    controller, call, server = held
+def test_5_release_awaited(queued_call):
+    controller, call, server = queued_call
     call.not_before_ms = controller._context.now_ms + 1
     assert not sends(controller, call, server)
--- a/tests/test_policy_calls.py
+++ b/tests/test_policy_calls.py
@@ -1,4 +1,4 @@
-"""Where calls go, what failures and odd events do, and what is remembered of calls."""
+"""Routing of calls, failures, unexpected events, and the state kept about calls."""
 
 from __future__ import annotations
 
@@ -12,9 +12,9 @@
 
 
 class TestRoute:
-    """First choice, then the idler of two others."""
+    """A server of the preferred pool, then the one with fewer pending set-ups of two others."""
 
-    def test_first_choice_while_it_admits(self, gateway):
+    def test_preferred_pool_while_it_admits(self, gateway):
         for first, server in ((0, "a"), (1, "b"), (0, "a")):
             assert sent_to(gateway.call(first=first)[1]) == [server]
 
@@ -23,7 +23,7 @@
         g.servers(ready("a", 0), ready("b", 1))
         assert sent_to(g.call("b-only", first=0)[1]) == ["b"]
 
-    def test_of_two_others_the_one_with_fewer_unanswered(self):
+    def test_of_two_others_the_one_with_fewer_pending_set_ups(self):
         g = Gateway()
         g.servers(draining("a", 0), ready("b", 1), ready("c", 2))
         for _ in range(2):
@@ -31,16 +31,16 @@
             g.advance_to(g.now + 50)
         assert sent_to(g.call(first=0)[1]) == ["c"]
 
-    def test_a_full_first_choice_gives_way_at_once(self, gateway):
+    def test_a_full_server_is_passed_over_at_once(self, gateway):
         call_id, _ = gateway.call(first=0)
         gateway.advance_to(100)
         assert sent_to(gateway.full(call_id, "a")) in (["a"], ["b"])
         sent = [sent_to(gateway.call(first=0)[1]) for _ in range(6)]
-        assert ["b"] in sent, "a cut bucket passes the rest on to the other server"
+        assert ["b"] in sent, "calls that the cut bucket does not admit go to the other server"
 
 
 class TestFailures:
-    """Found in incidents: servers that fail set-ups fast, all of them or a part."""
+    """Guards against incidents with servers that quickly fail all or some set-ups."""
 
     @pytest.mark.parametrize("outcome", [Outcome.ERROR, Outcome.NO_CONNECTION])
     def test_another_server_comes_first_and_the_same_one_last(self, gateway, outcome):
@@ -50,7 +50,7 @@
         if outcome is Outcome.ERROR:
             assert sent_to(gateway.end(call_id, "b", outcome)) == ["a"]
 
-    def test_a_failure_without_work_takes_no_room_in_the_bucket(self, gateway):
+    def test_a_failure_without_work_does_not_fill_the_bucket(self, gateway):
         bucket = gateway.controller._servers["a"].rate.bucket
         for outcome, left in ((Outcome.ERROR, 0.0), (Outcome.RESET, leaky_bucket.SPLASH)):
             bucket.rate, bucket.fill = rate_control.MIN_RATE_PER_S, 0.0
@@ -59,7 +59,7 @@
             assert bucket.fill == pytest.approx(left, abs=0.01)
 
     def test_no_free_circuit_cuts_as_a_full_processor_does(self, gateway):
-        """Without it every call knocked at a server without lines, most of them in vain."""
+        """Otherwise every call tried a server without free circuits, most of them in vain."""
         call_id, _ = gateway.call(first=0)
         gateway.end(call_id, "a", Outcome.FULL, processor_full=False)
         assert gateway.controller._servers["a"].rate.bucket.rate == rate_control.MIN_RATE_PER_S
@@ -88,8 +88,8 @@
         assert answers(g.end(call_id, "a", Outcome.ERROR)) == [api.Refuse(call_id, None)]
 
 
-class TestOddEvents:
-    """Events out of place, and what is remembered."""
+class TestUnexpectedEvents:
+    """Events out of place, and the state kept."""
 
     def test_events_about_unknown_calls_and_servers_are_ignored(self, gateway):
         for event in (
@@ -102,21 +102,21 @@
         ):
             assert not [a for a in gateway.handle(event) if not isinstance(a, api.SetTimer)]
 
-    def test_an_outcome_reported_twice_frees_no_call_for_a_second_attempt(self, gateway):
+    def test_an_outcome_reported_twice_starts_no_second_attempt(self, gateway):
         call_id, _ = gateway.call(first=0)
         first = api.AttemptEnded(call_id, 0, "a", Outcome.ERROR, finished=False)
         assert sent_to(gateway.handle(first)) == ["b"]
         assert not sent_to(gateway.handle(first))
         gateway.handle(api.Established(call_id, 0, "a", 10))
-        assert call_id in gateway.controller._calls, "an answer to an attempt that ended is no answer"
+        assert call_id in gateway.controller._calls, "an answer to an ended attempt is ignored"
 
-    def test_a_served_call_is_not_remembered_as_unserved(self, gateway):
+    def test_a_served_call_is_not_remembered_for_a_redial(self, gateway):
         call_id, _ = gateway.call(first=0, number="7")
         gateway.answer(call_id, "a")
         gateway.end(call_id, "a", Outcome.ENDED, finished=True)
         assert not gateway.controller._queue.redials
 
-    def test_calls_at_a_server_that_is_gone_move_on(self, gateway):
+    def test_calls_at_a_removed_server_move_to_another(self, gateway):
         call_id, _ = gateway.call(first=0)
         gateway.servers(gone("a", 0), kind=api.ListKind.CHANGES)
         seen = gateway.advance_to(gateway.now + 700)
@@ -169,11 +169,11 @@
         assert run(3) != run(4)
 
 
-class TestHurriedCallers:
-    """Found on sockets: of callers who wait 100 ms, most were failed 27 ms early, and so got no answer."""
+class TestShortDeadlines:
+    """Most callers that wait only 100 ms were failed 27 ms early, before an answer could arrive."""
 
     @pytest.mark.parametrize(("wait_ms", "fails_ms"), [(100, 80), (3000, 2965)])
-    def test_a_short_wait_is_used_except_its_last_tenth(self, gateway, wait_ms, fails_ms):
+    def test_a_short_wait_is_used_up_to_its_last_tenth(self, gateway, wait_ms, fails_ms):
         started_at_ms = gateway.now
         gateway.call(first=0, expires_ms=started_at_ms + wait_ms)
         gateway.advance_to(started_at_ms + wait_ms)
@@ -182,8 +182,8 @@
         ]
 
 
-class TestIdleWork:
-    """What a gateway does when nothing is due: nothing."""
+class TestIdle:
+    """A gateway with nothing to do sets no timers."""
 
     def test_an_idle_gateway_sets_no_timer(self, gateway):
         gateway.serve_calls("a", 0, 3)
@@ -194,15 +194,15 @@
         assert not gateway.timers
         assert sum(isinstance(a, api.SetTimer) for _, a in gateway.action_log) == before
 
-    def test_queued_calls_wait_for_the_next_capacity_not_for_the_clock(self):
+    def test_queued_calls_set_few_timers(self):
         g = Gateway()
         for _ in range(50):
             g.call(expires_ms=10_000)
         g.advance_to(9000)
         assert sum(isinstance(a, api.SetTimer) for _, a in g.action_log) <= 12
 
-    def test_the_memory_of_redials_is_in_the_order_of_the_notes(self):
-        """A redial is noted anew with its old first try; what was noted first still goes first."""
+    def test_redials_are_kept_in_the_order_of_their_last_entry(self):
+        """A redial moves to the end but keeps its first attempt's time; the oldest entry is removed first."""
         g = Gateway()
         for number in ("1", "2", "1", "3"):
             g.call(number=number, expires_ms=g.now)
@@ -216,18 +216,18 @@
         assert [key for key, _ in unserved] == ["3", "4"]
 
 
-class TestOddInputs:
-    """What a gateway of the users' own may bring."""
+class TestUnusualInputs:
+    """Inputs that are legal but unusual."""
 
     def test_a_server_listed_twice_is_one_server_as_last_listed(self):
         g = Gateway()
         g.servers(ready("a", 0), api.Server("a", 0, api.ServerState.DRAINING))
         assert not sent_to(g.call()[1])
 
-    def test_a_first_choice_that_no_server_has(self, gateway):
+    def test_a_preferred_pool_without_servers(self, gateway):
         assert len(sent_to(gateway.call(first=99)[1])) == 1
 
-    def test_a_start_in_the_future_is_a_cold_server(self, gateway):
+    def test_a_server_with_a_start_in_the_future_is_cold(self, gateway):
         gateway.servers(ready("a", 0, started_ms=gateway.now + 5000), kind=api.ListKind.CHANGES)
         sent = []
         for _ in range(20):
@@ -235,7 +235,7 @@
             gateway.advance_to(gateway.now + 50)
         assert sent.count("a") <= 1
 
-    def test_an_outcome_of_a_server_that_has_left(self, gateway):
+    def test_an_outcome_from_a_removed_server(self, gateway):
         call_id, _ = gateway.call(first=0)
         gateway.servers(ready("b", 1))
         assert sent_to(gateway.end(call_id, "a", Outcome.ERROR)) == ["b"]
--- a/tests/test_policy_rules.py
+++ b/tests/test_policy_rules.py
@@ -1,4 +1,4 @@
-"""The five rules case by case (1, 2, 3 and 5), and settings that cannot be."""
+"""Rules 1, 2, 3 and 5 case by case, and invalid settings."""
 
 from __future__ import annotations
 
@@ -14,9 +14,9 @@
 class TestRules:
     """The five rules, by number."""
 
-    def test_1_final_answer_before_the_time_is_up(self, gateway):
-        held = Gateway()
-        for g in (gateway, held):
+    def test_1_final_answer_before_the_deadline(self, gateway):
+        without_servers = Gateway()
+        for g in (gateway, without_servers):
             call_id, _ = g.call(expires_ms=g.now + 1000)
             due = g.now + 1000
             g.advance_to(due + 500)
@@ -29,7 +29,7 @@
         assert [a.call_id for a in answers(actions)] == [call_id]
 
     def test_1_after_a_cancel_that_crossed_the_answer_a_final_answer_is_pending(self, gateway):
-        """Found by the drill: the call was established, then came back as cancelled and unfinished."""
+        """A call that was established came back as cancelled and unfinished, and got no final answer."""
         call_id, _ = gateway.call()
         gateway.advance_to(50)
         gateway.answer(call_id, "a")
@@ -49,7 +49,7 @@
         assert gateway.attempts[call_id] + 1 <= SETTINGS.max_attempts
 
     @pytest.mark.parametrize("reported", [draining("a", 0), gone("a", 0)])
-    def test_3_nothing_new_once_the_list_says_so(self, gateway, reported):
+    def test_3_no_set_up_to_a_server_listed_as_draining_or_gone(self, gateway, reported):
         gateway.servers(reported, kind=api.ListKind.CHANGES)
         for _ in range(3):
             assert sent_to(gateway.call(first=0)[1]) == ["b"]
@@ -68,14 +68,14 @@
         assert len(sent_to(gateway.advance_to(100 + RULES.release_ms + 100))) == 1
 
     @pytest.mark.parametrize("outcome", [Outcome.FULL, Outcome.ERROR, Outcome.NO_CONNECTION])
-    def test_5_others_need_no_wait(self, gateway, outcome):
+    def test_5_other_outcomes_need_no_wait(self, gateway, outcome):
         call_id, _ = gateway.call()
         gateway.advance_to(100)
         assert len(sent_to(gateway.end(call_id, "a", outcome))) == 1
 
 
 class TestSettings:
-    """Settings that cannot be."""
+    """Invalid settings."""
 
     @pytest.mark.parametrize(
         ("change", "name"),
@@ -90,11 +90,11 @@
             ({"over_quota_weight": None}, "over_quota_worth"),
         ],
     )
-    def test_what_cannot_be_is_named(self, change, name):
+    def test_an_invalid_setting_is_named(self, change, name):
         with pytest.raises(api.SettingsError, match=name):
             settings(**change)
 
-    def test_rules_and_classes_too(self):
+    def test_invalid_rules_and_classes_are_named(self):
         with pytest.raises(api.SettingsError, match="cold_share"):
             api.Rules(1, 1, 1, 0, 1, 1, 1)
         with pytest.raises(api.SettingsError, match="aim_ms"):
--- a/tests/test_project_rules.py
+++ b/tests/test_project_rules.py
@@ -1,4 +1,4 @@
-"""What the project promises of its own shape."""
+"""Rules for the structure of the code: module size, imports, and what each part may use."""
 
 from __future__ import annotations
 
@@ -76,7 +76,7 @@
 
 @pytest.mark.parametrize("name", ["interface.py", "simulator_adapter.py", "__init__.py"])
 def test_no_tuned_value_outside_the_policy(name):
-    """Only the wire's own positions, flags and masks, and nothing with a fraction."""
+    """The adapter has only positions, flags and masks of its messages; the interface has 0 and 1."""
     numbers = {
         node.value
         for node in ast.walk(tree(name))
@@ -88,7 +88,7 @@
 
 @pytest.mark.parametrize("name", ["interface.py", "__init__.py"])
 def test_the_interface_decides_nothing(name):
-    """Its functions only check that a setting can be."""
+    """The interface has functions only to check that settings are in range."""
     functions = {n.name for n in ast.walk(tree(name)) if isinstance(n, ast.FunctionDef)}
     assert functions <= {"__post_init__", "_require", "_finite"}
 
@@ -99,7 +99,7 @@
 
 
 PACKAGE_NAME = "canvasplank"
-# From the bottom up: a module imports only what stands before it.
+# In order of dependency: a module imports only modules that come before it.
 LAYERS = [
     "runtime.signals",
     "interface",
@@ -235,13 +235,13 @@
 
 def test_imports_go_downward():
     modules = {str(p.relative_to(PACKAGE).with_suffix("")).replace("/", ".") for p in PACKAGE.rglob("*.py")}
-    handing_on = {"policy"}  # the one package whose name stands for something in it
-    assert {m for m in modules if not m.endswith("__init__")} | handing_on == set(LAYERS)
+    reexporting = {"policy"}  # the only package whose __init__ re-exports a name
+    assert {m for m in modules if not m.endswith("__init__")} | reexporting == set(LAYERS)
     for at, module in enumerate(LAYERS):
         assert imports_of(module) <= set(LAYERS[:at]), module
 
 
-# The network's modules by side of the exchange; service discovery is a third, the rest is common to all.
+# The modules of the network by side: callers, servers; service discovery is a third, others are common.
 CALLER_MODULES = {
     f"network.{name}"
     for name in ("caller_pool", "caller_releases", "caller_stream", "callers", "set_up_parser")
@@ -274,7 +274,7 @@
 def test_callers_and_servers_meet_only_in_the_exchange():
     sides = [CALLER_MODULES, SERVER_MODULES, {"network.discovery"}]
     network = {name for name in LAYERS if name.startswith("network.")}
-    assert network == COMMON_MODULES.union(*sides), "each module belongs to one side, or to all"
+    assert network == COMMON_MODULES.union(*sides), "each module belongs to one side or is common"
     for side in sides:
         for module in side:
             assert not imports_of(module) & (network - side - COMMON_MODULES), module
