--- a/tests/test_policy_large_fleet.py
+++ b/tests/test_policy_large_fleet.py
@@ -1,6 +1,6 @@
 """Many gateways before a few servers, each with a small part of the calls.
 
-Every test here counts what gateways send; none measures time spent.
+The tests count set-ups; none measures run time.
 """
 
 from __future__ import annotations
@@ -17,14 +17,15 @@
     return [Gateway(large(instances), seed=seed) for seed in range(instances)]
 
 
-def offer(gateways: list[Gateway], seconds: float, calls_per_s: float, weights=None, does=None):
-    """Calls spread over the gateways by weight; gives the times of set-ups to server a.
+def offer(gateways: list[Gateway], seconds: float, calls_per_s: float, weights=None, service_rate=None):
+    """Spread calls over the gateways by weight; return the times of set-ups to server a.
 
-    ``does`` gives how many calls a second the server can do at a time; it answers in order.  None: silent.
+    ``service_rate`` returns the calls a second of the server at a time (ms); it answers in order.  None: the
+    server is silent.
     """
     sent: list[float] = []
     weights = weights or [1.0] * len(gateways)
-    total, credit = sum(weights), [(index * 0.618) % 1 for index in range(len(gateways))]  # not in step
+    total, credit = sum(weights), [(index * 0.618) % 1 for index in range(len(gateways))]  # spread over time
     start = free_at = gateways[0].now
     for step in range(int(seconds * 20)):
         now = start + step * 50
@@ -38,32 +39,35 @@
             for when, action in g.action_log[mark:]:
                 if isinstance(action, api.SetUp) and action.server_id == "a":
                     sent.append(when)
-                    if does:
-                        free_at = max(free_at, now) + 1000 / does(now)
+                    if service_rate:
+                        free_at = max(free_at, now) + 1000 / service_rate(now)
                         g.due.append((max(free_at, now + 40), action.call_id, "a"))
     return sorted(sent)
 
 
 class TestColdServerAndTheFleet:
-    """Rule 4 is about all gateways together: their set-ups are summed."""
+    """Rule 4 limits the sum of the set-ups of all gateways."""
 
-    CAPACITY = 60.0  # calls a second of the warm server; it has lines for that and holds them 8 s
+    CAPACITY = 60.0  # calls/s of the warm server, which has circuits for that at 8 s a call
 
-    def present(self, age_ms: float) -> float:
-        """What it can do so long after its start, growing evenly."""
+    def capacity_at(self, age_ms: float) -> float:
+        """Return its capacity at this age, which grows evenly."""
         grown = min(1.0, max(0.0, age_ms) / RULES.warm_within_ms)
         return self.CAPACITY * (RULES.cold_share + (1 - RULES.cold_share) * grown)
 
-    def within_limit(self, sent: list[float], born: float) -> bool:
-        """No span from any set-up on holds more than the multiple of what the server can do at that time."""
+    def within_limit(self, sent: list[float], started_ms: float) -> bool:
+        """No span from any set-up on has more than the allowed multiple of the server's present capacity."""
         span, budget = RULES.overload_span_ms, RULES.overload_multiple * RULES.overload_span_ms / 1000
-        return all(sum(at <= s < at + span for s in sent) <= budget * self.present(at - born) for at in sent)
+        return all(
+            sum(at <= s < at + span for s in sent) <= budget * self.capacity_at(at - started_ms)
+            for at in sent
+        )
 
     @pytest.mark.parametrize("instances", [1, 7, 250])
     @pytest.mark.parametrize("uneven", [False, True])
     @pytest.mark.parametrize("known", [False, True])
     def test_a_restarted_server_is_not_overloaded(self, instances, uneven, known):
-        """Also with all the calls of a busy fleet, uneven gateways, and a server known from before."""
+        """It holds with a busy fleet, with uneven gateways, and with a server known before."""
         gateways = fleet(instances)
         weights = [1 + 9 * (i % 5 == 0) if uneven else 1 for i in range(instances)]
         for g in gateways:
@@ -71,33 +75,41 @@
             if known:
                 g.handle(lines("a", self.CAPACITY * 8))
         if known:
-            offer(gateways, 6, self.CAPACITY * 0.9, weights, does=lambda now: self.CAPACITY)
-        born = gateways[0].now
+            offer(gateways, 6, self.CAPACITY * 0.9, weights, service_rate=lambda now: self.CAPACITY)
+        started_ms = gateways[0].now
         for g in gateways:
-            g.servers(ready("a", 0, started_ms=born), kind=api.ListKind.CHANGES)
+            g.servers(ready("a", 0, started_ms=started_ms), kind=api.ListKind.CHANGES)
             g.handle(lines("a", self.CAPACITY * 8))
-        sent = offer(gateways, 6, self.CAPACITY * 1.5, weights, does=lambda now: self.present(now - born))
+        sent = offer(
+            gateways,
+            6,
+            self.CAPACITY * 1.5,
+            weights,
+            service_rate=lambda now: self.capacity_at(now - started_ms),
+        )
         assert sent, "it is used"
-        assert self.within_limit(sent, born)
+        assert self.within_limit(sent, started_ms)
 
     @pytest.mark.parametrize("instances", [7, 250])
     def test_a_return_from_silence_before_the_list_shows_it(self, instances):
-        """It dies, slowly or not, and is back cold: the trials of all together stay within its budget."""
+        """A server fails and is back cold: the trials of all gateways together stay within its budget."""
         gateways = fleet(instances)
         for g in gateways:
             g.servers(ready("a", 0))
             g.handle(lines("a", self.CAPACITY * 8))
-        offer(gateways, 6, self.CAPACITY * 0.9, does=lambda now: self.CAPACITY)
+        offer(gateways, 6, self.CAPACITY * 0.9, service_rate=lambda now: self.CAPACITY)
         silent = offer(gateways, 10, self.CAPACITY * 0.9)
-        back = [at for at in silent if at > silent[0] + 6000]  # by then each has seen for itself
+        back = [at for at in silent if at > silent[0] + 6000]  # by then each gateway has found it silent
         assert self.within_limit(back, gateways[0].now), "trials alone"
-        born = gateways[0].now
-        sent = offer(gateways, 4, self.CAPACITY * 0.9, does=lambda now: self.present(now - born))
-        assert self.within_limit(sent, born)
+        started_ms = gateways[0].now
+        sent = offer(
+            gateways, 4, self.CAPACITY * 0.9, service_rate=lambda now: self.capacity_at(now - started_ms)
+        )
+        assert self.within_limit(sent, started_ms)
 
 
 class TestFleetFraction:
-    """A gateway's fraction of the one call a second."""
+    """The fraction of the minimum rate that each gateway has."""
 
     def cut_rate(self, g: Gateway) -> float:
         call_id, _ = g.call()
@@ -115,7 +127,7 @@
 
     @pytest.mark.parametrize("count", [40, 400, 4000])
     def test_minimum_rates_of_a_large_fleet_sum_to_less_than_the_server_carries(self, count):
-        """Found on the first busy day at full size: floors summed to several servers."""
+        """At full size, minimum rates added up to the capacity of several servers."""
         g = Gateway(large())
         g.servers(ready("a", 0))
         g.handle(lines("a", count))
@@ -127,8 +139,8 @@
         g.servers(ready("a", 0))
         assert self.cut_rate(g) * 250 == pytest.approx(server_observations.MIN_RATE_GATEWAYS)
 
-    def test_no_bucket_opens_wider_than_some_even_shares(self):
-        """A bucketful of every gateway is seconds of work; it must leak no faster than the demand."""
+    def test_no_bucket_leaks_faster_than_some_even_shares(self):
+        """A full bucket of every gateway is seconds of work, so none may leak faster than the demand."""
         g = Gateway(large())
         g.servers(ready("a", 0))
         g.handle(lines("a", 200))
@@ -139,7 +151,7 @@
             g.advance_to(g.now + 20)
         assert 1 <= len(sent) <= 2
 
-    def test_a_gateway_that_gets_many_calls_earns_a_wider_bucket(self):
+    def test_answers_raise_the_leak_bound_of_a_gateway_with_many_calls(self):
         g = Gateway(large())
         g.servers(ready("a", 0))
         g.handle(lines("a", 800))
@@ -149,7 +161,7 @@
         assert sum("a" in sent_to([a]) for _, a in g.action_log) >= 18
 
     @pytest.mark.parametrize("reported", [(-1, 5), (3, 0), (0, -4), (1, float("inf")), (1, float("nan"))])
-    def test_absurd_circuits_are_no_measure(self, reported):
+    def test_absurd_circuits_are_ignored(self, reported):
         g = Gateway(large())
         g.servers(ready("a", 0))
         g.handle(api.CircuitsReported("a", *reported))
@@ -157,7 +169,7 @@
         assert sent_to(g.call()[1]) == ["a"]
 
     def test_second_choices_go_by_size_in_a_large_fleet_only(self):
-        """Found in if96e53: the load of a large server passed evenly to small ones buried them."""
+        """Evenly spread, the load of a large server overloaded small ones (seen in if96e53)."""
         for instances, low, high in ((4, 60, 140), (250, 0, 30)):
             small = 0
             for seed in range(200):
--- a/tests/test_policy_rate_control.py
+++ b/tests/test_policy_rate_control.py
@@ -15,9 +15,9 @@
 
 
 class TestBucket:
-    """ND1621's restrictor."""
+    """ND1621's leaky bucket."""
 
-    def test_open_bucket_forgets_at_once(self):
+    def test_a_bucket_without_limit_empties_at_once(self):
         bucket = LeakyBucket(0, 0.0)
         bucket.add()
         bucket.leak(1, leaky_bucket.NEVER)
@@ -31,11 +31,11 @@
         bucket.leak(250, leaky_bucket.NEVER)
         assert bucket.fill == pytest.approx(1.0)
         bucket.leak(450, 300)
-        assert bucket.fill == pytest.approx(0.8), "of that time only the part up to 300 counts"
+        assert bucket.fill == pytest.approx(0.8), "only the time up to 300 counts"
         bucket.leak(10_000, leaky_bucket.NEVER)
         assert bucket.fill == 0
 
-    def test_passes_up_to_the_threshold_itself(self):
+    def test_admits_up_to_the_threshold_itself(self):
         bucket = LeakyBucket(0, -leaky_bucket.INITIAL_FILL)
         assert bucket.admits(leaky_bucket.SPLASH)
         assert not bucket.admits(leaky_bucket.SPLASH - 0.01)
@@ -69,8 +69,8 @@
     def test_never_below_one_call_a_second(self):
         assert self.full_after(0).controller._servers["a"].rate.bucket.rate == rate_control.MIN_RATE_PER_S
 
-    def test_one_unlucky_second_is_no_measure(self):
-        """A second with one answer, after steady ones: the cut goes by a longer span."""
+    def test_a_second_with_few_answers_does_not_set_the_rate(self):
+        """After a steady load, a second with one answer: the cut goes by a longer span."""
         g = Gateway()
         g.servers(ready("a", 0))
         g.serve_calls("a", 0, 8, gap_ms=250)
@@ -80,14 +80,14 @@
         g.full(call_id, "a")
         assert g.controller._servers["a"].rate.bucket.rate > 1.5
 
-    def test_one_jam_cuts_once(self, gateway):
+    def test_one_congestion_cuts_once(self, gateway):
         ids = [gateway.call(first=0)[0] for _ in range(3)]
         gateway.advance_to(60)
         gateway.full(ids[0], "a")
-        first = gateway.controller._servers["a"].rate.bucket.rate
+        rate = gateway.controller._servers["a"].rate.bucket.rate
         gateway.advance_to(120)
         gateway.full(ids[1], "a")
-        assert gateway.controller._servers["a"].rate.bucket.rate == first
+        assert gateway.controller._servers["a"].rate.bucket.rate == rate
 
     def test_grows_in_quiet_seconds(self):
         g = self.full_after(0)
@@ -107,10 +107,10 @@
 
 
 class TestOverdueAnswers:
-    """Answers that do not come."""
+    """Missing and late answers."""
 
     def test_nothing_leaks_while_answers_are_overdue(self, gateway):
-        """A jammed or silent server is fed a bucketful at most, and the rest goes elsewhere."""
+        """A congested or silent server gets at most a full bucket; the rest goes elsewhere."""
         for _ in range(12):
             gateway.call(first=0)
             gateway.advance_to(gateway.now + 60)
@@ -120,8 +120,8 @@
     @pytest.mark.parametrize(
         ("waits", "cut"), [((40, 390), False), ((40, 390, 40, 390), False), ((40, 390, 390), True)]
     )
-    def test_it_takes_two_slow_answers_in_a_row(self, gateway, waits, cut):
-        """Found on sockets: cut at each chance wait, a busy gateway held calls from servers at rest."""
+    def test_only_two_slow_answers_in_a_row_cut_the_rate(self, gateway, waits, cut):
+        """Where each chance wait cut the rate, a busy gateway kept calls from idle servers."""
         for waited_ms in waits:
             gateway.serve_calls("a", 0, 1, gap_ms=400, waited_ms=waited_ms)
         assert (gateway.controller._servers["a"].rate.bucket.rate < leaky_bucket.NEVER) is cut
@@ -144,8 +144,8 @@
         gateway.serve_calls("a", 0, server_observations.MIN_ANSWERS + 1, gap_ms=400)
         assert server.rate.bucket.rate == rate
 
-    def test_what_is_lost_for_good_does_not_halt_the_bucket(self, gateway):
-        """Found on sockets: a server spoke on, its set-ups hung on a dead connection, and none followed."""
+    def test_lost_set_ups_do_not_halt_the_bucket(self, gateway):
+        """A server responded while its set-ups hung on a dead connection, and it got no more set-ups."""
         gateway.servers(ready("a", 0))
         gateway.serve_calls("a", 0, 4)
         server = gateway.controller._servers["a"]
@@ -158,7 +158,7 @@
         assert sent_to(gateway.call(first=0)[1]) == ["a"]
 
     def test_a_higher_weight_has_a_higher_threshold(self):
-        """With the bucket filled past what low weight may reach, only the call of high weight leaves."""
+        """With the bucket above the low threshold, only the call of high weight is sent."""
         g = Gateway()
         g.servers(ready("a", 0))
         bucket = g.controller._servers["a"].rate.bucket
@@ -169,7 +169,7 @@
 
 
 class TestNewlyMet:
-    """Found on sockets: the first late answer of a day set rates to the floor for most of it."""
+    """The first late answer of a day set rates to the minimum for most of it."""
 
     @pytest.mark.parametrize(
         ("sign", "rate"), [("late", 10), ("no line", 10), ("full", rate_control.MIN_RATE_PER_S)]
@@ -181,14 +181,14 @@
         g.handle(api.CircuitsReported("a", 80, 80))
         call_id, _ = g.call(first=0)
         g.advance_to(400 if sign == "late" else 100)
-        if sign == "late":  # the first of all, so that no answer in time speaks for chance
+        if sign == "late":  # the first answer, so no earlier one came in time
             g.answer(call_id, "a", waited_ms=400)
         else:
             g.end(call_id, "a", Outcome.FULL, processor_full=sign == "full")
         assert g.controller._servers["a"].rate.bucket.rate == pytest.approx(rate)
 
-    def test_the_round_trip_is_no_congestion(self):
-        """Found on sockets: with half the first resend at 62 ms, a server 60 ms away passed for congested."""
+    def test_a_round_trip_is_not_congestion(self):
+        """With half the first resend at 62 ms, a server 60 ms away was taken for congested."""
         g = Gateway(settings(resend_ms=125))
         g.servers(ready("a", 0))
         g.serve_calls("a", 0, 20, gap_ms=100, waited_ms=55)
@@ -209,7 +209,7 @@
         gateway.end(call_id, "a", Outcome.ENDED, finished=True, report=reported)
         assert server.capacity_per_s is None and server.even_share_per_s() is None
 
-    def test_it_sets_the_even_share_where_circuits_promise_more(self, gateway):
+    def test_a_report_sets_the_even_share_below_that_by_circuits(self, gateway):
         gateway.handle(api.CircuitsReported("a", 200, 200))
         settings_of = gateway.controller._settings
         server = gateway.controller._servers["a"]
--- a/tests/test_policy_silence.py
+++ b/tests/test_policy_silence.py
@@ -1,4 +1,4 @@
-"""Silence detection: silent servers and their trials, lost set-ups, standstills of the gateway."""
+"""Silence detection: silent servers and trials, lost set-ups, standstills of the gateway."""
 
 from __future__ import annotations
 
@@ -11,9 +11,9 @@
 
 
 class TestSilence:
-    """Nothing received from a server for too long."""
+    """Nothing is received from a server for too long."""
 
-    def test_silence_is_noticed_and_the_server_tried_again(self, gateway):
+    def test_silence_is_detected_and_the_server_tried_again(self, gateway):
         gateway.serve_calls("a", 0, 4)
         lost = [gateway.call(first=0)[0] for _ in range(2)]
         start = gateway.now
@@ -23,14 +23,14 @@
         for call_id in lost:
             gateway.end(call_id, "a", Outcome.CANCELLED)
         moved = gateway.advance_to(start + 1400)
-        assert sent_to(moved) == ["b", "b"], "the calls move once their release time is over"
+        assert sent_to(moved) == ["b", "b"], "the calls move after their release time"
         tried = []
         for _ in range(40):
             tried += sent_to(gateway.call(first=0)[1])
             tried += sent_to(gateway.advance_to(gateway.now + 200))
-        assert 1 <= tried.count("a") <= 8, "a silent server is tried, with little"
+        assert 1 <= tried.count("a") <= 8, "a silent server gets few trials"
 
-    def test_all_silent_is_no_reason_to_refuse_everything(self):
+    def test_calls_are_still_sent_when_every_server_is_silent(self):
         g = Gateway()
         g.servers(ready("a", 0))
         for _ in range(60):
@@ -61,8 +61,8 @@
             g.advance_to(g.now + 500)
         return sum("a" in sent_to([a]) for _, a in g.action_log[mark:])
 
-    def test_all_gateways_together_try_as_a_few_would(self):
-        """Found on grown days: 200 gateways tried a jammed server more often than it could answer."""
+    def test_all_gateways_together_try_no_more_than_a_few(self):
+        """200 gateways tried a congested server more often than it could answer."""
         assert self.tried(self.silent(4), "low") >= 4
         assert sum(self.tried(self.silent(250), "low", 10) for _ in range(3)) <= 2
 
@@ -100,7 +100,7 @@
 
 
 class TestLostSetUps:
-    """Some set-ups are never answered while others sent later are, as on a day that was recorded."""
+    """Some set-ups are never answered while later ones are, as in a recorded run."""
 
     def lossy(self) -> tuple[Gateway, str]:
         g = Gateway()
@@ -111,12 +111,12 @@
         g.serve_calls("a", 0, 2)
         return g, lost
 
-    def test_an_overtaken_set_up_moves(self):
+    def test_an_overtaken_set_up_is_cancelled(self):
         g, lost = self.lossy()
         g.advance_to(g.now + 200)
         assert api.Cancel(lost, 0) in [action for _, action in g.action_log]
 
-    def test_one_or_two_unanswered_are_no_congestion(self):
+    def test_one_or_two_unanswered_set_ups_are_not_congestion(self):
         g, _ = self.lossy()
         g.call()
         g.advance_to(g.now + 400)
@@ -124,17 +124,17 @@
 
 
 class TestStandstill:
-    """This gateway did not run for a while, and then finds everything at one instant."""
+    """The gateway did not run for a while, and then reads all events at one instant."""
 
     def stall(self, ms: float) -> tuple[Gateway, list[str]]:
         g = Gateway()
         g.servers(ready("a", 0), ready("b", 1))
         g.serve_calls("a", 0, 4)
         ids = [g.call(first=0)[0] for _ in range(2)]
-        g.now += ms  # no timer rings meanwhile
+        g.now += ms  # no timer fires meanwhile
         return g, ids
 
-    def test_late_answers_prove_nothing_of_the_server(self):
+    def test_late_answers_are_not_blamed_on_the_server(self):
         g, ids = self.stall(1800)
         for call_id in ids:
             g.answer(call_id, "a", waited_ms=1800)
@@ -152,13 +152,13 @@
         g.advance_to(g.now + 500)
         assert not g.controller._servers["a"].silence.silent
 
-    def test_what_did_not_come_with_the_batch_is_silence_after_all(self):
+    def test_a_server_without_answers_in_the_batch_is_silent(self):
         g, _ = self.stall(1800)
         g.call(first=1)
         g.advance_to(g.now + 100)
         assert g.controller._servers["a"].silence.silent
 
-    def test_what_is_past_its_time_is_not_sent(self):
+    def test_a_call_past_its_deadline_is_not_sent(self):
         g, _ = self.stall(1800)
         g.action_log.clear()
         _, actions = g.call(first=1, expires_ms=g.now - 300)
--- a/tests/test_policy_slow_start.py
+++ b/tests/test_policy_slow_start.py
@@ -1,4 +1,4 @@
-"""Slow start: rule 4 for one gateway, budgets and successors."""
+"""Slow start: rule 4 for one gateway, budgets, and servers that replace others."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
     @pytest.mark.parametrize("cause", ["new", "restarted"])
     def test_4_a_cold_server_of_unknown_size_gets_one_call_a_second_from_all(self, cause):
-        """Found on a busy day: one call a second from every gateway tipped a small server."""
+        """One call a second from every gateway overloaded a small server."""
         g = Gateway()
         g.servers(ready("a", 0) if cause == "restarted" else ready("b", 1))
         g.advance_to(5000)
@@ -46,7 +46,7 @@
         assert sum("a" in sent_to([a]) for _, a in g.action_log) >= 38
 
     @pytest.mark.parametrize("late", [True, False])
-    def test_4_back_from_silence_is_cold_unless_it_answers_what_came_before(self, gateway, late):
+    def test_4_a_server_back_from_silence_is_cold_unless_it_answers_an_earlier_set_up(self, gateway, late):
         server = gateway.controller._servers["a"]
         call_id, _ = gateway.call(first=0)
         gateway.advance_to(1300)
@@ -64,12 +64,12 @@
 
 
 class TestBudget:
-    """The budget of a cold server, by what measures its capacity."""
+    """The budget of a cold server, by the source of its capacity."""
 
     @pytest.mark.parametrize(
         ("reported", "max_fraction"),
         [(None, server_module.BY_POOL * RULES.cold_share), (30.0, server_module.BY_REPORT)],
-        ids=["by its predecessor's report", "by its own"],
+        ids=["predecessor's report", "own report"],
     )
     def test_the_budget_of_a_cold_successor_over_all_gateways_is_within_the_rule(
         self, gateway, reported, max_fraction
@@ -85,14 +85,14 @@
         )
         assert sum_of_all < RULES.overload_multiple * (reported or RULES.cold_share * 100.0)
 
-    def test_a_report_from_before_a_restart_is_no_measure_of_the_cold_server(self, gateway):
+    def test_a_report_from_before_a_restart_is_not_used_as_a_fresh_one(self, gateway):
         gateway.handle(api.ProbeAnswered("a", answered=True, report=report(100.0)))
         gateway.servers(ready("a", 0, started_ms=gateway.now + 1), ready("b", 1))
         rate = gateway.controller._servers["a"].slow_start.rate_per_s()
         assert rate * SETTINGS.instances < RULES.overload_multiple * RULES.cold_share * 100.0
 
-    def test_a_cold_servers_answers_widen_its_budget_whatever_the_rules_multiple(self):
-        """With a multiple of 2 the budget shrank below what the server had just answered."""
+    def test_answers_raise_the_budget_of_a_cold_server_with_any_multiple(self):
+        """With a multiple of 2, the budget fell below the rate that the server had just answered."""
         g = Gateway(settings(rules=replace(RULES, overload_multiple=2.0)))
         g.servers(ready("a", 0, started_ms=0.0))
         server = g.controller._servers["a"]
@@ -103,7 +103,7 @@
 
 
 class TestSuccessor:
-    """A server that takes the place of one that is gone, met with calls held for it."""
+    """A server replaces one that is gone, while calls wait for it."""
 
     def test_has_the_circuits_of_its_pool_until_it_reports_its_own(self):
         g = Gateway(large(instances=3))
--- a/tests/test_rules_property.py
+++ b/tests/test_rules_property.py
@@ -1,7 +1,7 @@
-"""The five rules over legal event sequences: whatever the servers, callers and the list do, they hold.
+"""The five rules hold for any legal sequence of events from servers, callers and the server list.
 
-The world below answers only what was sent, ends every attempt once, and otherwise does as hypothesis pleases.
-Its checks are its own: they read only the actions.
+The simulated environment answers only what was sent and ends every attempt once; hypothesis draws the rest.
+Its checks read only the controller's actions.
 """
 
 from __future__ import annotations
@@ -9,7 +9,7 @@
 from dataclasses import replace
 
 from conftest import HIGH, LOW, RULES, SETTINGS, Gateway, sent_to
-from conftest import settings as fleet
+from conftest import settings as gateway_settings
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as st
 
@@ -27,15 +27,15 @@
     Outcome.NOT_SENT,
 )
 ENDS = (Outcome.ENDED, Outcome.RESET, Outcome.CANCELLED)
-WHICH, NUMBER = st.integers(0, 30), st.integers(0, 5)
+INDEX, NUMBER = st.integers(0, 30), st.integers(0, 5)
 CLASS, STATE = st.sampled_from(["low", "high"]), st.sampled_from(list(api.ServerState))
 STEPS = st.one_of(
     st.tuples(st.just("wait"), st.integers(1, 900)),
     st.tuples(st.just("stall"), st.integers(100, 2500)),
     st.tuples(st.just("call"), CLASS, st.integers(0, 2), st.integers(0, 3500), NUMBER),
-    st.tuples(st.just("answer"), WHICH, st.sampled_from(["established", *UNFINISHED])),
-    st.tuples(st.just("end"), WHICH, st.sampled_from(ENDS)),
-    st.tuples(st.just("leave"), WHICH),
+    st.tuples(st.just("answer"), INDEX, st.sampled_from(["established", *UNFINISHED])),
+    st.tuples(st.just("end"), INDEX, st.sampled_from(ENDS)),
+    st.tuples(st.just("leave"), INDEX),
     st.tuples(st.just("list"), st.sampled_from(NAMES), STATE, st.booleans()),
     st.tuples(st.just("lines"), st.sampled_from(NAMES), st.floats(), st.floats()),
     st.tuples(st.just("report"), st.sampled_from(NAMES), st.floats()),
@@ -43,65 +43,69 @@
 
 
 def cold_share(age_ms: float) -> float:
-    """The share of its capacity that a server has so long after its start."""
+    """Return the fraction of its capacity that a server has at this age."""
     return RULES.cold_share + (1 - RULES.cold_share) * min(1, age_ms / RULES.warm_within_ms)
 
 
-class World:
-    """A gateway among servers, with the rules checked on every action."""
+class Environment:
+    """A gateway, its callers and servers; checks the rules on every action."""
 
     def __init__(self, seed: int) -> None:
-        classes = tuple(replace(c, hold_ms=8000.0) for c in (LOW, HIGH))  # so that told lines count
-        self.g = Gateway(fleet(classes=classes, instances=60), seed=seed)
+        classes = tuple(replace(c, hold_ms=8000.0) for c in (LOW, HIGH))  # so that reported circuits count
+        self.gateway = Gateway(gateway_settings(classes=classes, instances=60), seed=seed)
         self.states = dict.fromkeys(NAMES, api.ServerState.READY)
         self.started: dict[str, float | None] = dict.fromkeys(NAMES)
-        self.unanswered: dict[str, float] = {}  # calls without a final answer, and when it is due
-        self.gives_up: dict[str, float] = {}  # when their callers give up
-        self.out: dict[str, str] = {}  # attempts out: call and server
+        self.unanswered: dict[str, float] = {}  # calls without a final answer: when it is due
+        self.expires_ms: dict[str, float] = {}  # when their callers stop waiting
+        self.in_flight: dict[str, str] = {}  # attempts: server by call
         self.established: dict[str, str] = {}
         self.not_before: dict[str, float] = {}
         self.seen = 0
-        self.g.servers(*(api.Server(n, i, api.ServerState.READY) for i, n in enumerate(NAMES)))
+        self.gateway.servers(*(api.Server(n, i, api.ServerState.READY) for i, n in enumerate(NAMES)))
 
     def check(self) -> None:
-        for when, action in self.g.action_log[self.seen :]:
+        for when, action in self.gateway.action_log[self.seen :]:
             match action:
                 case api.SetUp(call, server, timeout):
-                    assert call in self.unanswered, "1: nothing is sent for a call that is over"
-                    assert when + timeout <= self.gives_up[call], "1: the attempt ends in the caller's time"
-                    assert call not in self.out, "2: one attempt at a time"
+                    assert call in self.unanswered, "1: nothing is sent for an answered call"
+                    assert when + timeout <= self.expires_ms[call], (
+                        "1: the attempt ends before the caller's deadline"
+                    )
+                    assert call not in self.in_flight, "2: one attempt at a time"
                     assert self.states[server] is api.ServerState.READY, "3: nothing to a server not ready"
                     assert when >= self.not_before.get(call, 0), "5: release awaited"
-                    self.out[call] = server
+                    self.in_flight[call] = server
                 case api.Refuse(call) | api.Fail(call):
                     assert call in self.unanswered, "1: exactly one final answer"
                     assert when <= self.unanswered.pop(call) + RULES.answer_slack_ms, "1: in time"
-        self.seen = len(self.g.action_log)
-        for call, advance_to in self.unanswered.items():
-            assert self.g.now <= advance_to + RULES.answer_slack_ms or call in self.established, "1: overdue"
+        self.seen = len(self.gateway.action_log)
+        for call, due_ms in self.unanswered.items():
+            assert self.gateway.now <= due_ms + RULES.answer_slack_ms or call in self.established, (
+                "1: overdue"
+            )
 
     def finish_attempt(self, call: str, outcome: Outcome) -> None:
-        server = self.out.pop(call, None) or self.established.pop(call)
+        server = self.in_flight.pop(call, None) or self.established.pop(call)
         finished = call not in self.unanswered or outcome is Outcome.ENDED
         if finished:
             self.unanswered.pop(call, None)
         elif outcome in (Outcome.TIMED_OUT, Outcome.RESET, Outcome.CANCELLED):
-            self.not_before[call] = self.g.now + RULES.release_ms
-        self.g.end(call, server, outcome, finished=finished, processor_full=outcome is Outcome.FULL)
+            self.not_before[call] = self.gateway.now + RULES.release_ms
+        self.gateway.end(call, server, outcome, finished=finished, processor_full=outcome is Outcome.FULL)
 
     def wait(self, ms: float) -> None:
-        target = self.g.now + ms
-        while self.g.timers and min(self.g.timers)[0] <= target:
-            self.g.advance_to(max(self.g.now, min(self.g.timers)[0]))
+        target = self.gateway.now + ms
+        while self.gateway.timers and min(self.gateway.timers)[0] <= target:
+            self.gateway.advance_to(max(self.gateway.now, min(self.gateway.timers)[0]))
             self.check()
-        self.g.advance_to(target)
+        self.gateway.advance_to(target)
 
     def answer(self, call: str, what: str | Outcome) -> None:
         if what == "established":
-            server = self.out.pop(call)
+            server = self.in_flight.pop(call)
             if self.unanswered.pop(call, None) is not None:
                 self.established[call] = server
-            self.g.answer(call, server)
+            self.gateway.answer(call, server)
         else:
             self.finish_attempt(call, what)
 
@@ -109,49 +113,49 @@
         match step:
             case ("wait", ms):
                 self.wait(ms)
-            case ("stall", ms):  # no timer rings; what came due meanwhile is answered on waking
-                self.g.now += ms
+            case ("stall", ms):  # no timer fires meanwhile; calls that came due are answered afterwards
+                self.gateway.now += ms
                 for call, due in self.unanswered.items():
-                    self.unanswered[call] = max(due, self.g.now + 2 * SETTINGS.tick_ms)
+                    self.unanswered[call] = max(due, self.gateway.now + 2 * SETTINGS.tick_ms)
             case ("call", name, pool, left, number):
-                due = self.unanswered[f"call-{self.g.calls + 1}"] = self.g.now + left
-                self.gives_up[f"call-{self.g.calls + 1}"] = due
-                self.g.call(name, pool, expires_ms=self.g.now + left, number=str(number))
-            case ("answer", which, what) if self.out:
-                self.answer(sorted(self.out)[which % len(self.out)], what)
-            case ("end", which, what) if self.established:
-                call = sorted(self.established)[which % len(self.established)]
+                due = self.unanswered[f"call-{self.gateway.calls + 1}"] = self.gateway.now + left
+                self.expires_ms[f"call-{self.gateway.calls + 1}"] = due
+                self.gateway.call(name, pool, expires_ms=self.gateway.now + left, number=str(number))
+            case ("answer", index, what) if self.in_flight:
+                self.answer(sorted(self.in_flight)[index % len(self.in_flight)], what)
+            case ("end", index, what) if self.established:
+                call = sorted(self.established)[index % len(self.established)]
                 self.finish_attempt(call, what)
-            case ("leave", which) if self.unanswered:
-                call = sorted(self.unanswered)[which % len(self.unanswered)]
+            case ("leave", index) if self.unanswered:
+                call = sorted(self.unanswered)[index % len(self.unanswered)]
                 del self.unanswered[call]
-                self.g.handle(api.CallAbandoned(call))
+                self.gateway.handle(api.CallAbandoned(call))
             case ("lines", name, free, lines):
-                self.g.handle(api.CircuitsReported(name, free, lines))
+                self.gateway.handle(api.CircuitsReported(name, free, lines))
             case ("report", name, figure):
                 report = api.Report(figure, figure, figure, figure, figure)
-                self.g.handle(api.ProbeAnswered(name, answered=figure > 0, report=report))
+                self.gateway.handle(api.ProbeAnswered(name, answered=figure > 0, report=report))
             case ("list", name, state, restarted):
                 self.states[name] = state
                 if restarted:
-                    self.started[name] = self.g.now
+                    self.started[name] = self.gateway.now
                 entry = api.Server(name, NAMES.index(name), state, self.started[name])
-                self.g.servers(entry, kind=api.ListKind.CHANGES)
+                self.gateway.servers(entry, kind=api.ListKind.CHANGES)
         self.check()
 
 
 @settings(derandomize=True, deadline=None, max_examples=250, suppress_health_check=list(HealthCheck))
 @given(st.lists(STEPS, max_size=80), st.integers(0, 3))
-def test_rules_1_2_3_and_5_hold_whatever_happens(steps, seed):
-    world = World(seed)
+def test_rules_1_2_3_and_5_hold_for_any_events(steps, seed):
+    environment = Environment(seed)
     for step in steps:
-        world.step(step)
-    world.step(("wait", 4000))
-    assert all(call in world.established for call in world.unanswered)
+        environment.step(step)
+    environment.step(("wait", 4000))
+    assert all(call in environment.established for call in environment.unanswered)
 
 
 def warm_gateway(seed: int, calls: int, capacity: float) -> Gateway:
-    """A gateway whose server has answered so many calls at its capacity."""
+    """Return a gateway whose server has answered up to ``calls`` calls at its capacity."""
     g = Gateway(seed=seed)
     g.servers(api.Server("a", 0, api.ServerState.READY))
     for _ in range(calls):
@@ -170,18 +174,18 @@
     st.lists(st.integers(1, 120), min_size=40, max_size=120),
     st.integers(0, 9),
 )
-def test_rule_4_a_cold_server_is_never_near_its_limit(seed, warm_calls, capacity, gaps, silence):
-    """A server that can do `capacity` calls a second for this gateway's part, restarted under any traffic.
+def test_rule_4_a_cold_server_stays_within_its_limit(seed, warm_calls, capacity, gaps, answers):
+    """A server with a capacity of ``capacity`` calls a second for this gateway restarts under any traffic.
 
-    It answers at the rate that it then has; what it is sent in any span stays under the tipping multiple of
-    that, plus one set-up: a single one cannot be divided.
+    In any span it is sent at most ``overload_multiple`` times its present capacity, plus one set-up, as a
+    single set-up cannot be divided.
     """
     g = warm_gateway(seed, warm_calls, capacity)
-    born = g.now
-    g.servers(api.Server("a", 0, api.ServerState.READY, born), kind=api.ListKind.CHANGES)
+    started_ms = g.now
+    g.servers(api.Server("a", 0, api.ServerState.READY, started_ms), kind=api.ListKind.CHANGES)
     g.action_log.clear()
     sends: list[float] = []
-    seen, free_at = 0, born
+    seen, free_at = 0, started_ms
     waiting: list[tuple[float, str]] = []
     for gap in gaps:
         g.call(expires_ms=g.now + 3000)
@@ -190,7 +194,7 @@
             for when, action in g.action_log[seen:]:
                 if isinstance(action, api.SetUp):
                     sends.append(when)
-                    free_at = max(free_at, when) + 1000 / (capacity * cold_share(when - born))
+                    free_at = max(free_at, when) + 1000 / (capacity * cold_share(when - started_ms))
                     waiting.append((free_at, action.call_id))
             seen = len(g.action_log)
             due = min([target, *(at for at, _ in waiting), *(at for at, _ in g.timers)])
@@ -199,10 +203,10 @@
             g.advance_to(due)
             for at, call in [w for w in waiting if w[0] <= due]:
                 waiting.remove((at, call))
-                if call in g.controller._calls and silence:
+                if call in g.controller._calls and answers:
                     g.answer(call, "a", 50)
         g.advance_to(target)
     span = RULES.overload_span_ms
     for index, at in enumerate(sends):
         count = sum(at - span < s <= at for s in sends[: index + 1])
-        assert count <= RULES.overload_multiple * capacity * cold_share(at - born) * span / 1000 + 1
+        assert count <= RULES.overload_multiple * capacity * cold_share(at - started_ms) * span / 1000 + 1
--- a/tests/test_simulator_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -1,4 +1,4 @@
-"""The adapter to the simulator, as a process, with batches written by hand."""
+"""The simulator adapter as a process, with hand-written batches."""
 
 from __future__ import annotations
 
@@ -95,7 +95,7 @@
     assert len(deliveries(lines)) == 2
 
 
-def test_instances_share_nothing_and_act_alike():
+def test_instances_share_no_state():
     _, both = run(*open_instances(0, 1), ["sync", 110.0, 2], request(0), request(1), ["end"])
     _, single = run(*open_instances(1), ["sync", 110.0, 2], request(1), ["end"])
     assert deliveries(both, 1) == deliveries(single, 1) != []
@@ -121,7 +121,7 @@
 
 
 def decode(*messages):
-    """The events that a ``ControllerHost`` reads from the messages of one instance."""
+    """Return the events that a ``ControllerHost`` reads from messages of one instance."""
     host = simulator_adapter.ControllerHost()
     list(host.handle_batch(100.0, [["configure", 0, 7, OPTIONS]]))
     return [host._readers[message[0]](message) for message in messages]
@@ -162,7 +162,7 @@
         '["sync",1.0,1]\n["shutdown",3]\n["end"]\n',
     ],
 )
-def test_a_malformed_frame_is_one_line_and_exit_status_2(raw):
+def test_a_malformed_frame_gives_one_line_and_exit_status_2(raw):
     done, lines = run(raw=raw)
     assert done.returncode == 2
     assert lines == []
