--- a/canvasplank/interface.py
+++ b/canvasplank/interface.py
@@ -117,8 +117,8 @@
     answer_slack_ms: float
     cold_share: float
     warm_within_ms: float
-    overload_multiple: float  # a cold server collapses if sent this multiple of its present capacity ...
-    overload_span_ms: float  # ... for this long
+    overload_multiple: float  # a cold server collapses if sent this multiple of its capacity
+    overload_span_ms: float  # how long that excess must last for the collapse
 
     def __post_init__(self) -> None:
         for name in ("release_ms", "drain_grace_ms", "answer_slack_ms", "warm_within_ms"):
--- a/canvasplank/policy/call_queue.py
+++ b/canvasplank/policy/call_queue.py
@@ -14,8 +14,8 @@
 MAX_QUEUED_CALLS = 400  # beyond this the call of lowest rank is refused
 MAX_REDIALS = 4000  # unserved calls remembered in case their callers dial again
 MAX_BUSY_NUMBERS = 1000  # busy numbers remembered
-INITIAL_BUSY_MS = 500.0  # first backoff of a busy number; it doubles ...
-MAX_BUSY_MS = 4000.0  # ... up to this
+INITIAL_BUSY_MS = 500.0  # first backoff of a busy number
+MAX_BUSY_MS = 4000.0  # longest backoff of a busy number, reached by doubling
 MAX_CREDIT_CALLS = 4.0  # calls in a row that a tenant may make beyond its quota
 
 
@@ -27,7 +27,7 @@
         self.call_class = call_class
         now_ms = context.now_ms
         self.arrived_ms = now_ms
-        self.first_ms = now_ms
+        self.first_ms = now_ms  # for a redial: arrival of the first call
         self.not_before_ms = now_ms  # no attempt before this time (rule 5)
         self.quota_weight = 1.0  # factor on the weight of its class: lower beyond its tenant's quota
         margin_ms = max(0.0, min(MARGIN_MS, MARGIN_FRACTION * (call.expires_ms - now_ms)))
@@ -58,9 +58,8 @@
         # Unserved calls, by number and class, oldest entry first: time of the first attempt, time of the
         # entry, quota weight.
         self.redials: OrderedDict[tuple[str | None, str], tuple[float, float, float]] = OrderedDict()
-        self.busy: dict[
-            str | None, tuple[float, float]
-        ] = {}  # by number: time of the next attempt, backoff (ms)
+        # Busy numbers: time of the next attempt, backoff (ms).
+        self.busy_numbers: dict[str | None, tuple[float, float]] = {}
         self._redial_window_ms = max(c.deadline_ms for c in settings.classes)
         total = sum(c.quota_per_s for c in settings.tenants)
         self._fractions = {c.name: c.quota_per_s / total for c in settings.tenants if total}
@@ -115,17 +114,20 @@
         return call.weight(self._context.now_ms), call.arrived_ms
 
     def is_number_busy(self, number: str | None) -> bool:
-        return self.busy.get(number, (0.0, 0.0))[0] > self._context.now_ms
+        return self.busy_numbers.get(number, (0.0, 0.0))[0] > self._context.now_ms
 
     def on_number_busy(self, number: str | None) -> None:
         """Exception (busy numbers): no server has a line to it, so attempts wait for a doubling backoff."""
         if number is not None:
-            _, backoff_ms = self.busy.pop(number, (0.0, INITIAL_BUSY_MS))
-            self.busy[number] = self._context.now_ms + backoff_ms, min(2 * backoff_ms, MAX_BUSY_MS)
-            if len(self.busy) > MAX_BUSY_NUMBERS:
-                del self.busy[next(iter(self.busy))]
+            _, backoff_ms = self.busy_numbers.pop(number, (0.0, INITIAL_BUSY_MS))
+            self.busy_numbers[number] = self._context.now_ms + backoff_ms, min(2 * backoff_ms, MAX_BUSY_MS)
+            if len(self.busy_numbers) > MAX_BUSY_NUMBERS:
+                del self.busy_numbers[next(iter(self.busy_numbers))]
 
     def on_sent(self, number: str | None) -> None:
         """Restart the backoff of a busy number, so that one call at a time tries it."""
-        if number in self.busy:
-            self.busy[number] = self._context.now_ms + self.busy[number][1], self.busy[number][1]
+        if number in self.busy_numbers:
+            self.busy_numbers[number] = (
+                self._context.now_ms + self.busy_numbers[number][1],
+                self.busy_numbers[number][1],
+            )
--- a/canvasplank/policy/controller.py
+++ b/canvasplank/policy/controller.py
@@ -67,7 +67,7 @@
             if not call.is_in_flight(event):
                 return
             self._established[event.call_id] = self._calls.pop(event.call_id)
-            self._queue.busy.pop(call.request.number, None)
+            self._queue.busy_numbers.pop(call.request.number, None)
         server = self._servers.get(event.server_id)
         if server is not None and event.call_id in server.pending:
             server.on_established(event)
--- a/canvasplank/policy/rate_control.py
+++ b/canvasplank/policy/rate_control.py
@@ -7,8 +7,8 @@
 
 MIN_RATE_PER_S = 1.0  # lowest rate after a cut, and least growth per quiet second; times ``fleet_fraction()``
 GROWTH_FRACTION = 0.1  # growth per quiet second, as a fraction of the rate
-MAX_LEAK_SHARES = 1.5  # highest leak rate, as a multiple of the even share or of the answered rate ...
-MAX_LEAK_MULTIPLE = 4.0  # ... or, with MIN_ANSWERS in the window, this multiple of the answered rate
+MAX_LEAK_SHARES = 1.5  # bound on the leak rate, as a multiple of the even share or the answered rate
+MAX_LEAK_MULTIPLE = 4.0  # the same of the answered rate, with MIN_ANSWERS in the window; the higher counts
 # MIN_ANSWERS prompt answers in a row show that congestion has ended.
 PROMPT_FRACTION = 0.5  # of the congested wait: an answer within this is prompt
 RECOVERY_FACTOR = 1.5  # growth of the rate after each such row, up to the rate before the cut
@@ -57,7 +57,7 @@
             bucket.rate += max(GROWTH_FRACTION * bucket.rate, MIN_RATE_PER_S * server.fleet_fraction())
             if bucket.rate * self._context.tick_ms > MAX_FILL * SECOND_MS:  # a full one empties in a tick
                 bucket.rate = NEVER
-        # Exception (fleet size): one that suddenly gets most of the calls must wait until answers raise this.
+        # Exception (fleet size): a gateway that suddenly gets most calls must wait until answers raise this.
         if (share := server.even_share_per_s()) is not None:
             answered = server.window_rate_per_s()
             by_answers = MAX_LEAK_MULTIPLE * answered * (len(server.answered_ms) >= MIN_ANSWERS)
--- a/canvasplank/policy/server.py
+++ b/canvasplank/policy/server.py
@@ -8,9 +8,9 @@
 from canvasplank.policy.rate_control import MIN_RATE_PER_S, SILENCE_DELAYS, RateControl
 from canvasplank.policy.server_observations import ANSWER_WINDOW_MS, SMOOTHING_WEIGHT, ServerObservations
 
-# Fractions of the limit of rule 4 that a cold server's budget uses, by what its capacity is known from.
-BY_CIRCUITS = 0.3  # its circuits, and its age
-BY_POOL = 0.6  # an earlier report of the server or its pool, and its age
+# Fractions of the limit of rule 4 that a cold server's budget uses, by the source of its capacity.
+BY_CIRCUITS = 0.3  # its circuits; times the fraction that is warm by its age
+BY_POOL = 0.6  # an earlier report of it or its pool; times the warm fraction
 BY_REPORT = 0.8  # a fresh report of its own
 ANSWERS_MULTIPLE = 1.2  # of the answered rate: the budget is at least this
 REPORT_FRESH_MS = 2000.0  # age up to which a report counts as current
@@ -82,7 +82,7 @@
             self.min_delay_ms = min(event.waited_ms, self.min_delay_ms or NEVER)
             was_slow = self.last_answer_slow
             self.last_answer_slow = event.waited_ms > self.overdue_after_ms()
-            if was_slow and self.last_answer_slow:  # to the rate without this answer
+            if was_slow and self.last_answer_slow:  # two in a row; the cut does not count this answer
                 self.rate.cut(f"answers take {event.waited_ms:.0f} ms")
             self.rate.on_answer(sent_ms, event.waited_ms)
         self.answered_ms.append(now_ms)
@@ -118,7 +118,7 @@
 
 
 class SlowStart:
-    """Spaces the set-ups sent to one cold server with a bucket that holds one set-up."""
+    """Spaces the set-ups sent to one server with a bucket that holds one set-up."""
 
     def __init__(self, server: Server, dither: float) -> None:
         self._server = server
@@ -153,7 +153,7 @@
         by_age = warm * (BY_CIRCUITS if server.capacity_per_s is None else BY_POOL)
         fraction = BY_REPORT if now_ms < server.capacity_reported_ms + REPORT_FRESH_MS else by_age
         by_share = fraction * rules.overload_multiple * (server.even_share_per_s() or 0.0)
-        # One answer less than there were, as a single one may be chance.
+        # One answer fewer than counted, as a single one may be chance.
         answered = max(0.0, server.window_rate_per_s() - SECOND_MS / ANSWER_WINDOW_MS)
         by_answers = min(ANSWERS_MULTIPLE, rules.overload_multiple) * answered
         return max(MIN_RATE_PER_S / server.senders(), by_share, by_answers)
--- a/tests/policy_helpers.py
+++ b/tests/policy_helpers.py
@@ -12,21 +12,21 @@
 CLASSES = tuple(replace(c, hold_ms=8000.0) for c in (LOW, HIGH))
 
 
-def large(instances: int = 250, **more) -> api.Settings:
+def large_fleet_settings(instances: int = 250, **more) -> api.Settings:
     return settings(instances=instances, classes=CLASSES, **more)
 
 
-def lines(server: str, count: float, free: float | None = None) -> api.CircuitsReported:
+def circuits_report(server: str, count: float, free: float | None = None) -> api.CircuitsReported:
     return api.CircuitsReported(server, count if free is None else free, count)
 
 
-def answers(actions):
+def final_answers(actions):
     return [a for a in actions if isinstance(a, api.Refuse | api.Fail)]
 
 
-def report(rate_per_s=None, wait_ms=0.0):
+def load_report(rate_per_s=None, wait_ms=0.0):
     return api.Report(wait_ms=wait_ms, rate_per_s=rate_per_s)
 
 
-def busy(gateway, call_id, server="a"):
+def end_as_number_busy(gateway, call_id, server="a"):
     return gateway.end(call_id, server, Outcome.ERROR, number_busy=True)
--- a/tests/test_policy_calls.py
+++ b/tests/test_policy_calls.py
@@ -4,7 +4,7 @@
 
 import pytest
 from conftest import LOW, SETTINGS, Gateway, draining, gone, ready, sent_to, settings
-from policy_helpers import answers, lines
+from policy_helpers import circuits_report, final_answers
 
 from canvasplank import interface as api
 from canvasplank.interface import Outcome
@@ -69,7 +69,7 @@
         g.servers(ready("a", 0), ready("b", 1))
         call_id, _ = g.call(first=0)
         g.end(call_id, "a", Outcome.ERROR)
-        [refusal] = answers(g.end(call_id, "b", Outcome.ERROR))
+        [refusal] = final_answers(g.end(call_id, "b", Outcome.ERROR))
         assert refusal.call_id == call_id and 1000 <= refusal.retry_after_ms <= 2000
 
     def test_refused_callers_get_different_retry_after_times(self):
@@ -78,14 +78,14 @@
         g.servers(ready("a", 0))
         for _ in range(5):
             call_id, _ = g.call(first=0)
-            waits |= {a.retry_after_ms for a in answers(g.end(call_id, "a", Outcome.ERROR))}
+            waits |= {a.retry_after_ms for a in final_answers(g.end(call_id, "a", Outcome.ERROR))}
         assert len(waits) == 5
 
     def test_callers_without_retry_after_support_get_none(self):
         g = Gateway(settings(max_attempts=1, retry_after_max_ms=None))
         g.servers(ready("a", 0))
         call_id, _ = g.call(first=0)
-        assert answers(g.end(call_id, "a", Outcome.ERROR)) == [api.Refuse(call_id, None)]
+        assert final_answers(g.end(call_id, "a", Outcome.ERROR)) == [api.Refuse(call_id, None)]
 
 
 class TestUnexpectedEvents:
@@ -153,7 +153,7 @@
         queued = [g.call("high")[0] for _ in range(2)]
         refused = []
         for _ in range(4):
-            refused += [a.call_id for a in answers(g.call("low")[1])]
+            refused += [a.call_id for a in final_answers(g.call("low")[1])]
         assert len(refused) == 3 and not set(queued) & set(refused)
 
     def test_same_events_same_actions(self):
@@ -190,7 +190,7 @@
         gateway.advance_to(gateway.now + 2000)
         before = sum(isinstance(a, api.SetTimer) for _, a in gateway.action_log)
         gateway.advance_to(gateway.now + 60_000)
-        gateway.handle(lines("a", 100))
+        gateway.handle(circuits_report("a", 100))
         assert not gateway.timers
         assert sum(isinstance(a, api.SetTimer) for _, a in gateway.action_log) == before
 
--- a/tests/test_policy_large_fleet.py
+++ b/tests/test_policy_large_fleet.py
@@ -7,14 +7,14 @@
 
 import pytest
 from conftest import RULES, Gateway, ready, sent_to
-from policy_helpers import large, lines
+from policy_helpers import circuits_report, large_fleet_settings
 
 from canvasplank import interface as api
 from canvasplank.policy import rate_control, server_observations
 
 
 def fleet(instances: int) -> list[Gateway]:
-    return [Gateway(large(instances), seed=seed) for seed in range(instances)]
+    return [Gateway(large_fleet_settings(instances), seed=seed) for seed in range(instances)]
 
 
 def offer(gateways: list[Gateway], seconds: float, calls_per_s: float, weights=None, service_rate=None):
@@ -73,13 +73,13 @@
         for g in gateways:
             g.servers(ready("a", 0) if known else ready("b", 1))
             if known:
-                g.handle(lines("a", self.CAPACITY * 8))
+                g.handle(circuits_report("a", self.CAPACITY * 8))
         if known:
             offer(gateways, 6, self.CAPACITY * 0.9, weights, service_rate=lambda now: self.CAPACITY)
         started_ms = gateways[0].now
         for g in gateways:
             g.servers(ready("a", 0, started_ms=started_ms), kind=api.ListKind.CHANGES)
-            g.handle(lines("a", self.CAPACITY * 8))
+            g.handle(circuits_report("a", self.CAPACITY * 8))
         sent = offer(
             gateways,
             6,
@@ -96,7 +96,7 @@
         gateways = fleet(instances)
         for g in gateways:
             g.servers(ready("a", 0))
-            g.handle(lines("a", self.CAPACITY * 8))
+            g.handle(circuits_report("a", self.CAPACITY * 8))
         offer(gateways, 6, self.CAPACITY * 0.9, service_rate=lambda now: self.CAPACITY)
         silent = offer(gateways, 10, self.CAPACITY * 0.9)
         back = [at for at in silent if at > silent[0] + 6000]  # by then each gateway has found it silent
@@ -119,31 +119,31 @@
 
     def test_a_small_fleet_has_the_whole_minimum_rate(self):
         for reported in (False, True):
-            g = Gateway(large(4))
+            g = Gateway(large_fleet_settings(4))
             g.servers(ready("a", 0))
             if reported:
-                g.handle(lines("a", 400))
+                g.handle(circuits_report("a", 400))
             assert self.cut_rate(g) == rate_control.MIN_RATE_PER_S
 
     @pytest.mark.parametrize("count", [40, 400, 4000])
     def test_minimum_rates_of_a_large_fleet_sum_to_less_than_the_server_carries(self, count):
         """At full size, minimum rates added up to the capacity of several servers."""
-        g = Gateway(large())
+        g = Gateway(large_fleet_settings())
         g.servers(ready("a", 0))
-        g.handle(lines("a", count))
+        g.handle(circuits_report("a", count))
         carries = count / 8.0
         assert 0 < self.cut_rate(g) * 250 <= carries / 2
 
     def test_without_reported_circuits_the_minimum_rate_is_divided_by_count(self):
-        g = Gateway(large())
+        g = Gateway(large_fleet_settings())
         g.servers(ready("a", 0))
         assert self.cut_rate(g) * 250 == pytest.approx(server_observations.MIN_RATE_GATEWAYS)
 
     def test_no_bucket_leaks_faster_than_some_even_shares(self):
         """A full bucket of every gateway is seconds of work, so none may leak faster than the demand."""
-        g = Gateway(large())
+        g = Gateway(large_fleet_settings())
         g.servers(ready("a", 0))
-        g.handle(lines("a", 200))
+        g.handle(circuits_report("a", 200))
         g.advance_to(1000)
         sent = []
         for _ in range(20):
@@ -152,9 +152,9 @@
         assert 1 <= len(sent) <= 2
 
     def test_answers_raise_the_leak_bound_of_a_gateway_with_many_calls(self):
-        g = Gateway(large())
+        g = Gateway(large_fleet_settings())
         g.servers(ready("a", 0))
-        g.handle(lines("a", 800))
+        g.handle(circuits_report("a", 800))
         g.serve_calls("a", 0, 60, gap_ms=100)
         g.action_log.clear()
         g.serve_calls("a", 0, 20, gap_ms=100)
@@ -162,7 +162,7 @@
 
     @pytest.mark.parametrize("reported", [(-1, 5), (3, 0), (0, -4), (1, float("inf")), (1, float("nan"))])
     def test_absurd_circuits_are_ignored(self, reported):
-        g = Gateway(large())
+        g = Gateway(large_fleet_settings())
         g.servers(ready("a", 0))
         g.handle(api.CircuitsReported("a", *reported))
         g.handle(api.CircuitsReported("no server", 1, 1))
@@ -173,10 +173,10 @@
         for instances, low, high in ((4, 60, 140), (250, 0, 30)):
             small = 0
             for seed in range(200):
-                g = Gateway(large(instances), seed=seed)
+                g = Gateway(large_fleet_settings(instances), seed=seed)
                 g.servers(ready("a", 0), ready("b", 1), ready("c", 2))
                 for name, count in (("a", 100), ("b", 2000), ("c", 2000)):
-                    g.handle(lines(name, count if instances > 4 else 2000))
+                    g.handle(circuits_report(name, count if instances > 4 else 2000))
                 g.advance_to(50)
                 small += sent_to(g.call(first=9)[1]) == ["a"]
             assert low <= small <= high
--- a/tests/test_policy_rate_control.py
+++ b/tests/test_policy_rate_control.py
@@ -6,7 +6,7 @@
 
 import pytest
 from conftest import SETTINGS, Gateway, ready, sent_to, settings
-from policy_helpers import report
+from policy_helpers import load_report
 
 from canvasplank import interface as api
 from canvasplank.interface import Outcome
@@ -201,7 +201,9 @@
 class TestReports:
     """Load reports of servers."""
 
-    @pytest.mark.parametrize("reported", [None, report(), report(0.0), report(20.0, wait_ms=900.0)])
+    @pytest.mark.parametrize(
+        "reported", [None, load_report(), load_report(0.0), load_report(20.0, wait_ms=900.0)]
+    )
     def test_a_report_without_a_capacity_changes_nothing(self, gateway, reported):
         call_id, _ = gateway.call()
         gateway.answer(call_id, "a")
@@ -213,12 +215,12 @@
         gateway.handle(api.CircuitsReported("a", 200, 200))
         settings_of = gateway.controller._settings
         server = gateway.controller._servers["a"]
-        gateway.handle(api.ProbeAnswered("a", answered=True, report=report(8.0)))
+        gateway.handle(api.ProbeAnswered("a", answered=True, report=load_report(8.0)))
         assert server.even_share_per_s() == pytest.approx(8.0 / settings_of.instances)
 
     def test_a_report_from_before_a_slowdown_does_not_leave_a_rate_open(self, gateway):
         gateway.serve_calls("a", 0, 8)
-        gateway.handle(api.ProbeAnswered("a", answered=True, report=report(50.0)))
+        gateway.handle(api.ProbeAnswered("a", answered=True, report=load_report(50.0)))
         for _ in range(4):
             gateway.call(first=0)
             gateway.advance_to(gateway.now + 100)
--- a/tests/test_policy_retries.py
+++ b/tests/test_policy_retries.py
@@ -4,7 +4,7 @@
 
 import pytest
 from conftest import LOW, SETTINGS, Gateway, ready, sent_to, settings
-from policy_helpers import answers, busy
+from policy_helpers import end_as_number_busy, final_answers
 
 from canvasplank import interface as api
 from canvasplank.policy import call_queue
@@ -45,28 +45,28 @@
 
     def test_refusal_at_once_with_a_random_wait_and_no_other_server_tried(self, gateway):
         call_id, _ = gateway.call(number="few-lines")
-        actions = busy(gateway, call_id)
+        actions = end_as_number_busy(gateway, call_id)
         assert not sent_to(actions)
-        waits = [answers(actions)[0].retry_after_ms]
-        waits += [answers(gateway.call(number="few-lines")[1])[0].retry_after_ms for _ in range(20)]
+        waits = [final_answers(actions)[0].retry_after_ms]
+        waits += [final_answers(gateway.call(number="few-lines")[1])[0].retry_after_ms for _ in range(20)]
         max_wait_ms = SETTINGS.retry_after_max_ms
         assert max_wait_ms / 2 <= min(waits) < max(waits) <= max_wait_ms and len(set(waits)) > 10
 
     def test_one_call_at_a_time_tries_again_after_a_doubling_backoff(self, gateway):
         call_id, _ = gateway.call(number="few-lines")
-        busy(gateway, call_id)
+        end_as_number_busy(gateway, call_id)
         gap_ms = call_queue.INITIAL_BUSY_MS
         for _ in range(6):
-            assert answers(gateway.call(number="few-lines")[1])
+            assert final_answers(gateway.call(number="few-lines")[1])
             gateway.advance_to(gateway.now + gap_ms)
             tries = [gateway.call(number="few-lines") for _ in range(5)]
             assert sum(bool(sent_to(actions)) for _, actions in tries) == 1
-            busy(gateway, tries[0][0])
+            end_as_number_busy(gateway, tries[0][0])
             gap_ms = min(2 * gap_ms, call_queue.MAX_BUSY_MS)
 
     def test_an_established_call_ends_the_backoff(self, gateway):
         call_id, _ = gateway.call(number="few-lines")
-        busy(gateway, call_id)
+        end_as_number_busy(gateway, call_id)
         gateway.advance_to(gateway.now + call_queue.INITIAL_BUSY_MS)
         call_id, _ = gateway.call(number="few-lines")
         gateway.answer(call_id, "a")
@@ -74,18 +74,20 @@
 
     def test_other_numbers_and_calls_without_one_go_on(self, gateway):
         call_id, _ = gateway.call(number="few-lines")
-        busy(gateway, call_id)
+        end_as_number_busy(gateway, call_id)
         for number in ("other", None):
             call_id, actions = gateway.call(number=number)
             assert sent_to(actions) == ["a"]
             gateway.answer(call_id, "a")
-        assert answers(busy(gateway, gateway.call(number=None)[0])), "answered all the same"
+        assert final_answers(end_as_number_busy(gateway, gateway.call(number=None)[0])), (
+            "answered all the same"
+        )
 
     def test_busy_numbers_are_bounded(self, gateway):
         for number in range(call_queue.MAX_BUSY_NUMBERS + 50):
             call_id, actions = gateway.call(number=str(number))
-            busy(gateway, call_id, *sent_to(actions))
-        assert len(gateway.controller._queue.busy) == call_queue.MAX_BUSY_NUMBERS
+            end_as_number_busy(gateway, call_id, *sent_to(actions))
+        assert len(gateway.controller._queue.busy_numbers) == call_queue.MAX_BUSY_NUMBERS
 
 
 class TestTenants:
--- a/tests/test_policy_rules.py
+++ b/tests/test_policy_rules.py
@@ -4,7 +4,7 @@
 
 import pytest
 from conftest import HIGH, LOW, RULES, SETTINGS, Gateway, draining, gone, ready, sent_to, settings
-from policy_helpers import answers
+from policy_helpers import final_answers
 
 from canvasplank import interface as api
 from canvasplank.interface import Outcome
@@ -26,7 +26,7 @@
 
     def test_1_an_unknown_class_is_refused_at_once(self, gateway):
         call_id, actions = gateway.call("no such class")
-        assert [a.call_id for a in answers(actions)] == [call_id]
+        assert [a.call_id for a in final_answers(actions)] == [call_id]
 
     def test_1_after_a_cancel_that_crossed_the_answer_a_final_answer_is_pending(self, gateway):
         """A call that was established came back as cancelled and unfinished, and got no final answer."""
@@ -35,7 +35,7 @@
         gateway.answer(call_id, "a")
         gateway.end(call_id, "a", Outcome.CANCELLED)
         seen = gateway.advance_to(4000)
-        assert sent_to(seen)[:1] or answers(seen)
+        assert sent_to(seen)[:1] or final_answers(seen)
         assert [a.call_id for _, a in gateway.action_log if isinstance(a, api.Fail | api.Refuse)] == [call_id]
 
     def test_2_one_attempt_at_a_time_and_no_more_than_allowed(self, gateway):
--- a/tests/test_policy_silence.py
+++ b/tests/test_policy_silence.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from conftest import Gateway, ready, sent_to, settings
-from policy_helpers import large, lines
+from policy_helpers import circuits_report, large_fleet_settings
 
 from canvasplank import interface as api
 from canvasplank.interface import Outcome
@@ -44,10 +44,10 @@
     """Trials of a silent server."""
 
     def silent(self, instances: int) -> Gateway:
-        g = Gateway(large(instances))
+        g = Gateway(large_fleet_settings(instances))
         g.servers(ready("a", 0), ready("b", 1))
         for name in ("a", "b"):
-            g.handle(lines(name, 400))
+            g.handle(circuits_report(name, 400))
         g.answer_delays_ms = {"b": 40}
         g.call(first=0)
         g.advance_to(g.now + 1500)
--- a/tests/test_policy_slow_start.py
+++ b/tests/test_policy_slow_start.py
@@ -6,7 +6,7 @@
 
 import pytest
 from conftest import LOW, RULES, SETTINGS, Gateway, gone, ready, sent_to, settings
-from policy_helpers import large, lines, report
+from policy_helpers import circuits_report, large_fleet_settings, load_report
 
 from canvasplank import interface as api
 from canvasplank.interface import Outcome
@@ -74,11 +74,11 @@
     def test_the_budget_of_a_cold_successor_over_all_gateways_is_within_the_rule(
         self, gateway, reported, max_fraction
     ):
-        gateway.handle(api.ProbeAnswered("a", answered=True, report=report(100.0)))
+        gateway.handle(api.ProbeAnswered("a", answered=True, report=load_report(100.0)))
         gateway.servers(gone("a", 0), ready("c", 0, started_ms=gateway.now))
         server = gateway.controller._servers["c"]
         if reported:
-            gateway.handle(api.ProbeAnswered("c", answered=True, report=report(reported)))
+            gateway.handle(api.ProbeAnswered("c", answered=True, report=load_report(reported)))
         sum_of_all = server.slow_start.rate_per_s() * SETTINGS.instances
         assert sum_of_all == pytest.approx(
             max_fraction * RULES.overload_multiple * (reported or 100.0), rel=0.01
@@ -86,7 +86,7 @@
         assert sum_of_all < RULES.overload_multiple * (reported or RULES.cold_share * 100.0)
 
     def test_a_report_from_before_a_restart_is_not_used_as_a_fresh_one(self, gateway):
-        gateway.handle(api.ProbeAnswered("a", answered=True, report=report(100.0)))
+        gateway.handle(api.ProbeAnswered("a", answered=True, report=load_report(100.0)))
         gateway.servers(ready("a", 0, started_ms=gateway.now + 1), ready("b", 1))
         rate = gateway.controller._servers["a"].slow_start.rate_per_s()
         assert rate * SETTINGS.instances < RULES.overload_multiple * RULES.cold_share * 100.0
@@ -106,9 +106,9 @@
     """A server replaces one that is gone, while calls wait for it."""
 
     def test_has_the_circuits_of_its_pool_until_it_reports_its_own(self):
-        g = Gateway(large(instances=3))
+        g = Gateway(large_fleet_settings(instances=3))
         g.servers(ready("a", 0))
-        g.handle(lines("a", 176))
+        g.handle(circuits_report("a", 176))
         g.servers(gone("a", 0), kind=api.ListKind.CHANGES)
         for _ in range(30):
             g.call()
@@ -119,9 +119,9 @@
         assert 1 <= len(sent_to([action for _, action in g.action_log[mark:]])) <= 4
 
     def test_remembered_reports_are_bounded(self):
-        g = Gateway(large(instances=3))
+        g = Gateway(large_fleet_settings(instances=3))
         for pool in range(server_observations.MAX_POOLS + 5):
             g.servers(ready("a", pool))
-            g.handle(lines("a", 10))
+            g.handle(circuits_report("a", 10))
             g.servers(gone("a", pool))
         assert len(g.controller._context.pool_reports) == server_observations.MAX_POOLS
