--- a/tests/test_policy_rate_control.py
+++ b/tests/test_policy_rate_control.py
@@ -6,19 +6,18 @@
 
 import pytest
 from conftest import SETTINGS, Gateway, ready, sent_to, settings
-from policy_helpers import report
+from policy_helpers import load_report
 
 from canvasplank import interface as api
 from canvasplank.interface import Outcome
-from canvasplank.policy import leaky_bucket
-from canvasplank.policy import server as server_module
+from canvasplank.policy import leaky_bucket, rate_control, server_observations
 from canvasplank.policy.leaky_bucket import LeakyBucket
 
 
 class TestBucket:
-    """ND1621's restrictor."""
+    """ND1621's leaky bucket."""
 
-    def test_open_bucket_forgets_at_once(self):
+    def test_a_bucket_without_limit_empties_at_once(self):
         bucket = LeakyBucket(0, 0.0)
         bucket.add()
         bucket.leak(1, leaky_bucket.NEVER)
@@ -32,11 +31,11 @@
         bucket.leak(250, leaky_bucket.NEVER)
         assert bucket.fill == pytest.approx(1.0)
         bucket.leak(450, 300)
-        assert bucket.fill == pytest.approx(0.8), "of that time only the part up to 300 counts"
+        assert bucket.fill == pytest.approx(0.8), "only the time up to 300 counts"
         bucket.leak(10_000, leaky_bucket.NEVER)
         assert bucket.fill == 0
 
-    def test_passes_up_to_the_threshold_itself(self):
+    def test_admits_up_to_the_threshold_itself(self):
         bucket = LeakyBucket(0, -leaky_bucket.INITIAL_FILL)
         assert bucket.admits(leaky_bucket.SPLASH)
         assert not bucket.admits(leaky_bucket.SPLASH - 0.01)
@@ -68,10 +67,10 @@
         assert self.full_after(30).controller._servers["a"].rate.bucket.rate == pytest.approx(9, abs=1.01)
 
     def test_never_below_one_call_a_second(self):
-        assert self.full_after(0).controller._servers["a"].rate.bucket.rate == server_module.MIN_RATE_PER_S
+        assert self.full_after(0).controller._servers["a"].rate.bucket.rate == rate_control.MIN_RATE_PER_S
 
-    def test_one_unlucky_second_is_no_measure(self):
-        """A second with one answer, after steady ones: the cut goes by a longer span."""
+    def test_a_second_with_few_answers_does_not_set_the_rate(self):
+        """After a steady load, a second with one answer: the cut goes by a longer span."""
         g = Gateway()
         g.servers(ready("a", 0))
         g.serve_calls("a", 0, 8, gap_ms=250)
@@ -81,14 +80,14 @@
         g.full(call_id, "a")
         assert g.controller._servers["a"].rate.bucket.rate > 1.5
 
-    def test_one_jam_cuts_once(self, gateway):
+    def test_one_congestion_cuts_once(self, gateway):
         ids = [gateway.call(first=0)[0] for _ in range(3)]
         gateway.advance_to(60)
         gateway.full(ids[0], "a")
-        first = gateway.controller._servers["a"].rate.bucket.rate
+        rate = gateway.controller._servers["a"].rate.bucket.rate
         gateway.advance_to(120)
         gateway.full(ids[1], "a")
-        assert gateway.controller._servers["a"].rate.bucket.rate == first
+        assert gateway.controller._servers["a"].rate.bucket.rate == rate
 
     def test_grows_in_quiet_seconds(self):
         g = self.full_after(0)
@@ -108,10 +107,10 @@
 
 
 class TestOverdueAnswers:
-    """Answers that do not come."""
+    """Missing and late answers."""
 
     def test_nothing_leaks_while_answers_are_overdue(self, gateway):
-        """A jammed or silent server is fed a bucketful at most, and the rest goes elsewhere."""
+        """A congested or silent server gets at most a full bucket; the rest goes elsewhere."""
         for _ in range(12):
             gateway.call(first=0)
             gateway.advance_to(gateway.now + 60)
@@ -121,8 +120,8 @@
     @pytest.mark.parametrize(
         ("waits", "cut"), [((40, 390), False), ((40, 390, 40, 390), False), ((40, 390, 390), True)]
     )
-    def test_it_takes_two_slow_answers_in_a_row(self, gateway, waits, cut):
-        """Found on sockets: cut at each chance wait, a busy gateway held calls from servers at rest."""
+    def test_only_two_slow_answers_in_a_row_cut_the_rate(self, gateway, waits, cut):
+        """Where each chance wait cut the rate, a busy gateway kept calls from idle servers."""
         for waited_ms in waits:
             gateway.serve_calls("a", 0, 1, gap_ms=400, waited_ms=waited_ms)
         assert (gateway.controller._servers["a"].rate.bucket.rate < leaky_bucket.NEVER) is cut
@@ -142,11 +141,11 @@
         if full:
             gateway.full(gateway.call(first=0)[0], "a")
             server.rate.bucket.rate, server.rate.quiet_since_ms = 3.0, leaky_bucket.NEVER
-        gateway.serve_calls("a", 0, server_module.MIN_ANSWERS + 1, gap_ms=400)
+        gateway.serve_calls("a", 0, server_observations.MIN_ANSWERS + 1, gap_ms=400)
         assert server.rate.bucket.rate == rate
 
-    def test_what_is_lost_for_good_does_not_halt_the_bucket(self, gateway):
-        """Found on sockets: a server spoke on, its set-ups hung on a dead connection, and none followed."""
+    def test_lost_set_ups_do_not_halt_the_bucket(self, gateway):
+        """A server responded while its set-ups hung on a dead connection, and it got no more set-ups."""
         gateway.servers(ready("a", 0))
         gateway.serve_calls("a", 0, 4)
         server = gateway.controller._servers["a"]
@@ -159,21 +158,21 @@
         assert sent_to(gateway.call(first=0)[1]) == ["a"]
 
     def test_a_higher_weight_has_a_higher_threshold(self):
-        """With the bucket filled past what low weight may reach, only the call of high weight leaves."""
+        """With the bucket above the low threshold, only the call of high weight is sent."""
         g = Gateway()
         g.servers(ready("a", 0))
         bucket = g.controller._servers["a"].rate.bucket
-        bucket.rate = server_module.MIN_RATE_PER_S
+        bucket.rate = rate_control.MIN_RATE_PER_S
         bucket.fill = leaky_bucket.HIGHEST_THRESHOLD - leaky_bucket.SPLASH
         assert not sent_to(g.call("low")[1])
         assert sent_to(g.call("high")[1]) == ["a"]
 
 
 class TestNewlyMet:
-    """Found on sockets: the first late answer of a day set rates to the floor for most of it."""
+    """The first late answer of a day set rates to the minimum for most of it."""
 
     @pytest.mark.parametrize(
-        ("sign", "rate"), [("late", 10), ("no line", 10), ("full", server_module.MIN_RATE_PER_S)]
+        ("sign", "rate"), [("late", 10), ("no line", 10), ("full", rate_control.MIN_RATE_PER_S)]
     )
     def test_only_a_full_processor_cuts_it_below_an_even_share(self, sign, rate):
         classes = tuple(replace(c, hold_ms=2000.0) for c in SETTINGS.classes)
@@ -182,14 +181,14 @@
         g.handle(api.CircuitsReported("a", 80, 80))
         call_id, _ = g.call(first=0)
         g.advance_to(400 if sign == "late" else 100)
-        if sign == "late":  # the first of all, so that no answer in time speaks for chance
+        if sign == "late":  # the first answer, so no earlier one came in time
             g.answer(call_id, "a", waited_ms=400)
         else:
             g.end(call_id, "a", Outcome.FULL, processor_full=sign == "full")
         assert g.controller._servers["a"].rate.bucket.rate == pytest.approx(rate)
 
-    def test_the_round_trip_is_no_congestion(self):
-        """Found on sockets: with half the first resend at 62 ms, a server 60 ms away passed for congested."""
+    def test_a_round_trip_is_not_congestion(self):
+        """With half the first resend at 62 ms, a server 60 ms away was taken for congested."""
         g = Gateway(settings(resend_ms=125))
         g.servers(ready("a", 0))
         g.serve_calls("a", 0, 20, gap_ms=100, waited_ms=55)
@@ -202,7 +201,9 @@
 class TestReports:
     """Load reports of servers."""
 
-    @pytest.mark.parametrize("reported", [None, report(), report(0.0), report(20.0, wait_ms=900.0)])
+    @pytest.mark.parametrize(
+        "reported", [None, load_report(), load_report(0.0), load_report(20.0, wait_ms=900.0)]
+    )
     def test_a_report_without_a_capacity_changes_nothing(self, gateway, reported):
         call_id, _ = gateway.call()
         gateway.answer(call_id, "a")
@@ -210,16 +211,16 @@
         gateway.end(call_id, "a", Outcome.ENDED, finished=True, report=reported)
         assert server.capacity_per_s is None and server.even_share_per_s() is None
 
-    def test_it_sets_the_even_share_where_circuits_promise_more(self, gateway):
+    def test_a_report_sets_the_even_share_below_that_by_circuits(self, gateway):
         gateway.handle(api.CircuitsReported("a", 200, 200))
         settings_of = gateway.controller._settings
         server = gateway.controller._servers["a"]
-        gateway.handle(api.ProbeAnswered("a", answered=True, report=report(8.0)))
+        gateway.handle(api.ProbeAnswered("a", answered=True, report=load_report(8.0)))
         assert server.even_share_per_s() == pytest.approx(8.0 / settings_of.instances)
 
     def test_a_report_from_before_a_slowdown_does_not_leave_a_rate_open(self, gateway):
         gateway.serve_calls("a", 0, 8)
-        gateway.handle(api.ProbeAnswered("a", answered=True, report=report(50.0)))
+        gateway.handle(api.ProbeAnswered("a", answered=True, report=load_report(50.0)))
         for _ in range(4):
             gateway.call(first=0)
             gateway.advance_to(gateway.now + 100)
