--- a/canvasplank/interface.py
+++ b/canvasplank/interface.py
@@ -134,9 +134,9 @@
 class Settings:
     """The settings of a controller.
 
-    ``reports``, ``report_fields``, ``probes_allowed`` and the rules' ``drain_grace_ms`` and
-    ``overload_span_ms`` do not affect decisions at present (``docs/design.md`` gives the reasons).  Gateways
-    pass them so that they need no change once a decision uses them.
+    ``reports``, ``report_fields``, ``probes_allowed`` and the rules' ``drain_grace_ms``,
+    ``answer_slack_ms`` and ``overload_span_ms`` do not affect decisions at present (``docs/design.md`` gives
+    the reasons).  Gateways pass them so that they need no change once a decision uses them.
     """
 
     instances: int  # gateways in this tier, including this one
@@ -177,7 +177,7 @@
     pool: int
     state: ServerState
     started_ms: float | None = None  # latest start; None: long ago
-    senders: int | None = None  # gateways that share it at most; None: all
+    senders: int | None = None  # upper bound of the gateways that share it; None: all
     initial_rate_per_s: float | None = None  # this gateway's first rate to it, set-ups/s; None: no bound
 
 
--- a/canvasplank/policy/decision_context.py
+++ b/canvasplank/policy/decision_context.py
@@ -31,7 +31,7 @@
         self._wakeups = 0  # number of the current timer
 
     def start_event(self, now_ms: float) -> None:
-        """Start handling an event; where the clock steps back, time stands still."""
+        """Start handling an event; a clock that steps back does not move ``now_ms`` back."""
         self.now_ms = max(self.now_ms, now_ms)
         self.actions = []
         if self.now_ms > self._wakeup_ms + STALL_TICKS * self.tick_ms:
--- a/canvasplank/policy/leaky_bucket.py
+++ b/canvasplank/policy/leaky_bucket.py
@@ -4,7 +4,7 @@
 SPLASH = 1.0
 INITIAL_FILL = 0.5  # plus ND1621's uniform(-0.5, 0.5): gateways that start together get out of step
 LOWEST_THRESHOLD = 1.0  # of the lowest weight: admitted only by an empty bucket
-HIGHEST_THRESHOLD = 2.5  # of the highest weight: bounds how far the gateways together overrun a server
+HIGHEST_THRESHOLD = 2.5  # of the highest weight: how far the gateways together run ahead at each server
 MAX_FILL = 3.0
 SECOND_MS = 1000.0
 NEVER = float("inf")
