--- a/emulators/__init__.py
+++ b/emulators/__init__.py
@@ -1,1 +1,1 @@
-"""Emulators of outside systems, on loopback only: call servers, service discovery, callers, a store."""
+"""Emulators of external systems, on loopback only: call servers, service discovery, callers, PostgreSQL."""
--- a/emulators/budgets.py
+++ b/emulators/budgets.py
@@ -1,4 +1,4 @@
-"""Proxies that share budgets through a store, each connected to it by an interruptible link of its own."""
+"""Proxies that share budgets through a database, each over a network link that tests can interrupt."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from emulators.link import Link
 from emulators.postgresql import PostgresqlEmulator
 
-CONFIGURATION = """
+CONFIGURATION_TEMPLATE = """
 backend = "{backend}"
 path = "{path}"
 dsn = "{dsn}"
@@ -33,7 +33,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """One budget for all set-ups, and the settings of its leases."""
+    """A budget for the set-ups of the whole fleet, and the settings of its leases."""
 
     total_per_s: float = 80.0
     reserve_fraction: float = 0.2  # of the total, for proxies without a lease
@@ -44,7 +44,7 @@
 
 
 class BudgetFleet:
-    """A fleet whose proxies share a budget; in SQLite where it is given no PostgreSQL."""
+    """A fleet whose proxies share a budget in ``store``, or in an SQLite file where ``store`` is None."""
 
     def __init__(
         self, fleet: Fleet, plan: Plan, callers: Callers, store: PostgresqlEmulator | None = None
@@ -55,13 +55,16 @@
         self._starts = 0
 
     async def start_proxy(self, name: str, **environment: str) -> Proxy:
-        """Start a proxy; where the name is in use already, ``proxies`` has the newer process."""
+        """Start a proxy and connect the callers to it.
+
+        A second process of the same name replaces the first one in ``proxies``; the first one is not stopped.
+        """
         self._starts += 1
-        tag = f"{name}.{self._starts}"
-        path = self.fleet.folder / f"{tag}.toml"
+        process_name = f"{name}.{self._starts}"
+        path = self.fleet.folder / f"{process_name}.toml"
         path.write_text(await self._configuration(name))
         proxy = await self.fleet.proxy(
-            tag,
+            process_name,
             self._starts,
             EDGE_NAME=name,
             CANVASPLANK_LOG="json",
@@ -73,12 +76,12 @@
         return proxy
 
     async def stop_proxy(self, name: str, signal_number: signal.Signals) -> None:
-        """Take a proxy from the callers, signal it and wait for its end."""
+        """Direct no new calls to a proxy, send it a signal and wait for its exit."""
         self.callers.drop_proxy(self.proxies[name].address)
         await self.proxies[name].stop(signal_number)
 
     async def start(self, names: list[str]) -> None:
-        """Start these proxies concurrently."""
+        """Start proxies of these names concurrently."""
         await asyncio.gather(*(self.start_proxy(name) for name in names))
 
     async def _configuration(self, name: str) -> str:
@@ -89,7 +92,7 @@
                 self.links[name] = Link(f"{url.hostname}:{url.port}")
                 await self.links[name].start()
             dsn = url._replace(netloc=f"{url.username}@{self.links[name].address}").geturl()
-        return CONFIGURATION.format(
+        return CONFIGURATION_TEMPLATE.format(
             backend="sqlite" if self.store is None else "postgresql",
             dsn=dsn,
             path=self.fleet.folder / "fleet.db",
@@ -102,10 +105,10 @@
         )
 
     def logs(self) -> list[Path]:
-        """The logs of all processes, those that have ended included."""
+        """Return the log files of all processes of the fleet, including those that have exited."""
         return [proxy.log for proxy in self.fleet.proxies]
 
     async def stop(self) -> None:
-        """Stop the links; the proxies belong to the fleet, which stops them."""
+        """Stop the links. The fleet stops the proxies."""
         for link in self.links.values():
             await link.stop()
--- a/emulators/callers.py
+++ b/emulators/callers.py
@@ -1,6 +1,6 @@
 """An emulator of open-loop callers: calls arrive at random times, whether or not earlier ones are answered.
 
-The time to an answer counts from when a call was due, not from when it could be sent, so that a frozen proxy
+The time to an answer is measured from when a call was due, not from when it was sent, so that a frozen proxy
 or a busy machine shows as long waits instead of fewer calls (no coordinated omission).
 """
 
@@ -22,13 +22,13 @@
 
 @dataclass(frozen=True, slots=True)
 class CallerClass:
-    """A class of callers: its share of the calls, its weight, and its latency objective and deadline."""
+    """A class of callers: its share of the calls, the value of an answer, and its time limits."""
 
     name: str
     share: float
     weight: float
-    aim_s: float  # an answer within this is worth ``weight``
-    wait_s: float  # a caller gives up after this
+    aim_s: float  # latency objective: a later answer is worth a tenth of ``weight``
+    wait_s: float  # deadline: the caller gives up after this time
 
 
 CLASSES = (
@@ -39,25 +39,25 @@
 
 @dataclass(slots=True)
 class Try:
-    """One set-up and its outcome; times are Unix seconds, ``due_s`` when it was to be sent."""
+    """One call and its outcome. Times are in Unix seconds; ``due_s`` is when the set-up was to be sent."""
 
     id: str
     kind: CallerClass
     proxy: str
     due_s: float
-    outcome: str = "open"  # then served, refused, failed, given_up or lost
-    answered_s: float | None = None
+    outcome: str = "open"  # then served, refused, failed, given_up, or lost (no connection to the proxy)
+    answered_s: float | None = None  # also set when the caller gives up or the call is lost
     released_s: float | None = None
-    answers: int = 0
+    answers: int = 0  # answers and rejections received, including those after the caller gave up
 
     @property
     def took_s(self) -> float:
-        """From when it was due to its answer, or to now."""
+        """Seconds from when the call was due to its answer, or to now while it has none."""
         return (self.answered_s or time.time()) - self.due_s
 
 
 class Callers:
-    """All callers, with one connection to each proxy; ``tries`` holds every call by its id."""
+    """All callers, with one connection to each proxy. ``tries`` maps call ids to all calls so far."""
 
     def __init__(self, seed: int, classes: tuple[CallerClass, ...] = CLASSES, pools: int = 1) -> None:
         self.random = random.Random(seed)
@@ -69,53 +69,56 @@
         self._tasks = Tasks()
 
     async def add_proxy(self, address: str) -> None:
-        """Connect to this proxy; callers choose it too from now on."""
+        """Connect to a proxy and place calls through it from now on."""
         reader, writer = await asyncio.open_connection(*parse_address(address))
         self._streams[address] = writer
         self._tasks.keep(self._read(address, reader))
         self.proxies.append(address)
 
     def drop_proxy(self, address: str) -> None:
-        """Send no new calls to this proxy; those that are open go on."""
+        """Place no new calls through a proxy. Its open calls continue."""
         self.proxies.remove(address)
 
     async def offer(self, rate_per_s: float, for_s: float) -> None:
-        """Place calls at this mean rate (Poisson arrivals by the clock), without waiting for answers."""
-        start_s = due = time.time()
-        while (due := due + self.random.expovariate(rate_per_s)) < start_s + for_s:
-            if (delay_s := due - time.time()) > 0:
+        """Place calls at a mean rate for ``for_s`` seconds, without waiting for answers.
+
+        Arrivals are a Poisson process in real time: on a busy machine, overdue calls are sent at once.
+        """
+        start_s = due_s = time.time()
+        while (due_s := due_s + self.random.expovariate(rate_per_s)) < start_s + for_s:
+            if (delay_s := due_s - time.time()) > 0:
                 await asyncio.sleep(delay_s)
-            self.place(due)
+            self.place(due_s)
         if (delay_s := start_s + for_s - time.time()) > 0:
             await asyncio.sleep(delay_s)
 
     def place(self, due_s: float) -> Try:
-        """Place a call at a random proxy; without one it is lost, like a call whose proxy dies."""
+        """Place a call through a random proxy. Without any proxy, the outcome is ``lost``."""
         kind = self.random.choices(self.classes, [c.share for c in self.classes])[0]
         proxy = self.random.choice(self.proxies) if self.proxies else ""
-        attempt = Try(f"{self.random.getrandbits(64) | 1:016x}", kind, proxy, due_s)
-        self.tries[attempt.id] = attempt
+        call = Try(f"{self.random.getrandbits(64) | 1:016x}", kind, proxy, due_s)
+        self.tries[call.id] = call
         if not proxy:
-            attempt.outcome, attempt.answered_s = "lost", time.time()
-            return attempt
+            call.outcome, call.answered_s = "lost", time.time()
+            return call
         parameters: dict[int, bytes] = {
             isup.Parameter.CLASS: kind.name.encode(),
             isup.Parameter.WAIT: b"%d" % max(1, (due_s + kind.wait_s - time.time()) * 1000),
             isup.Parameter.NUMBER: b"%016x" % self.random.getrandbits(64),
             isup.Parameter.FIGURES: b"dest:%d;width:1;via:-1" % self.random.randrange(self.pools),
-            isup.Parameter.DESCRIPTION: b"offer " + attempt.id.encode(),
+            isup.Parameter.DESCRIPTION: b"offer " + call.id.encode(),
         }
-        self._write(attempt.proxy, isup.encode(isup.Message(isup.Kind.SET_UP, attempt.id, parameters)))
-        asyncio.get_running_loop().call_later(kind.wait_s + 0.1, self._on_deadline, attempt)
-        return attempt
+        self._write(call.proxy, isup.encode(isup.Message(isup.Kind.SET_UP, call.id, parameters)))
+        asyncio.get_running_loop().call_later(kind.wait_s + 0.1, self._on_deadline, call)
+        return call
 
-    def _on_deadline(self, attempt: Try) -> None:
-        if attempt.outcome == "open":
-            attempt.outcome, attempt.answered_s = "given_up", time.time()
-            self._write(attempt.proxy, isup.release(attempt.id, ReleaseCause.NORMAL_CLEARING))
+    def _on_deadline(self, call: Try) -> None:
+        if call.outcome == "open":
+            call.outcome, call.answered_s = "given_up", time.time()
+            self._write(call.proxy, isup.release(call.id, ReleaseCause.NORMAL_CLEARING))
 
     def _write(self, address: str, data: bytes) -> None:
-        """Send to a proxy where its connection is open; what cannot be sent stays unanswered."""
+        """Send data to a proxy if its connection is open, else drop the data."""
         writer = self._streams.get(address)
         if writer is not None and not writer.is_closing():
             writer.write(data)
@@ -126,36 +129,36 @@
             while data := await reader.read(16_384):
                 for message in parser.feed(data):
                     self._on_message(address, message)
-        for attempt in self.tries.values():
-            if attempt.proxy == address and attempt.outcome == "open":
-                attempt.outcome, attempt.answered_s = "lost", time.time()
-        if address in self.proxies:  # a proxy closes a connection that is idle for long
+        for call in self.tries.values():
+            if call.proxy == address and call.outcome == "open":
+                call.outcome, call.answered_s = "lost", time.time()
+        if address in self.proxies:  # proxies close idle connections
             with contextlib.suppress(OSError):
                 reader, self._streams[address] = await asyncio.open_connection(*parse_address(address))
                 self._tasks.keep(self._read(address, reader))
 
     def _on_message(self, address: str, message: isup.Message) -> None:
-        attempt = self.tries.get(message.call_id)
-        if attempt is None or message.kind not in (isup.Kind.ANSWER, isup.Kind.RELEASE):
+        call = self.tries.get(message.call_id)
+        if call is None or message.kind not in (isup.Kind.ANSWER, isup.Kind.RELEASE):
             return
         if message.kind == isup.Kind.RELEASE:
             self._write(address, isup.release_confirmed(message.call_id))
-            if attempt.outcome == "served":
-                attempt.released_s = time.time()
+            if call.outcome == "served":
+                call.released_s = time.time()
                 return
-        attempt.answers += 1
-        if attempt.outcome != "open":
+        call.answers += 1
+        if call.outcome != "open":
             return
-        attempt.answered_s = time.time()
+        call.answered_s = time.time()
         if message.kind == isup.Kind.ANSWER:
-            attempt.outcome = "served"
+            call.outcome = "served"
         else:
-            attempt.outcome = "refused" if message.cause in REFUSAL_CAUSES else "failed"
+            call.outcome = "refused" if message.cause in REFUSAL_CAUSES else "failed"
 
     async def settled(self, within_s: float) -> None:
-        """Wait until no call is open, ``within_s`` at most."""
-        until = time.time() + within_s
-        while time.time() < until and any(t.outcome == "open" for t in self.tries.values()):
+        """Wait until no call is open, at most ``within_s`` seconds."""
+        deadline_s = time.time() + within_s
+        while time.time() < deadline_s and any(t.outcome == "open" for t in self.tries.values()):
             await asyncio.sleep(0.02)
 
     async def stop(self) -> None:
@@ -167,7 +170,10 @@
 
 
 def service(tries: list[Try]) -> float:
-    """The weight of the calls served, a tenth of it where later than ``aim_s``, over the weight of all."""
+    """Return the weight of the served calls divided by the weight of all calls, or 1 without calls.
+
+    A call that is answered after ``aim_s`` counts a tenth of its weight.
+    """
     offered = sum(t.kind.weight for t in tries)
     served = [t for t in tries if t.outcome == "served"]
     earned = sum(t.kind.weight * (1.0 if t.took_s <= t.kind.aim_s else 0.1) for t in served)
--- a/emulators/discovery.py
+++ b/emulators/discovery.py
@@ -1,4 +1,4 @@
-"""An emulator of service discovery: server-sent events on loopback, with a comment while nothing changes."""
+"""An emulator of service discovery: server-sent events, with periodic comments while nothing changes."""
 
 from __future__ import annotations
 
@@ -11,9 +11,9 @@
 
 
 class Discovery:
-    """Has numbered events; a poll gets those after its ``Last-Event-ID``, then each new one.
+    """Sends numbered events: on each request those after its ``Last-Event-ID``, then each new one.
 
-    ``in_trouble``, ``busy_s`` and ``stalled`` inject faults, and may be set while it runs.
+    ``in_trouble``, ``busy_s`` and ``stalled`` inject faults and may be changed at any time.
     """
 
     def __init__(self) -> None:
@@ -21,39 +21,40 @@
         self._events: list[dict[str, Any]] = []
         self._changed = asyncio.Condition()
         self._server: asyncio.Server | None = None
-        self._tasks: set[asyncio.Task[Any]] = set()  # the handlers, that asyncio made
-        self.in_trouble = False  # accepts and closes at once
-        self.busy_s: int | None = None  # rejects with this Retry-After, in seconds
-        self.stalled = False  # accepts and sends nothing
-        self.polls: list[float] = []  # when each was received, in seconds of the loop's clock
-        self.first_listed: list[float] = []  # when a client without a revision was sent the list
+        self._tasks: set[asyncio.Task[Any]] = set()  # connection handlers
+        self.in_trouble = False  # connections are accepted and closed at once
+        self.busy_s: int | None = None  # requests are rejected with this Retry-After, in seconds
+        self.stalled = False  # connections are accepted, and nothing is sent
+        # In seconds of the event loop's clock.
+        self.polls: list[float] = []  # when each connection was accepted
+        self.first_listed: list[float] = []  # when a request without a revision was answered with events
 
     async def start(self) -> None:
-        """Listen on a free port; after a stop on the same one, with the same events."""
+        """Listen on a free port. After ``stop``, listen on the same port and with the same events."""
         self._server = await asyncio.start_server(self._serve, "127.0.0.1", self._port)
         self._port = self._server.sockets[0].getsockname()[1]
 
     @property
     def address(self) -> str:
-        """Its ``host:port``."""
+        """The ``host:port`` for clients."""
         return f"127.0.0.1:{self._port}"
 
     async def tell(self, pool: dict[str, Any]) -> None:
-        """Publish a new event: ``pool`` as in the protocol."""
+        """Publish a new event with this ``pool`` object of the discovery protocol."""
         async with self._changed:
             self._events.append({"rev": len(self._events) + 1, "pool": pool})
             self._changed.notify_all()
 
     def anew(self) -> None:
-        """Drop all events: the next revision is 1 again."""
+        """Drop all events, so that the next event has revision 1 again."""
         self._events.clear()
 
     def known(self) -> dict[str, Any]:
-        """The events so far, in the form of a configuration's ``known``."""
+        """Return the events so far in the form of ``known`` in a proxy's configuration."""
         return {"rev": len(self._events), "notices": list(self._events)}
 
     async def stop(self) -> None:
-        """Stop listening and end every connection."""
+        """Stop listening and close all connections."""
         assert self._server is not None, "start() first"
         self._server.close()
         for task in self._tasks:
@@ -69,7 +70,7 @@
         if self.in_trouble:
             writer.close()
             return
-        # A handler that is cancelled by ``stop`` is no error for asyncio to print.
+        # Keeps asyncio from logging an error where ``stop`` cancels this handler.
         with contextlib.suppress(OSError, asyncio.IncompleteReadError, asyncio.CancelledError):
             if self.stalled:
                 await reader.read()
@@ -87,7 +88,7 @@
         writer.close()
 
     async def _stream(self, writer: asyncio.StreamWriter, revision: int) -> None:
-        """Send the events after this revision, then each new one, and a comment at least each interval."""
+        """Send the events after this revision, then each new one, and a comment at least every interval."""
         writer.write(b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n")
         if revision == 0 and self._events:
             self.first_listed.append(asyncio.get_running_loop().time())
@@ -103,7 +104,7 @@
 
 
 def _last_event_id(head: bytes) -> int:
-    """The revision in the request's ``Last-Event-ID`` header (server-sent events); 0 without one."""
+    """Return the revision in the request's ``Last-Event-ID`` header, or 0 if it has none."""
     for line in head.decode().lower().splitlines():
         if line.startswith("last-event-id:"):
             return int(line.partition(":")[2])
--- a/emulators/front.py
+++ b/emulators/front.py
@@ -1,4 +1,4 @@
-"""An emulator of a front: the health test that a proxy passes before callers are sent to it."""
+"""An emulator of the front: the health test that a proxy must pass before the front sends callers to it."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 async def passes_test(address: str) -> bool:
-    """Whether the proxy there answers, within ``TEST_TIMEOUT_S``, that callers may be sent to it."""
+    """Whether the proxy at this address answers within ``TEST_TIMEOUT_S`` that it is ready for callers."""
     writer = None
     try:
         async with asyncio.timeout(TEST_TIMEOUT_S):
@@ -29,6 +29,6 @@
 
 
 async def until_passed(address: str, every_s: float = 0.25) -> None:
-    """Test a proxy at this interval until it passes."""
+    """Test a proxy every ``every_s`` seconds until it passes."""
     while not await passes_test(address):
         await asyncio.sleep(every_s)
--- a/emulators/postgresql/__init__.py
+++ b/emulators/postgresql/__init__.py
@@ -1,16 +1,17 @@
 """An emulated PostgreSQL: the frontend/backend protocol 3.0 as far as asyncpg uses it, over an SQLite file.
 
 Written from the protocol's public specification (PostgreSQL manual, chapter "Frontend/Backend Protocol").
-It executes the statements it receives and commits at Sync outside a transaction block as PostgreSQL does.  It
-can be made to fail (``Faults``): slow, stalled, disconnecting before or after a commit, rejecting rows,
-reporting serialization failures, stopped and restarted.
+The server executes the statements it receives and, outside a transaction block, commits at Sync as PostgreSQL
+does. Faults can be injected: delays, stalls, lost connections before or after a commit, rejected rows,
+serialization failures (see ``Faults``), and restarts.
 
-All row locks are one lock on the whole database.  A transaction takes it with its first statement that writes
-or selects FOR UPDATE, and waits for it as for a row lock; until then each statement sees what is committed
-(READ COMMITTED).  ``statement_timeout`` and ``idle_in_transaction_session_timeout`` are honoured.
+One lock on the whole database replaces all row locks. A transaction acquires it with its first statement that
+writes or selects FOR UPDATE, and waits for it as for a row lock. Before that, each statement sees the
+committed data (READ COMMITTED). ``statement_timeout`` and ``idle_in_transaction_session_timeout`` are
+supported.
 
-``python -m emulators.postgresql FOLDER`` runs it in a process of its own, for measurements that its work must
-not disturb (see ``__main__``).
+``python -m emulators.postgresql FOLDER`` runs the server in a process of its own, so that its processor time
+does not disturb measurements (see ``__main__``).
 """
 
 from emulators.postgresql.faults import Faults
--- a/emulators/postgresql/__main__.py
+++ b/emulators/postgresql/__main__.py
@@ -1,7 +1,7 @@
 """Runs the emulated PostgreSQL: ``python -m emulators.postgresql FOLDER``.
 
-It prints its DSN, and reads commands from standard input until that ends: the name of a field of ``Faults``
-and its value (``stalled 1``, ``drop_after_commit 1``), or ``restart SECONDS``.
+The program prints its DSN and reads commands from standard input, one a line: a field of ``Faults`` and its
+value (``stalled 1``, ``drop_after_commit 1``), or ``restart SECONDS``. It stops at the end of the input.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 
 async def main(folder: str) -> None:
-    """Serve until standard input ends."""
+    """Run the server until the end of standard input."""
     server = PostgresqlEmulator(Path(folder))
     await server.start()
     print(server.dsn, flush=True)
--- a/emulators/postgresql/connection.py
+++ b/emulators/postgresql/connection.py
@@ -1,4 +1,4 @@
-"""A client's connection: its messages, and the output that is collected for the next flush."""
+"""A client's connection: reads messages and buffers output until the next flush."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 
 
 class ClientConnection:
-    """Reads and writes messages of one client."""
+    """Reads the messages of one client and writes messages to it."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self._reader, self._writer = reader, writer
         self._output = bytearray()
 
     async def read_startup(self) -> dict[str, str] | None:
-        """The client's settings; None for a cancel request or an unknown protocol.  TLS is declined."""
+        """Return the client's settings, or None for a cancel request or an unknown protocol; decline TLS."""
         while True:
             body = await self.read_body()
             code = body.number("I")
@@ -31,23 +31,23 @@
                 return None
 
     async def read_kind(self) -> bytes:
-        """The type of the next message."""
+        """Read the type of the next message."""
         return await self._reader.readexactly(1)
 
     async def read_body(self) -> MessageReader:
-        """The body of the message."""
+        """Read the length and the body of a message whose type has been read."""
         [length] = struct.unpack(">I", await self._reader.readexactly(4))
         return MessageReader(await self._reader.readexactly(length - 4))
 
     def send(self, data: bytes) -> None:
-        """Add messages to the output."""
+        """Add messages to the output buffer."""
         self._output += data
 
     def flush(self) -> None:
-        """Write the output."""
+        """Write the output buffer to the connection."""
         self._writer.write(bytes(self._output))
         self._output.clear()
 
     async def drain(self) -> None:
-        """Wait while the client is slow to read."""
+        """Wait while the connection's write buffer is full because the client reads slowly."""
         await self._writer.drain()
--- a/emulators/postgresql/protocol.py
+++ b/emulators/postgresql/protocol.py
@@ -1,4 +1,4 @@
-"""Messages of PostgreSQL's frontend/backend protocol 3.0: their types, and encoding and decoding them."""
+"""Messages of PostgreSQL's frontend/backend protocol 3.0: types, encoding and decoding."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 
 Value = str | int | None
 
-SSL_REQUEST, PROTOCOL_3 = 80877103, 196608  # codes of the first message
-TEXT, BIGINT, INTEGER = 25, 20, 23  # object identifiers of types
-TYPE_OIDS = {"text": TEXT, "bigint": BIGINT, "integer": INTEGER}
-BINARY_NUMBERS = {BIGINT: struct.Struct(">q"), INTEGER: struct.Struct(">i")}
-PARAMETERS = {
+SSL_REQUEST, PROTOCOL_3 = 80877103, 196608  # codes in the first message of a client
+TEXT_OID, BIGINT_OID, INTEGER_OID = 25, 20, 23  # object identifiers (OIDs) of types
+TYPE_OIDS = {"text": TEXT_OID, "bigint": BIGINT_OID, "integer": INTEGER_OID}
+BINARY_FORMATS = {BIGINT_OID: struct.Struct(">q"), INTEGER_OID: struct.Struct(">i")}
+SERVER_PARAMETERS = {
     "server_version": "16.0",
     "client_encoding": "UTF8",
     "server_encoding": "UTF8",
@@ -55,7 +55,7 @@
 
 
 class SqlStateError(Exception):
-    """An error with its SQLSTATE; a fatal one ends the session."""
+    """An error with its SQLSTATE. A fatal error ends the session."""
 
     def __init__(self, state: str, text: str, *, fatal: bool = False) -> None:
         super().__init__(text)
@@ -69,24 +69,24 @@
         self._body, self._offset = body, 0
 
     def string(self) -> str:
-        """A string, which a zero byte ends."""
+        """Read a string terminated by a zero byte."""
         end = self._body.index(b"\0", self._offset)
         value, self._offset = self._body[self._offset : end].decode(), end + 1
         return value
 
     def number(self, struct_format: str) -> int:
-        """One number of a struct format."""
+        """Read a number of a struct format."""
         value: int
         [value] = struct.unpack_from(f">{struct_format}", self._body, self._offset)
         self._offset += struct.calcsize(f">{struct_format}")
         return value
 
     def numbers(self, struct_format: str) -> list[int]:
-        """A count of two bytes, and that many numbers."""
+        """Read a list of numbers, preceded by their count in two bytes."""
         return [self.number(struct_format) for _ in range(self.number("h"))]
 
     def value(self) -> bytes | None:
-        """A length of four bytes and that many bytes; length -1 is NULL."""
+        """Read a value, preceded by its length in four bytes. Return None for NULL (length -1)."""
         length = self.number("i")
         if length < 0:
             return None
@@ -95,20 +95,20 @@
 
 
 def message(kind: bytes, body: bytes = b"") -> bytes:
-    """A message: its type, its length (which counts itself but not the type), its body."""
+    """Encode a message: type, length (which includes itself but not the type), body."""
     return kind + struct.pack(">I", len(body) + 4) + body
 
 
 def encode_string(value: str) -> bytes:
-    """A string, ended by a zero byte."""
+    """Encode a string, terminated by a zero byte."""
     return value.encode() + b"\0"
 
 
 def startup_messages() -> bytes:
-    """What precedes the first ReadyForQuery: AuthenticationOk, the parameters, a key for cancelling."""
+    """Encode the messages before the first ReadyForQuery: AuthenticationOk, parameters, BackendKeyData."""
     statuses = (
         message(Backend.PARAMETER_STATUS, encode_string(name) + encode_string(value))
-        for name, value in PARAMETERS.items()
+        for name, value in SERVER_PARAMETERS.items()
     )
     return (
         message(Backend.AUTHENTICATION, struct.pack(">I", 0))
@@ -118,12 +118,12 @@
 
 
 def parameter_description(types: Sequence[int]) -> bytes:
-    """The types of a statement's parameters."""
+    """Encode ParameterDescription: the types of a statement's parameters."""
     return message(Backend.PARAMETER_DESCRIPTION, struct.pack(f">h{len(types)}I", len(types), *types))
 
 
 def row_description(columns: Sequence[tuple[str, int]]) -> bytes:
-    """Names and types of the result's columns."""
+    """Encode RowDescription: the names and types of a result's columns."""
     fields = [
         encode_string(name) + struct.pack(">IhIhih", 0, 0, type_oid, -1, -1, 0) for name, type_oid in columns
     ]
@@ -131,25 +131,25 @@
 
 
 def data_row(row: Sequence[Value], types: Sequence[int]) -> bytes:
-    """A row of a result: numbers in binary form, everything else as text."""
+    """Encode DataRow: one row of a result, with numbers in binary format and all other values as text."""
     fields = []
     for value, type_oid in zip(row, types, strict=True):
         if value is None:
             fields.append(struct.pack(">i", -1))
             continue
-        number = BINARY_NUMBERS.get(type_oid)
+        number = BINARY_FORMATS.get(type_oid)
         data = number.pack(value) if number is not None else str(value).encode()
         fields.append(struct.pack(">i", len(data)) + data)
     return message(Backend.DATA_ROW, struct.pack(">h", len(row)) + b"".join(fields))
 
 
 def command_complete(tag: str) -> bytes:
-    """The end of a command, with its tag, such as ``INSERT 0 1``."""
+    """Encode CommandComplete with a command tag, such as ``INSERT 0 1``."""
     return message(Backend.COMMAND_COMPLETE, encode_string(tag))
 
 
 def error_response(error: Exception) -> bytes:
-    """An error with its severity, SQLSTATE and message."""
+    """Encode ErrorResponse: the severity, SQLSTATE and message of an error."""
     severity = "ERROR"
     if isinstance(error, SqlStateError):
         state, severity = error.state, "FATAL" if error.fatal else "ERROR"
--- a/emulators/postgresql/server.py
+++ b/emulators/postgresql/server.py
@@ -1,4 +1,4 @@
-"""The server: its address, its sessions, and their end."""
+"""The emulated PostgreSQL server: accepts clients and runs a session for each."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class PostgresqlEmulator:
-    """The server; its data outlives its restarts."""
+    """An emulated PostgreSQL server. Its data outlives restarts."""
 
     def __init__(self, folder: Path) -> None:
         self._data = SharedData(folder)
@@ -28,12 +28,12 @@
 
     @property
     def commits(self) -> int:
-        """Transactions committed so far, of those that locked the data."""
+        """The number of committed transactions that held the lock."""
         return self._data.commits
 
     @property
     def data_path(self) -> Path:
-        """The SQLite file."""
+        """The SQLite file that holds the data."""
         return self._data.path
 
     @property
@@ -42,26 +42,26 @@
         return f"postgresql://canvasplank@127.0.0.1:{self._port}/outcomes"
 
     def rows(self, sql: str) -> list[tuple[Value, ...]]:
-        """The result of a query of the committed data, in SQLite's dialect."""
+        """Return the result of a query in SQLite's dialect on the committed data."""
         return self._data.rows(sql)
 
     async def start(self) -> None:
-        """Listen; after a stop, at the same address."""
+        """Listen on a free port, or after ``stop`` on the same port as before."""
         self._server = await asyncio.start_server(self._serve, "127.0.0.1", self._port)
         self._port = self._server.sockets[0].getsockname()[1]
 
     async def stop(self) -> None:
-        """Stop at once: uncommitted transactions are lost, connections are reset."""
+        """Stop immediately: uncommitted transactions are lost and connections are reset."""
         self._server.close()
         for task, writer in list(self._connections.items()):
             writer.transport.abort()
             task.cancel()
         await asyncio.gather(*self._connections, return_exceptions=True)
 
-    async def restart(self, away_s: float = 0.0) -> None:
-        """Stop, and start again after ``away_s``."""
+    async def restart(self, downtime_s: float = 0.0) -> None:
+        """Stop, and start again after ``downtime_s`` seconds."""
         await self.stop()
-        await asyncio.sleep(away_s)
+        await asyncio.sleep(downtime_s)
         await self.start()
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
--- a/emulators/postgresql/session.py
+++ b/emulators/postgresql/session.py
@@ -1,4 +1,4 @@
-"""One client's session: start-up, the simple and the extended query protocol."""
+"""One client's session: start-up, and the simple and extended query protocols."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 from emulators.postgresql.connection import ClientConnection
 from emulators.postgresql.protocol import (
-    TEXT,
+    TEXT_OID,
     Backend,
     Frontend,
     MessageReader,
@@ -29,26 +29,26 @@
 
 
 class Portal(NamedTuple):
-    """A statement with the values of its parameters."""
+    """A prepared statement with its parameter values bound."""
 
     statement: PreparedStatement
     values: list[Value]
 
 
 class Session:
-    """One client."""
+    """Processes the messages of one client."""
 
     def __init__(self, data: SharedData, connection: ClientConnection) -> None:
         self._data, self._connection = data, connection
         self._database = data.connect()
         self._transaction = Transaction(data, self._database)
         self._statements: dict[str, PreparedStatement] = {}
-        self._portal: Portal | None = None  # the unnamed one
-        self._failed = False  # messages up to Sync are skipped
+        self._portal: Portal | None = None  # the unnamed portal
+        self._failed = False  # after an error: messages are skipped until Sync or Query
         self._settings: dict[str, str] = {}
 
     async def run(self) -> None:
-        """Serve until the client leaves."""
+        """Process messages until the client terminates the session or exceeds the idle timeout."""
         if not await self._start():
             return
         while True:
@@ -57,7 +57,7 @@
                     kind = await self._connection.read_kind()
             except TimeoutError:
                 text = "terminating connection due to idle-in-transaction timeout"
-                self._fail(SqlStateError("25P03", text, fatal=True))
+                self._on_error(SqlStateError("25P03", text, fatal=True))
                 self._connection.flush()
                 return
             body = await self._connection.read_body()
@@ -72,7 +72,7 @@
                 await self._connection.drain()
 
     def close(self) -> None:
-        """Roll back what is not committed, and close the connection to the data."""
+        """Roll back the current transaction and close the database connection."""
         with contextlib.suppress(sqlite3.Error):
             self._transaction.roll_back()
         self._database.close()
@@ -86,14 +86,14 @@
         self._settings = settings
         await self._data.wait_while_stalled()
         self._connection.send(startup_messages())
-        self._ready()
+        self._send_ready_for_query()
         self._connection.flush()
         return True
 
-    def _ready(self) -> None:
+    def _send_ready_for_query(self) -> None:
         self._connection.send(message(Backend.READY_FOR_QUERY, self._transaction.status))
 
-    def _fail(self, error: Exception) -> None:
+    def _on_error(self, error: Exception) -> None:
         self._failed = True
         self._transaction.on_error()
         self._connection.send(error_response(error))
@@ -108,17 +108,17 @@
         return timeout_ms / 1000 if timeout_ms else None
 
     async def _process(self, kind: bytes, body: MessageReader) -> None:
-        """Process a message; an error of the data or of the statement is sent to the client."""
+        """Process a message, and send a database or statement error to the client."""
         try:
             await self._dispatch(kind, body)
         except (sqlite3.Error, ValueError, SqlStateError) as error:
-            self._fail(error)
+            self._on_error(error)
             if kind == Frontend.QUERY:
                 self._recover()
-                self._ready()
+                self._send_ready_for_query()
 
     def _recover(self) -> None:
-        """After an error: accept messages again; outside a block the transaction is rolled back."""
+        """Accept messages again after an error, and outside a block roll back the transaction."""
         self._failed = False
         if not self._transaction.in_block:
             self._transaction.roll_back()
@@ -143,7 +143,7 @@
             case Frontend.SYNC:
                 await self._sync()
 
-    # ------------------------------------------------------------------------------------ the queries
+    # ------------------------------------------------------------------------------------ queries
 
     async def _simple_query(self, sql: str) -> None:
         command = command_of(sql).rstrip(";")
@@ -157,27 +157,27 @@
             if command in LOCKING_COMMANDS or "pg_advisory_xact_lock" in sql:
                 await self._transaction.lock(self._timeout_s("statement_timeout"))
             for row in self._database.execute(sql).fetchall():
-                self._connection.send(data_row(row, [TEXT] * len(row)))
+                self._connection.send(data_row(row, [TEXT_OID] * len(row)))
             if not self._transaction.in_block:
                 self._transaction.commit()
         self._connection.send(command_complete(command))
-        self._ready()
+        self._send_ready_for_query()
 
     def _bind(self, body: MessageReader) -> None:
-        body.string()  # the portal: only the unnamed one is used
+        body.string()  # name of the portal: only the unnamed portal is used
         statement = self._statements[body.string()]
-        body.numbers("h")  # formats of the parameters: all are binary
-        raw = [body.value() for _ in range(body.number("h"))]
-        self._portal = Portal(statement, statement.decode_parameters(raw))
+        body.numbers("h")  # formats of the parameters: always binary
+        encoded = [body.value() for _ in range(body.number("h"))]
+        self._portal = Portal(statement, statement.decode_parameters(encoded))
         self._connection.send(message(Backend.BIND_COMPLETE))
 
     def _bound_portal(self) -> Portal:
         if self._portal is None:
-            raise SqlStateError("34000", "there is no portal: Bind has not been sent")
+            raise SqlStateError("34000", "portal does not exist: Bind has not been sent")
         return self._portal
 
     def _describe(self, kind: str, name: str) -> None:
-        """Describe a prepared statement (kind S) or the portal."""
+        """Describe a prepared statement (kind ``S``) or the portal (kind ``P``)."""
         if kind == "S":
             statement = self._statements[name]
             self._connection.send(parameter_description(statement.types))
@@ -199,7 +199,7 @@
         if statement.locks:
             await self._transaction.lock(self._timeout_s("statement_timeout"))
         if self._data.faults.refuse_rows & set(values):
-            raise ValueError("a value that this database does not take")
+            raise ValueError("a parameter value is in Faults.refuse_rows")
         cursor = self._database.execute(to_sqlite(statement.sql), values)
         rows = cursor.fetchall()
         types = self._column_types(cursor)
@@ -217,9 +217,9 @@
             try:
                 self._transaction.commit()
             except SqlStateError as error:
-                self._fail(error)
+                self._on_error(error)
                 self._failed = False
-        self._ready()
+        self._send_ready_for_query()
 
     async def _delay(self) -> None:
         if self._data.faults.delay_s:
--- a/emulators/postgresql/shared_data.py
+++ b/emulators/postgresql/shared_data.py
@@ -1,4 +1,4 @@
-"""What all sessions of the server share: its data in an SQLite file, its lock, its faults."""
+"""State that all sessions of the server share: the data in an SQLite file, the lock and the faults."""
 
 from __future__ import annotations
 
@@ -8,24 +8,24 @@
 from pathlib import Path
 
 from emulators.postgresql.faults import Faults
-from emulators.postgresql.protocol import TEXT, TYPE_OIDS, Value
+from emulators.postgresql.protocol import TEXT_OID, TYPE_OIDS, Value
 
 DATA_FILE = "standin.db"  # within the server's folder
 STALL_POLL_INTERVAL_S = 0.01
 
 
 class SharedData:
-    """The data, which outlives restarts of the server."""
+    """The data in an SQLite file, the lock and the faults. All of them outlive restarts of the server."""
 
     def __init__(self, folder: Path) -> None:
         self.path = folder / DATA_FILE
         self.faults = Faults()
-        self.lock = asyncio.Lock()  # stands for every row lock
+        self.lock = asyncio.Lock()  # replaces all row locks
         self.commits = 0
         self._column_types: dict[str, int] = {}
 
     def connect(self) -> sqlite3.Connection:
-        """A connection with the functions that the clients' statements use."""
+        """Open a connection that provides the PostgreSQL functions used by clients' statements."""
         database = sqlite3.connect(self.path, timeout=1.0, isolation_level=None)
         database.execute("PRAGMA journal_mode = WAL")
         database.execute("PRAGMA synchronous = OFF")
@@ -33,7 +33,7 @@
         return database
 
     def column_type(self, database: sqlite3.Connection, column: str) -> int:
-        """The type of a result's column: that of a table's column of this name, else text."""
+        """Return the type OID of a result's column: that of a table column of this name, else text."""
         if column not in self._column_types:
             found = database.execute(
                 "SELECT c.type FROM sqlite_master t, pragma_table_info(t.name) c "
@@ -41,16 +41,16 @@
                 [column],
             ).fetchone()
             if found is None:
-                return TEXT
+                return TEXT_OID
             self._column_types[column] = TYPE_OIDS[found[0].lower()]
         return self._column_types[column]
 
     def rows(self, sql: str) -> list[tuple[Value, ...]]:
-        """The result of a query of the committed data, in SQLite's dialect."""
+        """Return the result of a query in SQLite's dialect on the committed data."""
         with contextlib.closing(self.connect()) as database:
             return database.execute(sql).fetchall()
 
     async def wait_while_stalled(self) -> None:
-        """Return once the fault ``stalled`` is not set."""
+        """Wait while the fault ``stalled`` is set."""
         while self.faults.stalled:
             await asyncio.sleep(STALL_POLL_INTERVAL_S)
--- a/emulators/postgresql/transaction.py
+++ b/emulators/postgresql/transaction.py
@@ -1,4 +1,4 @@
-"""A session's transaction: the lock, the commit, and the faults of a commit."""
+"""Transactions of a session: the lock, commit and rollback, and injected commit faults."""
 
 from __future__ import annotations
 
@@ -10,28 +10,28 @@
 
 
 class Transaction:
-    """The transactions of one session, one after another.
+    """The current transaction of a session.
 
-    Outside a block every statement is a transaction of its own, which Sync commits.
+    Outside a block, every statement is a transaction of its own that Sync commits.
     """
 
     def __init__(self, data: SharedData, database: sqlite3.Connection) -> None:
         self._data, self._database = data, database
         self._holds_lock = False
         self.in_block = False  # between BEGIN and COMMIT or ROLLBACK
-        self.aborted = False  # a statement of the block has failed: only the end of the block is executed
+        self.aborted = False  # a statement of the block has failed: further statements are rejected
 
     @property
     def status(self) -> bytes:
-        """As ReadyForQuery reports it."""
+        """The transaction status in ReadyForQuery: I (idle), T (in a block) or E (in an aborted block)."""
         return b"I" if not self.in_block else b"E" if self.aborted else b"T"
 
     def begin_block(self) -> None:
-        """Begin a block; the data is locked by the first statement that locks it."""
+        """Begin a block. Its first statement that takes row locks acquires the lock."""
         self.in_block = True
 
     def end_block(self, *, commit: bool) -> None:
-        """Commit or roll back the block; an aborted one is rolled back in either case."""
+        """Commit or roll back the block. An aborted block is always rolled back."""
         commit = commit and not self.aborted
         self.in_block = self.aborted = False
         if commit:
@@ -40,20 +40,20 @@
             self.roll_back()
 
     def on_error(self) -> None:
-        """A statement has failed: the block, if there is one, is aborted."""
+        """Abort the block, if any, after a statement has failed."""
         self.aborted = self.in_block
 
     def check_not_aborted(self) -> None:
-        """Raise ``SqlStateError`` (25P02) within an aborted block."""
+        """Raise ``SqlStateError`` (25P02) in an aborted block."""
         if self.aborted:
             raise SqlStateError(
                 "25P02", "current transaction is aborted, commands ignored until end of block"
             )
 
     async def lock(self, timeout_s: float | None) -> None:
-        """Take the lock and begin a transaction in the data, unless it holds the lock already.
+        """Acquire the lock and begin a transaction in SQLite, unless this session holds the lock already.
 
-        Raises ``SqlStateError`` (57014) after the time.
+        Raises ``SqlStateError`` (57014) if the lock is not available within ``timeout_s``.
         """
         if self._holds_lock:
             return
@@ -66,10 +66,10 @@
         self._database.execute("BEGIN IMMEDIATE")
 
     def commit(self) -> None:
-        """Commit what has been locked, if anything, with the faults that a commit may have.
+        """Commit and release the lock, if this session holds it, and apply injected commit faults.
 
-        Raises ``ConnectionAbortedError`` for a lost connection and ``SqlStateError`` (40001) for a
-        serialization failure.
+        Raises ``ConnectionAbortedError`` for an injected connection loss and ``SqlStateError`` (40001) for an
+        injected serialization failure.
         """
         faults = self._data.faults
         if not self._holds_lock:
@@ -88,7 +88,7 @@
             raise ConnectionAbortedError
 
     def roll_back(self) -> None:
-        """Undo what has been locked, if anything."""
+        """Roll back and release the lock, if this session holds it."""
         self._end("ROLLBACK")
 
     def _end(self, command: str) -> None:
--- a/emulators/unreadable_messages.py
+++ b/emulators/unreadable_messages.py
@@ -1,18 +1,18 @@
-"""Messages of a call server that no reader of SIP can use, one of each kind, for emulators and tests."""
+"""Malformed SIP messages of a call server, one of each kind, for emulators and tests."""
 
 from __future__ import annotations
 
 import enum
 import random
 
-PADDING_BYTES = 1_000_000  # behind a length that is false: as much as a peer may have on its way
+PADDING_BYTES = 1_000_000  # after a false length: as much as a peer may have in flight
 RANDOM_BYTES = 4096
-HEADERS_BYTES = 20_000  # more than the 16 KiB that a message may have
-_FALSE_LENGTH = 3_000_000_000
+OVERSIZED_HEADER_BYTES = 20_000  # the limit for a message is 16 KiB
+_FALSE_LENGTH_BYTES = 3_000_000_000
 
 
 class UnreadableKind(enum.Enum):
-    """What is wrong with the message."""
+    """The defect of an unreadable message."""
 
     FALSE_LENGTH = "false length"
     ENDLESS_HEADERS = "endless headers"
@@ -20,20 +20,21 @@
     OTHER_VERSION = "other version"
     HEADERS_NOT_UTF8 = "headers not UTF-8"
     RANDOM = "random bytes"
-    INCOMPLETE = "incomplete"  # the body stops in the middle; what follows is taken for the rest
+    # The body stops short: the bytes received next are taken for the rest of it.
+    INCOMPLETE = "incomplete"
 
 
 def unreadable_message(kind: UnreadableKind, call_id: str, seed: int = 0) -> bytes:
-    """The bytes of an answer (200 to INVITE) of this call that cannot be read.
+    """Return an unreadable answer (200 to INVITE) to a call's set-up.
 
-    ``seed`` draws the random bytes.  None of them ends with bytes that begin another message.
+    ``seed`` seeds the random bytes. No such answer ends with bytes that could begin another message.
     """
     answer = f"SIP/2.0 200 OK\r\nCall-ID: {call_id}\r\nCSeq: 1 INVITE\r\n".encode()
     match kind:
         case UnreadableKind.FALSE_LENGTH:
-            return answer + b"Content-Length: %d\r\n\r\n" % _FALSE_LENGTH + b"x" * PADDING_BYTES
+            return answer + b"Content-Length: %d\r\n\r\n" % _FALSE_LENGTH_BYTES + b"x" * PADDING_BYTES
         case UnreadableKind.ENDLESS_HEADERS:
-            return answer + b"X-Note: " + b"x" * HEADERS_BYTES
+            return answer + b"X-Note: " + b"x" * OVERSIZED_HEADER_BYTES
         case UnreadableKind.LENGTH_GIVEN_TWICE:
             return answer + b"Content-Length: 4\r\nContent-Length: 40\r\n\r\nbody"
         case UnreadableKind.OTHER_VERSION:
@@ -41,7 +42,7 @@
         case UnreadableKind.HEADERS_NOT_UTF8:
             return answer + b"X-Note: \xff\xfe\xc0\r\nContent-Length: 0\r\n\r\n"
         case UnreadableKind.RANDOM:
-            # Of bytes that no message begins with, or the first might pass for the start of one.
+            # Only bytes of 128 and above: another first byte might pass for the start of a message.
             return random.Random(seed).randbytes(RANDOM_BYTES).translate(bytes(range(128, 256)) * 2)
         case UnreadableKind.INCOMPLETE:
             return answer + b"Content-Length: 400\r\n\r\nthe body stops he"
