--- a/examples/__init__.py
+++ b/examples/__init__.py
@@ -1,1 +1,1 @@
-"""Programs to try the proxy with; nothing here belongs to it."""
+"""Example programs to try the proxy with. They are not part of the proxy."""
--- a/examples/demo.py
+++ b/examples/demo.py
@@ -1,4 +1,4 @@
-"""Shows one call set up through the proxy: starts the toy server and the proxy, calls, and stops both."""
+"""Places one call through the proxy: starts the toy server and the proxy, places the call and stops both."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 from examples import toy_caller
 
 ROOT = Path(__file__).parent.parent
-WAIT_S = 15.0
+TIMEOUT_S = 15.0
 
 
 def main() -> int:
-    """Run the three programs of the README's "Try it" in one."""
+    """Run the three programs of the README's section "Try it"."""
     with contextlib.ExitStack() as cleanup:
         _start(cleanup, "examples.toy_server", "toy server ready")
         _start(cleanup, "canvasplank", " listens on ")
@@ -36,9 +36,9 @@
         stdout=subprocess.PIPE,
         stderr=subprocess.STDOUT,
     )
-    cleanup.callback(process.wait, WAIT_S)
+    cleanup.callback(process.wait, TIMEOUT_S)
     cleanup.callback(process.terminate)
-    deadline = time.monotonic() + WAIT_S
+    deadline = time.monotonic() + TIMEOUT_S
     for line in process.stdout:
         print(f"{module}: {line.rstrip()}", flush=True)
         if ready in line:
--- a/examples/toy_caller.py
+++ b/examples/toy_caller.py
@@ -22,7 +22,7 @@
 
 
 def main(proxy: str = "127.0.0.1:2905") -> None:
-    """Call, and read until the call is released."""
+    """Place a call and read messages until the call is released."""
     call_id = secrets.token_hex(8)
     parser = isup.Parser()
     with socket.create_connection(parse_address(proxy), timeout=10) as stream:
--- a/examples/toy_server.py
+++ b/examples/toy_server.py
@@ -1,8 +1,9 @@
-"""A toy call server, with a toy service discovery beside it.
+"""A toy call server and a toy service discovery in one process.
 
 ``python -m examples.toy_server [SIP_PORT [DISCOVERY_PORT]]``
 
-It answers every set-up after 30 ms, reports its free lines every second, and releases each call after 2 s.
+The call server answers every set-up after 30 ms, reports its free circuits every second, and releases each
+call after 2 s.
 """
 
 from __future__ import annotations
@@ -12,12 +13,12 @@
 
 from canvasplank.codecs import sip
 
-LINES = 40
+CIRCUITS = 40
 ANSWER_DELAY_S, CALL_DURATION_S, REPORT_INTERVAL_S = 0.03, 2.0, 1.0
 SIP_PORT, DISCOVERY_PORT = "2906", "4222"
 
 
-class ToyServer:
+class ToyServerConnection:
     """One connection from a signalling proxy."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -57,13 +58,13 @@
 
     async def _report(self) -> None:
         while True:
-            load_reports = {"X-Gauges": f"free:{LINES - len(self._calls)};size:{LINES}"}
-            self._writer.write(sip.request("NOTIFY", "exchange", "0" * 16, 1, load_reports))
+            headers = {"X-Gauges": f"free:{CIRCUITS - len(self._calls)};size:{CIRCUITS}"}
+            self._writer.write(sip.request("NOTIFY", "exchange", "0" * 16, 1, headers))
             await asyncio.sleep(REPORT_INTERVAL_S)
 
 
 async def discovery(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-    """Service discovery without any event: a comment each second."""
+    """Serve service discovery without events: send a comment every second."""
     await reader.readuntil(b"\r\n\r\n")
     writer.write(b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n")
     while not writer.is_closing():
@@ -72,9 +73,11 @@
 
 
 async def main(sip_port: str = SIP_PORT, discovery_port: str = DISCOVERY_PORT) -> None:
-    """Serve until stopped."""
+    """Serve until the process is stopped."""
     servers = [
-        await asyncio.start_server(lambda r, w: ToyServer(r, w).serve(), "127.0.0.1", int(sip_port)),
+        await asyncio.start_server(
+            lambda r, w: ToyServerConnection(r, w).serve(), "127.0.0.1", int(sip_port)
+        ),
         await asyncio.start_server(discovery, "127.0.0.1", int(discovery_port)),
     ]
     print("toy server ready", flush=True)
--- a/tests/test_examples.py
+++ b/tests/test_examples.py
@@ -1,4 +1,4 @@
-"""The README's example of a toy call works, here on free ports."""
+"""The README's toy call, run on free ports."""
 
 from __future__ import annotations
 
@@ -14,21 +14,21 @@
 
 
 def test_a_toy_call_is_answered(tmp_path):
-    taken = [socket.create_server(("127.0.0.1", 0)) for _ in range(3)]
-    proxy, sip, discovery = (str(s.getsockname()[1]) for s in taken)
-    for listener in taken:
+    listeners = [socket.create_server(("127.0.0.1", 0)) for _ in range(3)]
+    proxy, sip, discovery = (str(listener.getsockname()[1]) for listener in listeners)
+    for listener in listeners:
         listener.close()
     text = (ROOT / "examples/config.json").read_text()
-    for written, free in (("2905", proxy), ("2906", sip), ("4222", discovery)):
-        text = text.replace(f":{written}", f":{free}")
+    for configured_port, free_port in (("2905", proxy), ("2906", sip), ("4222", discovery)):
+        text = text.replace(f":{configured_port}", f":{free_port}")
     config = tmp_path / "config.json"
     config.write_text(json.dumps(json.loads(text)))
     environment = {k: v for k, v in os.environ.items() if not k.startswith("EDGE_")}
     environment["EDGE_CONFIG"] = str(config)
 
-    def run(*words: str) -> subprocess.Popen:
+    def run(*arguments: str) -> subprocess.Popen:
         return subprocess.Popen(
-            [sys.executable, "-m", *words],
+            [sys.executable, "-m", *arguments],
             cwd=ROOT,
             env=environment,
             text=True,
