--- a/canvasplank/database/__init__.py
+++ b/canvasplank/database/__init__.py
@@ -1,1 +1,1 @@
-"""Opening, migrating and using SQLite and PostgreSQL, for the store of record and for the fleet."""
+"""Access to SQLite and PostgreSQL, including schema migrations, for the store of record and the fleet."""
--- a/canvasplank/database/errors.py
+++ b/canvasplank/database/errors.py
@@ -1,19 +1,19 @@
-"""The errors that a database raises, whichever it is."""
+"""Errors of the database layer, the same for SQLite and PostgreSQL."""
 
 from __future__ import annotations
 
 
 class DatabaseError(Exception):
-    """Root of the errors that the database layer raises."""
+    """Base class of all errors that the database layer raises."""
 
 
 class StoreUnavailableError(DatabaseError):
-    """The database cannot be reached, or the outcome of a request is unknown: the request may be retried."""
+    """The database is unreachable, or the outcome of a request is unknown; the request may be retried."""
 
 
 class StoreRefusedError(DatabaseError):
-    """The database rejects the data (a constraint, a type, an encoding): retrying the request cannot help."""
+    """The database rejected the data (constraint, type or encoding); retrying the request cannot succeed."""
 
 
 class NewerSchemaError(DatabaseError):
-    """The tables have a newer schema version than this program knows: it must not write to them."""
+    """The tables have a newer schema version than this program supports, so it must not write to them."""
--- a/canvasplank/database/location.py
+++ b/canvasplank/database/location.py
@@ -1,4 +1,4 @@
-"""Where a database is: the check of the settings that locate it, and closing it within a bound."""
+"""Validates the settings that locate a database, and closes a backend within a time limit."""
 
 from __future__ import annotations
 
@@ -13,25 +13,25 @@
 
 
 def check_location(backend: str, path: str, dsn: str) -> None:
-    """Raise ``ValueError`` if ``backend`` lacks the setting that locates it: ``path`` or ``dsn``."""
+    """Raise ``ValueError`` if the path (SQLite) or the DSN (PostgreSQL) is missing or malformed."""
     if backend == "sqlite" and not path:
         raise ValueError("backend sqlite needs a path")
     if backend == "postgresql":
         url = urlsplit(dsn)
         if url.scheme not in POSTGRESQL_SCHEMES or not url.hostname or not url.path.strip("/"):
             raise ValueError("backend postgresql needs a dsn like postgresql://user@host:5432/database")
-        _ = url.port  # raises ValueError if it is not a port number
+        _ = url.port  # raises ValueError if the port is not a valid number
 
 
 class Closeable(Protocol):
-    """Anything that can be closed."""
+    """A backend with a connection that can be closed."""
 
     async def close(self) -> None:
-        """Release its connection."""
+        """Close the connection."""
 
 
 async def close_within(backend: Closeable, timeout_s: float) -> None:
-    """Close the backend; one that does not close within ``timeout_s``, or fails to, is abandoned."""
+    """Close the backend, ignoring database errors; give up after ``timeout_s`` seconds."""
     with contextlib.suppress(TimeoutError, StoreUnavailableError, StoreRefusedError):
         async with asyncio.timeout(timeout_s):
             await backend.close()
--- a/canvasplank/database/migrations.py
+++ b/canvasplank/database/migrations.py
@@ -1,7 +1,7 @@
-"""Numbered migrations, each applied once, in SQL that both SQLite and PostgreSQL accept.
+"""Numbered schema migrations in SQL that both SQLite and PostgreSQL accept.
 
-Parameters are ``$1`` and so on, each in a CAST: PostgreSQL then knows its type without inference, and SQLite
-stores the value with that type.
+All statements use the parameters ``$1``, ``$2`` and so on, each in a CAST: PostgreSQL then need not infer the
+type, and SQLite stores the value with that type.  ``sqlite.to_sqlite`` adapts a statement to SQLite.
 """
 
 from __future__ import annotations
@@ -13,36 +13,36 @@
 
 @dataclass(frozen=True, slots=True)
 class Schema:
-    """One subsystem's tables.
+    """The tables of one subsystem and the migrations that create them.
 
-    Each migration is applied once, in order, in one transaction with the version number that it results in.
-    Never change a released migration: add another.
+    Migrations are applied in order, each once.  Pending migrations and the new version numbers are committed
+    in one transaction.  Never change a released migration; add another instead.
     """
 
     version_table: str
-    lock: int  # PostgreSQL's advisory lock while migrating: any number that no other program locks there
+    advisory_lock_id: int  # locked in PostgreSQL while migrating; no other program may use this number
     migrations: tuple[tuple[str, ...], ...]
 
     @property
     def create_version_table(self) -> str:
-        """The statement that creates the version table if it does not exist."""
+        """Return the statement that creates the version table if it does not exist."""
         return f"CREATE TABLE IF NOT EXISTS {self.version_table} (version integer NOT NULL)"
 
     @property
     def select_version(self) -> str:
-        """The statement that reads the version; NULL before the first migration."""
+        """Return the query for the schema version, which yields NULL before the first migration."""
         return f"SELECT max(version) FROM {self.version_table}"
 
     @property
     def insert_version(self) -> str:
-        """The statement that stores a version number, its one parameter."""
+        """Return the statement that stores the version number given as ``$1``."""
         return f"INSERT INTO {self.version_table} (version) VALUES (CAST($1 AS integer))"
 
     def pending_migrations(self, version: int | None) -> range:
-        """Indices of the migrations to apply to a database of this version.
+        """Return the indices of the migrations to apply to tables of this version (None: no migration yet).
 
-        Raises ``NewerSchemaError`` if a later version of the program has migrated it.
+        Raises ``NewerSchemaError`` if a newer release of the program has migrated the tables.
         """
         if (version or 0) > len(self.migrations):
-            raise NewerSchemaError(f"its tables are of version {version}, newer than {len(self.migrations)}")
+            raise NewerSchemaError(f"schema version {version}, newer than supported ({len(self.migrations)})")
         return range(version or 0, len(self.migrations))
--- a/canvasplank/database/postgresql.py
+++ b/canvasplank/database/postgresql.py
@@ -1,4 +1,4 @@
-"""A connection to PostgreSQL through asyncpg, for a database that several machines share."""
+"""A PostgreSQL connection through asyncpg, for a database that several machines share."""
 
 from __future__ import annotations
 
@@ -11,9 +11,9 @@
 from canvasplank.database.errors import NewerSchemaError, StoreRefusedError, StoreUnavailableError
 from canvasplank.database.migrations import Schema
 
-# The data is at fault: the server's SQLSTATE classes 22 and 23, or a value that cannot be encoded.
-REJECTIONS = (asyncpg.DataError, asyncpg.IntegrityConstraintViolationError)
-FAILURES = (
+# Raised for invalid data: SQLSTATE classes 22 and 23, or a value that cannot be encoded.
+DATA_ERRORS = (asyncpg.DataError, asyncpg.IntegrityConstraintViolationError)
+UNAVAILABLE_ERRORS = (
     asyncpg.PostgresError,
     asyncpg.InterfaceError,
     OSError,
@@ -26,9 +26,9 @@
 
 
 class PostgresqlEngine:
-    """One connection with one subsystem's tables.
+    """One connection to a database with the tables of one subsystem.
 
-    Every method raises ``StoreUnavailableError`` or ``StoreRefusedError`` in place of the driver's errors.
+    All methods translate the driver's errors to ``StoreUnavailableError`` or ``StoreRefusedError``.
     """
 
     def __init__(
@@ -39,34 +39,34 @@
         self._connection: asyncpg.Connection | None = None
 
     async def run(self, operation: Callable[[asyncpg.Connection], Awaitable[Result]]) -> Result:
-        """Run the operation with the connection and return its result."""
-        return await self._translate_errors(operation(self._open_connection))
+        """Run an operation on the connection and return its result."""
+        return await self._translate_errors(operation(self._active_connection))
 
     async def open(self) -> None:
-        """Connect and migrate the tables."""
+        """Connect and apply the pending migrations."""
         await self._translate_errors(self._open())
 
     async def migrate(self, schema: Schema) -> None:
-        """Migrate another subsystem's tables in the same database."""
+        """Apply the pending migrations of another subsystem in the same database."""
         await self.run(lambda connection: _migrate(connection, schema))
 
     async def close(self) -> None:
-        """Drop the connection without the protocol's Terminate, on which a stalled server would block."""
+        """Abort the connection without sending Terminate, which would block if the server is stalled."""
         connection, self._connection = self._connection, None
         if connection is not None:
-            with contextlib.suppress(*FAILURES):
+            with contextlib.suppress(*UNAVAILABLE_ERRORS):
                 connection.terminate()
 
     async def _translate_errors(self, operation: Awaitable[Result]) -> Result:
         try:
             return await operation
-        except REJECTIONS as error:
+        except DATA_ERRORS as error:
             raise StoreRefusedError(f"PostgreSQL: {error}") from error
-        except FAILURES as error:
+        except UNAVAILABLE_ERRORS as error:
             raise StoreUnavailableError(f"PostgreSQL: {error or type(error).__name__}") from error
 
     @property
-    def _open_connection(self) -> asyncpg.Connection:
+    def _active_connection(self) -> asyncpg.Connection:
         if self._connection is None or self._connection.is_closed():
             raise StoreUnavailableError("PostgreSQL: not connected")
         return self._connection
@@ -81,7 +81,7 @@
 
 async def _migrate(connection: asyncpg.Connection, schema: Schema) -> None:
     async with connection.transaction():
-        await connection.execute(f"SELECT pg_advisory_xact_lock({schema.lock})")
+        await connection.execute(f"SELECT pg_advisory_xact_lock({schema.advisory_lock_id})")
         await connection.execute(schema.create_version_table)
         version = await connection.fetchval(schema.select_version)
         for index in schema.pending_migrations(None if version is None else int(version)):
--- a/canvasplank/database/sqlite.py
+++ b/canvasplank/database/sqlite.py
@@ -1,4 +1,4 @@
-"""An SQLite file, for one machine; the library's calls block, so one worker thread makes them all."""
+"""An SQLite database file, for one machine.  One worker thread makes all library calls, since they block."""
 
 from __future__ import annotations
 
@@ -11,16 +11,16 @@
 from canvasplank.database.migrations import Schema
 from canvasplank.runtime.worker_thread import WorkerThread, WorkerThreadBusyError
 
-LOCK_TIMEOUT_S = 1.0  # how long the library waits for another writer's lock before it fails
-REJECTIONS = (sqlite3.IntegrityError, sqlite3.DataError, sqlite3.InterfaceError, OverflowError, ValueError)
+LOCK_TIMEOUT_S = 1.0  # maximum wait for the lock of another writer
+DATA_ERRORS = (sqlite3.IntegrityError, sqlite3.DataError, sqlite3.InterfaceError, OverflowError, ValueError)
 
 Result = TypeVar("Result")
 
 
 class SqliteEngine:
-    """One file with one subsystem's tables.
+    """One database file with the tables of one subsystem.
 
-    Every method raises ``StoreUnavailableError`` or ``StoreRefusedError`` in place of the library's errors.
+    All methods translate the library's errors to ``StoreUnavailableError`` or ``StoreRefusedError``.
     """
 
     def __init__(self, path: str, schema: Schema, thread_name: str) -> None:
@@ -29,19 +29,19 @@
         self._connection: sqlite3.Connection | None = None
 
     async def run(self, operation: Callable[[sqlite3.Connection], Result]) -> Result:
-        """Run the operation with the connection, on the worker thread, and return its result."""
-        return await self._run_on_thread(lambda: operation(self._open_connection))
+        """Run an operation on the connection, on the worker thread, and return its result."""
+        return await self._run_on_thread(lambda: operation(self._active_connection))
 
     async def open(self) -> None:
-        """Connect and migrate the tables."""
+        """Open the file and apply the pending migrations."""
         await self._run_on_thread(self._open)
 
     async def migrate(self, schema: Schema) -> None:
-        """Migrate another subsystem's tables in the same file."""
+        """Apply the pending migrations of another subsystem in the same file."""
         await self.run(lambda connection: _migrate(connection, schema))
 
     async def close(self) -> None:
-        """Close the connection; it may be opened again."""
+        """Close the connection; the engine may be opened again."""
         with contextlib.suppress(StoreUnavailableError, StoreRefusedError):
             await self._run_on_thread(self._close)
 
@@ -51,13 +51,13 @@
             return await self._thread.run(operation)
         except WorkerThreadBusyError as error:
             raise StoreUnavailableError(f"SQLite {self._path}: {error}") from error
-        except REJECTIONS as error:
+        except DATA_ERRORS as error:
             raise StoreRefusedError(f"SQLite: {error}") from error
         except (sqlite3.Error, NewerSchemaError) as error:
             raise StoreUnavailableError(f"SQLite {self._path}: {error}") from error
 
     @property
-    def _open_connection(self) -> sqlite3.Connection:
+    def _active_connection(self) -> sqlite3.Connection:
         if self._connection is None:
             raise StoreUnavailableError("SQLite: not open")
         return self._connection
@@ -81,7 +81,7 @@
 
 
 def _migrate(connection: sqlite3.Connection, schema: Schema) -> None:
-    with transaction(connection):  # holds the write lock: one process migrates, the others find it done
+    with transaction(connection):  # write lock: one process migrates, the others then find nothing pending
         connection.execute(schema.create_version_table)
         [version] = connection.execute(schema.select_version).fetchone()
         for index in schema.pending_migrations(version):
@@ -92,7 +92,7 @@
 
 @contextlib.contextmanager
 def transaction(connection: sqlite3.Connection) -> Iterator[None]:
-    """A transaction that holds the file's one write lock from its start; rolled back on any exception."""
+    """Run a transaction that locks the file for writing from its start and rolls back on any exception."""
     connection.execute("BEGIN IMMEDIATE")
     try:
         yield
@@ -104,8 +104,8 @@
 
 
 def to_sqlite(sql: str) -> str:
-    """The statement in SQLite's dialect: numbered parameters as ``?1``, and no FOR UPDATE.
+    """Return the statement in SQLite's dialect: parameters are ``?1`` and so on, and there is no FOR UPDATE.
 
-    SQLite has no row locks: ``transaction`` locks the whole file.
+    SQLite has no row locks; ``transaction`` locks the whole file instead.
     """
     return sql.replace("$", "?").replace(" FOR UPDATE", "")
--- a/canvasplank/database/statements.py
+++ b/canvasplank/database/statements.py
@@ -1,4 +1,4 @@
-"""Statements and rows as the packages above the database exchange them."""
+"""Types of SQL statements and rows, shared by the packages that use a database."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class Statement(NamedTuple):
-    """An SQL statement with its parameters, ``$1`` first (see ``database.migrations`` for the dialect)."""
+    """An SQL statement in the dialect of ``database.migrations``, with the values of ``$1``, ``$2`` etc."""
 
     sql: str
     parameters: Row
