--- a/canvasplank/store/__init__.py
+++ b/canvasplank/store/__init__.py
@@ -1,1 +1,1 @@
-"""The store of record: every call's outcome, written behind the calls to SQLite or PostgreSQL."""
+"""The store of record: writes the outcome of every call to SQLite or PostgreSQL, without delaying calls."""
--- a/canvasplank/store/__main__.py
+++ b/canvasplank/store/__main__.py
@@ -1,4 +1,4 @@
-"""The operators' command line: ``python -m canvasplank.store summary`` and ``check``."""
+"""The command line of the store: ``python -m canvasplank.store summary`` and ``check``."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from canvasplank.store.records import Final
 
 COUNTER_LINE = re.compile(r'edge_(served|refused|failed)\{class="((?:[^"\\]|\\.)*)"\} (\d+)')
-FINALS_COUNTED_AS_FAILED = (Final.FAILED, Final.INVALID)  # both are in the counter edge_failed
+FINALS_COUNTED_AS_FAILED = (Final.FAILED, Final.INVALID)  # the counter edge_failed counts both
 
 store_option = click.option(
     "--store",
@@ -27,8 +27,8 @@
     envvar="CANVASPLANK_STORE",
     help="Settings file of the store, such as deploy/store.toml.",
 )
-DATES = click.DateTime(["%Y-%m-%dT%H:%M:%S", "%Y-%m-%dT%H:%M", "%Y-%m-%d"])
-since_option = click.option("--since", type=DATES, help="Only calls taken since this time (UTC).")
+UTC_TIME = click.DateTime(["%Y-%m-%dT%H:%M:%S", "%Y-%m-%dT%H:%M", "%Y-%m-%d"])
+since_option = click.option("--since", type=UTC_TIME, help="Only calls taken since this time (UTC).")
 instance_option = click.option("--instance", default="", help="Only calls of this instance.")
 
 
@@ -45,7 +45,7 @@
 
 
 def query_counts(path: str, since: datetime | None, instance: str) -> list[CallCount]:
-    """The store's counts; raises ``ClickException`` (one line, exit status 1) if they cannot be read."""
+    """Return the store's call counts; raises ``ClickException`` (one line, exit status 1) on failure."""
     try:
         return asyncio.run(_count_calls(path, since, instance))
     except (ConfigurationError, StoreUnavailableError, StoreRefusedError, TimeoutError) as error:
@@ -54,7 +54,7 @@
 
 @click.group()
 def cli() -> None:
-    """Query the store of record for call outcomes."""
+    """Query the call outcomes in the store of record."""
 
 
 @cli.command()
@@ -79,9 +79,10 @@
     help="The response of the admin command `counters`; - for standard input.",
 )
 def check(path: str, since: datetime | None, instance: str, figures: TextIO) -> None:
-    """Compare records with the counters of an instance: served, refused and failed calls by class.
+    """Compare the records with an instance's counters of served, refused and failed calls by class.
 
-    Exit status 1 if they differ.  The counters start at zero with the process, so --since is its start.
+    The exit status is 1 if they differ.  Pass the start time of the instance's process as --since, since the
+    process counts from zero.
     """
     counters = {(name, final): int(value) for final, name, value in COUNTER_LINE.findall(figures.read())}
     recorded = count_by_counter(query_counts(path, since, instance))
@@ -97,7 +98,7 @@
 
 
 def count_by_counter(counts: list[CallCount]) -> Counter[tuple[str, str]]:
-    """Records by class and counter; a call that its caller gave up is in no counter."""
+    """Sum the records by class and counter; no counter includes calls that their callers gave up."""
     recorded: Counter[tuple[str, str]] = Counter()
     for count in counts:
         if count.final != Final.GIVEN_UP:
--- a/canvasplank/store/backend.py
+++ b/canvasplank/store/backend.py
@@ -1,4 +1,4 @@
-"""The port between the writer and a database."""
+"""The interface between the store's writer and its databases."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class CallCount(NamedTuple):
-    """The number of records with the same class, final answer and ending."""
+    """The number of records that share a class, a final answer and an ending."""
 
     class_name: str
     final: str
@@ -18,16 +18,16 @@
 
 
 class Backend(Protocol):
-    """A database that stores records; methods raise ``StoreUnavailableError`` or ``StoreRefusedError``."""
+    """A database of call records; methods may raise ``StoreUnavailableError`` or ``StoreRefusedError``."""
 
     async def open(self) -> None:
-        """Connect and migrate the tables."""
+        """Connect and apply the pending migrations."""
 
     async def write(self, batch: Sequence[CallOutcome]) -> None:
-        """Write all records or none, durably; records that are stored already change nothing."""
+        """Store all records durably in one transaction; those that are stored already change nothing."""
 
     async def count_calls(self, since_ms: int, instance: str) -> list[CallCount]:
-        """Count records of calls taken since this Unix time, of one instance or (empty) of all."""
+        """Count the calls received since a Unix time, at one instance or (empty) at all instances."""
 
     async def close(self) -> None:
-        """Close the connection; it may be opened again."""
+        """Close the connection; the backend may be opened again."""
--- a/canvasplank/store/config.py
+++ b/canvasplank/store/config.py
@@ -1,4 +1,4 @@
-"""Settings of the store of record, from a file of its own (TOML) that ``CANVASPLANK_STORE`` names."""
+"""Settings of the store of record, read from the TOML file that ``CANVASPLANK_STORE`` names."""
 
 from __future__ import annotations
 
@@ -14,27 +14,28 @@
 
 
 class StoreSettings(msgspec.Struct, forbid_unknown_fields=True):
-    """Which database, and the bounds of queue, batches and times.
+    """The database, and the limits on the queue, on batches and on times.
 
-    A field whose key in the file differs from its name carries that key.
+    Where a field's key in the file differs from the field's name, ``msgspec.field`` gives the key.
     """
 
     backend: Literal["sqlite", "postgresql"]
-    path: str = ""  # sqlite: the file
+    path: str = ""  # sqlite: path of the file
     dsn: str = ""  # postgresql: postgresql://user@host:port/database; the password comes from PGPASSWORD
-    # Records that may wait; about 10 MB.
+    # Maximum number of unwritten records; the default takes about 10 MB.
     max_queue: Annotated[int, msgspec.Meta(ge=1, le=1_000_000)] = msgspec.field(
         default=20_000, name="queue_most"
     )
-    # Records in one transaction.
+    # Maximum number of records in one transaction.
     max_batch: Annotated[int, msgspec.Meta(ge=1, le=10_000)] = msgspec.field(default=500, name="batch_most")
-    linger_ms: Annotated[float, msgspec.Meta(ge=0, le=60_000)] = 50.0  # an incomplete batch waits for more
+    # How long an incomplete batch waits for more records.
+    linger_ms: Annotated[float, msgspec.Meta(ge=0, le=60_000)] = 50.0
     write_timeout_ms: Milliseconds = 2_000.0
-    # Bound on writing what is left at shutdown.
+    # Time limit for writing the remaining records at shutdown.
     drain_timeout_ms: Milliseconds = msgspec.field(default=1_500.0, name="drain_ms")
 
     def create_backend(self) -> Backend:
-        """The backend, not yet opened; only the configured driver is imported."""
+        """Create the backend without opening it; only the driver that it needs is imported."""
         if self.backend == "sqlite":
             from canvasplank.store.sqlite import Sqlite
 
@@ -45,7 +46,7 @@
 
 
 def load_store(path: str) -> StoreSettings:
-    """Read and check the file; raises ``ConfigurationError``."""
+    """Read and validate the settings file; raises ``ConfigurationError``."""
     return load_extension_settings(path, "store", StoreSettings, _check)
 
 
--- a/canvasplank/store/extension.py
+++ b/canvasplank/store/extension.py
@@ -1,4 +1,4 @@
-"""The store of record as an extension."""
+"""The extension that records call outcomes in the store of record."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 
 
 def load(path: str) -> ExtensionFactory:
-    """Read the settings file; raises ``ConfigurationError``."""
+    """Return a factory of the extension with the settings in a file; raises ``ConfigurationError``."""
     settings = load_store(path)
     return lambda context: StoreExtension(context, settings)
 
 
 class StoreExtension(Extension):
-    """Records the outcome of every call of the exchange in the store."""
+    """Records the outcome of every call in the store."""
 
     def __init__(self, context: ExtensionContext, settings: StoreSettings) -> None:
         self._settings = settings
@@ -39,5 +39,5 @@
         self._writer.export_metrics()
 
     async def drain(self, within_s: float) -> None:
-        """See ``Extension``; bounded by ``drain_timeout_ms`` as well."""
+        """See ``Extension``; the setting ``drain_timeout_ms`` limits the time further."""
         await self._writer.drain(min(self._settings.drain_timeout_ms / 1000, within_s))
--- a/canvasplank/store/outbox.py
+++ b/canvasplank/store/outbox.py
@@ -1,8 +1,8 @@
-"""Records on their way to the store: a bounded queue, batches, and the retry of a failed batch.
+"""The bounded queue of records for the store, which forms batches and retries failed ones.
 
-Pure: no input or output, no clock of its own.  The caller, which carries the batches, reports the outcome of
-each (``on_written``, ``on_failed``, ``on_rejected``) and polls again after ``wait_ms``.  At most one batch is
-in flight, and every accepted record is queued, in flight, or counted once as written, rejected or superseded.
+This module does no I/O and reads no clock.  The ``Writer`` takes a batch, reports its outcome
+(``on_written``, ``on_failed``, ``on_rejected``) and takes the next after ``wait_ms``.  At most one batch
+is in flight.  Every accepted record is queued, in flight, or counted once as written, rejected or superseded.
 """
 
 from __future__ import annotations
@@ -13,16 +13,16 @@
 
 from canvasplank.store.records import CallOutcome, RecordKey
 
-MIN_BACKOFF_MS, MAX_BACKOFF_MS = 100.0, 5_000.0  # between two attempts of a batch, doubling
-MIN_JITTER_FACTOR = 0.5  # spreads the retries of instances that share a restarted store
+MIN_BACKOFF_MS, MAX_BACKOFF_MS = 100.0, 5_000.0  # between attempts of a batch; doubles with each failure
+MIN_JITTER_FACTOR = 0.5  # spreads the retries of instances after a restart of their shared store
 
 
 class Outbox:
-    """The queue between the calls and the store; times are milliseconds of any one monotonic clock."""
+    """A queue of unwritten records; all times are milliseconds on one monotonic clock."""
 
     def __init__(self, max_queue: int, max_batch: int, linger_ms: float, seed: int = 0) -> None:
         self.counts: Counter[str] = Counter()
-        self._queue: dict[RecordKey, CallOutcome] = {}  # in order of arrival
+        self._queue: dict[RecordKey, CallOutcome] = {}  # oldest first
         self._in_flight: list[CallOutcome] = []
         self._max_queue = max_queue
         self._max_batch = self._batch_limit = max_batch
@@ -34,29 +34,28 @@
         self._closed = False
 
     def __len__(self) -> int:
-        """Records not yet known to be written."""
+        """Return the number of records that are not known to be written."""
         return len(self._queue) + len(self._in_flight)
 
     @property
     def has_full_batch(self) -> bool:
-        """Whether the next batch is complete, so that lingering gains nothing."""
+        """Whether enough records are queued for a full batch, so that lingering is pointless."""
         return len(self._queue) >= self._batch_limit
 
     @property
     def drained(self) -> bool:
-        """Whether it is closed and every record has been written or rejected."""
+        """Whether the outbox is closed and no record is queued or in flight."""
         return self._closed and not len(self)
 
     def close(self) -> None:
-        """No more records will come: batches no longer linger."""
+        """Signal that no more records will be added, so that incomplete batches need not linger."""
         self._closed = True
 
     def put(self, record: CallOutcome, now_ms: float) -> bool:
-        """Queue a record; False if the queue is full and it was dropped.
+        """Queue a record; returns False if it was dropped because the queue is full.
 
-        The later row of a call replaces an earlier one that is still queued, and needs no room.  The newest
-        record is the one dropped: the order of those queued stays, and the queue's memory is bounded while
-        the store is away.
+        A later version of a call's record replaces a queued earlier one, even if the queue is full.  Dropping
+        the newest record bounds memory while the store is unavailable and keeps the order of queued records.
         """
         key = record.key
         if key in self._queue:
@@ -74,14 +73,14 @@
         return True
 
     def wait_ms(self, now_ms: float) -> float | None:
-        """The time until a batch may be taken; None if nothing is queued or a batch is in flight."""
+        """Return the time until a batch may be taken; None if nothing is queued or a batch is in flight."""
         if self._in_flight or not self._queue:
             return None
         linger_ms = 0.0 if self._closed or self.has_full_batch else self._linger_ms
         return max(0.0, (self._oldest_ms or 0.0) + linger_ms - now_ms, self._retry_at_ms - now_ms)
 
     def take(self, now_ms: float) -> list[CallOutcome]:
-        """The next batch, in flight from now on; empty if none may be taken now."""
+        """Return the next batch, which is then in flight; empty if none may be taken now."""
         wait_ms = self.wait_ms(now_ms)
         if wait_ms is None or wait_ms > 0:
             return []
@@ -90,7 +89,7 @@
         return self._in_flight
 
     def on_written(self) -> None:
-        """The store has committed the batch."""
+        """Handle the commit of the batch in flight."""
         self.counts["written"] += len(self._in_flight)
         self.counts["batches"] += 1
         self._in_flight = []
@@ -98,10 +97,9 @@
         self._batch_limit = min(self._max_batch, self._batch_limit * 2)
 
     def on_failed(self, now_ms: float) -> None:
-        """It is unknown whether the store has the batch: all of it is retried after a backoff.
+        """Requeue the batch in flight, whose outcome is unknown, for a retry after a backoff.
 
-        Writing is idempotent (an upsert on the record's key), so a batch that was committed after all is not
-        written twice.
+        Writing is idempotent (an upsert on the record's key), so a committed batch may be retried.
         """
         self.counts["retried"] += 1
         self._requeue(now_ms)
@@ -109,9 +107,10 @@
         self._backoff_ms = min(MAX_BACKOFF_MS, 2 * self._backoff_ms)
 
     def on_rejected(self, now_ms: float) -> CallOutcome | None:
-        """The store rejects a record of the batch: retry in halves; returns that record once it is isolated.
+        """Handle the store's rejection of a record in the batch: retry smaller batches until it is isolated.
 
-        The record is then left out, so that it neither blocks nor loses the others.
+        Returns the rejected record once it is the only one in the batch, and discards it, so that it neither
+        blocks the other records nor causes their loss.
         """
         if len(self._in_flight) == 1:
             [rejected] = self._in_flight
@@ -124,10 +123,10 @@
         return None
 
     def _requeue(self, now_ms: float) -> None:
-        """Put the batch back in front, except rows that a later row of the same call supersedes."""
+        """Put the batch back at the front of the queue, except records superseded by a queued version."""
         retried = {record.key: record for record in self._in_flight}
         self.counts["superseded"] += sum(key in self._queue for key in retried)
-        self._queue = retried | self._queue  # the later row takes the earlier one's place in the order
+        self._queue = retried | self._queue  # a later version takes the position of the earlier one
         self._in_flight = []
         if self._oldest_ms is None:
             self._oldest_ms = now_ms
--- a/canvasplank/store/postgresql.py
+++ b/canvasplank/store/postgresql.py
@@ -1,4 +1,4 @@
-"""Records in PostgreSQL, for a store that is shared."""
+"""The store of record in PostgreSQL, which several machines may share."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 
 
 class Postgresql(PostgresqlEngine):
-    """See ``Backend``; one connection, since at most one batch is in flight."""
+    """See ``Backend``.  One connection suffices, since at most one batch is in flight."""
 
     def __init__(self, dsn: str, timeout_s: float) -> None:
         super().__init__(dsn, timeout_s, schema.SCHEMA)
 
     async def write(self, batch: Sequence[CallOutcome]) -> None:
-        """See ``Backend``; the batch is one transaction."""
-        rows = [schema.row(record) for record in batch]
+        """See ``Backend``; ``executemany`` is one transaction."""
+        rows = [schema.to_row(record) for record in batch]
         await self.run(lambda connection: connection.executemany(schema.UPSERT, rows))
 
     async def count_calls(self, since_ms: int, instance: str) -> list[CallCount]:
--- a/canvasplank/store/records.py
+++ b/canvasplank/store/records.py
@@ -1,4 +1,4 @@
-"""The record of a call: one row, written at its final answer and again at the end of an established call."""
+"""Call records: one row per call, written at its final answer and again when an established call ends."""
 
 from __future__ import annotations
 
@@ -8,24 +8,24 @@
 
 from canvasplank import interface as api
 
-ANSWERED, ENDED = 1, 2  # a row's version: at the final answer, and at the end of an established call
+ANSWERED, ENDED = 1, 2  # versions of a row: after the final answer, and after the established call has ended
 
 
 class Final(enum.StrEnum):
-    """The stored values of ``final``: those of ``exchange.FinalAnswer``, and two more."""
+    """The stored values of ``final``: those of ``FinalAnswer`` in the exchange, and two more."""
 
-    SERVED = "served"  # established
+    SERVED = "served"  # the call was established
     REFUSED = "refused"
     FAILED = "failed"
     INVALID = "invalid"
-    GIVEN_UP = "given_up"  # by the caller
+    GIVEN_UP = "given_up"  # by the caller, before a final answer
 
 
 class Ending(enum.StrEnum):
-    """The stored values of ``ending``."""
+    """The stored values of ``ending``: how an established call ended."""
 
     ENDED = "ended"
-    RELEASED = "released"  # by the caller
+    RELEASED = "released"  # released by the caller
     CUT = "cut"
 
 
@@ -39,10 +39,10 @@
 
 
 class CallOutcome(msgspec.Struct, frozen=True):
-    """A row of ``call_outcome``; times are Unix milliseconds of this program's one clock.
+    """A row of ``call_outcome``; times are Unix milliseconds on the scheduler's clock.
 
-    The columns are the fields' encoded names (``schema.COLUMNS``).  A row of a later version holds all that
-    an earlier one does, so either may be lost or repeated, and they may be written in any order.
+    The columns are the fields' encoded names (``schema.COLUMNS``).  A later version of a row has all data of
+    the earlier one, so either may be lost or repeated, and they may be written in any order.
     """
 
     call_id: str
@@ -50,16 +50,16 @@
     taken_ms: int
     class_name: str
     final: str  # a value of ``Final``
-    server: str | None  # where the call is established, or was attempted last
+    server: str | None  # that established the call, else that of the last attempt
     attempts: int
     answered_ms: int
     ended_ms: int | None = None
     ending: str | None = None  # a value of ``Ending``
     version: int = ANSWERED
-    tenant: str | None = msgspec.field(default=None, name="member")  # if the configuration names members
-    number: str | None = None  # the called number, by which a caller's repeats are recognised
+    tenant: str | None = msgspec.field(default=None, name="member")  # None if the settings name no tenants
+    number: str | None = None  # the called number, the same in a caller's repeats of a call
 
     @property
     def key(self) -> RecordKey:
-        """The primary key: the same call id may occur at another instance, or years later."""
+        """The primary key; a call id alone may occur again at another instance, or years later."""
         return self.call_id, self.instance, self.taken_ms
--- a/canvasplank/store/schema.py
+++ b/canvasplank/store/schema.py
@@ -1,4 +1,4 @@
-"""The tables and statements of the store of record (see ``database.migrations`` for the dialect)."""
+"""The tables and statements of the store of record, in the SQL dialect of ``database.migrations``."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
         "PRIMARY KEY (call_id, instance, taken_ms))",
     ),
     ("CREATE INDEX call_outcome_taken ON call_outcome (taken_ms)",),
-    # The member whose call it is, the closing of the usage ledger that claimed it, and whether it counts.
+    # The call's tenant, the closing of the usage ledger that claimed the call, and whether the call counts.
     (
         "ALTER TABLE call_outcome ADD COLUMN member text",
         "ALTER TABLE call_outcome ADD COLUMN closed_in bigint",
@@ -30,7 +30,7 @@
 )
 SCHEMA = Schema("schema_version", 7_201_310, MIGRATIONS)
 
-_TYPES = {
+_COLUMN_TYPES = {  # of columns other than text
     "taken_ms": "bigint",
     "attempts": "integer",
     "answered_ms": "bigint",
@@ -38,14 +38,14 @@
     "version": "integer",
 }
 COLUMNS = tuple(field.encode_name for field in msgspec.structs.fields(CallOutcome))
-_KEY = ("call_id", "instance", "taken_ms")
+_KEY_COLUMNS = ("call_id", "instance", "taken_ms")
 
-# Idempotent: writing a row again changes nothing, and an earlier version never replaces a later one.
+# Idempotent: writing a row again changes nothing, and a row never replaces a later version of itself.
 UPSERT = (
     f"INSERT INTO call_outcome ({', '.join(COLUMNS)}) VALUES ("
-    + ", ".join(f"CAST(${n} AS {_TYPES.get(name, 'text')})" for n, name in enumerate(COLUMNS, 1))
-    + f") ON CONFLICT ({', '.join(_KEY)}) DO UPDATE SET "
-    + ", ".join(f"{name} = excluded.{name}" for name in COLUMNS if name not in _KEY)
+    + ", ".join(f"CAST(${n} AS {_COLUMN_TYPES.get(name, 'text')})" for n, name in enumerate(COLUMNS, 1))
+    + f") ON CONFLICT ({', '.join(_KEY_COLUMNS)}) DO UPDATE SET "
+    + ", ".join(f"{name} = excluded.{name}" for name in COLUMNS if name not in _KEY_COLUMNS)
     + " WHERE excluded.version > call_outcome.version"
 )
 COUNT_CALLS = (
@@ -55,6 +55,6 @@
 )
 
 
-def row(record: CallOutcome) -> Row:
-    """The record's values in the order of ``COLUMNS``."""
+def to_row(record: CallOutcome) -> Row:
+    """Return the record's values in the order of ``COLUMNS``."""
     return msgspec.structs.astuple(record)
--- a/canvasplank/store/sqlite.py
+++ b/canvasplank/store/sqlite.py
@@ -1,4 +1,4 @@
-"""Records in an SQLite file, for one machine."""
+"""The store of record in an SQLite file, for one machine."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
     async def write(self, batch: Sequence[CallOutcome]) -> None:
         """See ``Backend``."""
-        rows = [schema.row(record) for record in batch]
+        rows = [schema.to_row(record) for record in batch]
 
         def write(connection: sqlite3.Connection) -> None:
             with transaction(connection):
--- a/canvasplank/store/writer.py
+++ b/canvasplank/store/writer.py
@@ -1,7 +1,7 @@
-"""Carries records from the outbox to the store: the only module that waits for a store.
+"""Writes the records in the outbox to the store; no other module waits for the store.
 
-The exchange reports each call's answer and end, which costs it a queue entry.  One task writes, each write
-within a time limit; a failed write is retried after a backoff, on a new connection.
+For the exchange, reporting the answer or the end of a call only appends to the queue.  One task writes the
+batches, each within a time limit, and retries a failed write on a new connection after a backoff.
 """
 
 from __future__ import annotations
@@ -23,12 +23,12 @@
 
 LOG = logging.getLogger(__name__)
 LOG_INTERVAL_S = 5.0  # between two log lines of the same kind
-CLOSE_TIMEOUT_S = 0.5  # bound on closing the connection
+CLOSE_TIMEOUT_S = 0.5  # time limit on closing the connection
 MS_PER_S = 1000.0
 
 
 class Writer:
-    """The ``Recorder`` of the exchange, and the task that writes its records, which ``drain`` ends."""
+    """The exchange's ``Recorder``.  A task writes the records from ``start`` until ``drain``."""
 
     def __init__(
         self, outbox: Outbox, backend: Backend, instance: str, write_timeout_s: float, counters: Counters
@@ -38,25 +38,25 @@
         self._connected = False
         self._records_ready = asyncio.Event()
         self._task: asyncio.Task[None] | None = None
-        self._logged_s: dict[str, float] = {}
+        self._last_logged_s: dict[str, float] = {}
         self._failing = False
 
     # ------------------------------------------------------------------------------------ for the exchange
 
     def call_answered(self, call: CallRecord, final: str, now_ms: float) -> None:
         """See ``Recorder``."""
-        self._put(self._record_of(call, final, call.last_server_id, now_ms))
+        self._enqueue(self._make_record(call, final, call.last_server_id, now_ms))
 
     def call_ended(self, call: CallRecord, outcome: api.Outcome, now_ms: float) -> None:
         """See ``Recorder``."""
-        answered = self._record_of(call, Final.SERVED, call.established_server_id, call.established_ms)
+        answered = self._make_record(call, Final.SERVED, call.established_server_id, call.established_ms)
         ending = ENDING_BY_OUTCOME.get(outcome)
-        self._put(msgspec.structs.replace(answered, ended_ms=int(now_ms), ending=ending, version=ENDED))
+        self._enqueue(msgspec.structs.replace(answered, ended_ms=int(now_ms), ending=ending, version=ENDED))
 
-    def _record_of(
+    def _make_record(
         self, call: CallRecord, final: str, server_id: str | None, answered_ms: float
     ) -> CallOutcome:
-        """The call's row at its final answer."""
+        """Return the call's record as of its final answer."""
         return CallOutcome(
             call.id,
             self._instance,
@@ -70,11 +70,12 @@
             number=call.number,
         )
 
-    def _put(self, record: CallOutcome) -> None:
+    def _enqueue(self, record: CallOutcome) -> None:
         was_empty = not len(self._outbox)
         if not self._outbox.put(record, self._now_ms()):
             self._log_limited(
-                "queue", f"the queue is full ({len(self._outbox)} records): call {record.call_id} dropped"
+                "queue",
+                f"the queue is full ({len(self._outbox)} records), record of call {record.call_id} dropped",
             )
         if was_empty or self._outbox.has_full_batch:
             self._records_ready.set()
@@ -82,11 +83,11 @@
     # ------------------------------------------------------------------------------------ the task
 
     def start(self) -> None:
-        """Start the writing task, which opens the store itself: a slow store does not delay serving."""
+        """Start the task, which also opens the store, so that a slow store does not delay the start."""
         self._task = asyncio.get_running_loop().create_task(self._run())
 
     async def drain(self, timeout_s: float) -> None:
-        """Write what is queued within this time and end the task; what remains unwritten is logged."""
+        """Write the queued records and end the task; after ``timeout_s``, log how many were not written."""
         if self._task is None:
             return
         self._outbox.close()
@@ -102,7 +103,7 @@
             LOG.error("store: %d records were not written before the end", unwritten)
 
     def export_metrics(self) -> None:
-        """Export the outbox's counts and the number of waiting records to the counters."""
+        """Copy the outbox's counts and the number of unwritten records to the counters."""
         for name, count in self._outbox.counts.items():
             self._counters.set(f"store.{name}", count)
         self._counters.set("store.waiting", len(self._outbox))
@@ -119,9 +120,9 @@
         await self._disconnect()
 
     async def _wait_for_records(self, wait_ms: float | None) -> None:
-        """Wait until records are queued, or for ``wait_ms``.
+        """Wait until new records are queued, but at most for ``wait_ms``; None: no limit.
 
-        The event is cleared first: it may be set from before, and must not cut a backoff short.
+        The event is cleared first, so that records queued before this wait do not cut a backoff short.
         """
         self._records_ready.clear()
         with contextlib.suppress(TimeoutError):
@@ -139,27 +140,27 @@
             if (rejected := self._outbox.on_rejected(self._now_ms())) is not None:
                 self._log_limited(
                     "refused",
-                    f"call {rejected.call_id} ({rejected.class_name}, {rejected.final}) "
-                    f"is refused and left out: {error}",
+                    f"record of call {rejected.call_id} ({rejected.class_name}, {rejected.final}) "
+                    f"rejected by the database and left out: {error}",
                 )
         except (StoreUnavailableError, TimeoutError) as error:
             await self._on_write_failed(str(error) or f"no answer within {self._write_timeout_s:g} s")
-        except Exception as error:  # a defect of this program must not end the task
-            LOG.exception("store: writing failed")
+        except Exception as error:  # a bug must not end the task
+            LOG.exception("store: unexpected error while writing")
             await self._on_write_failed(type(error).__name__)
         else:
             self._outbox.on_written()
             if self._failing:
                 self._failing = False
-                LOG.info("store: written again, %d records wait", len(self._outbox))
+                LOG.info("store: written again, %d records waiting", len(self._outbox))
 
     async def _on_write_failed(self, reason: str) -> None:
         self._outbox.on_failed(self._now_ms())
         if not self._failing:
-            self._logged_s.pop("failed", None)
+            self._last_logged_s.pop("failed", None)
         self._failing = True
         self._log_limited(
-            "failed", f"not written, {len(self._outbox)} records wait: {' '.join(reason.split())}"
+            "failed", f"not written, {len(self._outbox)} records waiting: {' '.join(reason.split())}"
         )
         await self._disconnect()
 
@@ -168,12 +169,12 @@
         await close_within(self._backend, CLOSE_TIMEOUT_S)
 
     def _log_limited(self, kind: str, text: str) -> None:
-        """Log a warning, at most one of its kind per ``LOG_INTERVAL_S``."""
+        """Log a warning, but at most one of each kind per ``LOG_INTERVAL_S``."""
         now_s = self._now_ms() / MS_PER_S
-        if now_s >= self._logged_s.get(kind, -LOG_INTERVAL_S) + LOG_INTERVAL_S:
-            self._logged_s[kind] = now_s
+        if now_s >= self._last_logged_s.get(kind, -LOG_INTERVAL_S) + LOG_INTERVAL_S:
+            self._last_logged_s[kind] = now_s
             LOG.warning("store: %s", text)
 
     def _now_ms(self) -> float:
-        """The loop's monotonic time, for backoff and lingering: records carry the program's one clock."""
+        """Return the event loop's time, for backoff and lingering; times in records are Unix times."""
         return asyncio.get_running_loop().time() * MS_PER_S
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -135,9 +135,9 @@
             return used.rows()
 
     assert asyncio.run(run()) == [
-        schema.row(record(1)),
-        schema.row(record(2, ENDED, ended_ms=1_800_000_009_000, ending="ended")),
-        schema.row(record(3)),
+        schema.to_row(record(1)),
+        schema.to_row(record(2, ENDED, ended_ms=1_800_000_009_000, ending="ended")),
+        schema.to_row(record(3)),
     ]
 
 
@@ -191,7 +191,7 @@
             return used.rows(), outbox.counts
 
     rows, counts = asyncio.run(run())
-    assert rows == [schema.row(record(number, number="7f")) for number in range(200)]
+    assert rows == [schema.to_row(record(number, number="7f")) for number in range(200)]
     assert counts["dropped"] == counts["rejected"] == 0
     if fault != "restart":  # a restart may fall between two writes
         assert counts["retried"] > 0 and any("not written" in r.getMessage() for r in caplog.records)
@@ -231,7 +231,7 @@
             await store_writer.drain(WAIT_S)
             return used.rows()
 
-    assert asyncio.run(run()) == [schema.row(record(1, number="7f"))]
+    assert asyncio.run(run()) == [schema.to_row(record(1, number="7f"))]
 
 
 def test_records_not_written_at_shutdown_are_logged(tmp_path, caplog):
