--- a/canvasplank/endpoint_cache/__init__.py
+++ b/canvasplank/endpoint_cache/__init__.py
@@ -1,1 +1,1 @@
-"""The endpoint cache: the endpoint list on disk, and a start from it while discovery is unreachable."""
+"""Caches the endpoint list on disk, so that the program can start while discovery is unreachable."""
--- a/canvasplank/endpoint_cache/bootstrap.py
+++ b/canvasplank/endpoint_cache/bootstrap.py
@@ -1,6 +1,6 @@
-"""Whether and how to start from a cached endpoint list, by its age.
+"""Decides by the age of a cached endpoint list whether and how to start from it.
 
-No I/O and no clock: the caller passes the time, in Unix milliseconds.
+This module does no I/O and reads no clock; times are arguments, in Unix milliseconds.
 """
 
 from __future__ import annotations
@@ -11,25 +11,25 @@
 from canvasplank.config.discovery_events import READY, Endpoint
 from canvasplank.endpoint_cache.cached_list import CachedEndpointList
 
-MAX_FRESH_AGE_MS = 10_000.0  # events of discovery itself may arrive as late as this
+MAX_FRESH_AGE_MS = 10_000.0  # counts as current: events from discovery may be as late
 MAX_AGE_MS = 7 * 24 * 3_600_000.0  # a week
-# The first rate at an endpoint of a stale list, of all proxies together: within the cold rule's budget
-# (docs/endpoint-cache.md, Measured).
+# The initial rate of all proxies together to each endpoint of a stale list.  It stays below the rate that
+# overloads a server that has just started (docs/endpoint-cache.md, Measured).
 INITIAL_RATE_PER_S = 6.0
-CLOCK_TOLERANCE_MS = 1_000.0  # a list dated further ahead than this was written by another clock
+CLOCK_TOLERANCE_MS = 1_000.0  # a list dated further ahead of the clock has an unknown age
 
 
 @dataclass(frozen=True, slots=True)
 class BootstrapPlan:
-    """The endpoints to start from, the age of the list, and the slow-start hints for the controller."""
+    """The endpoints to start from, the age of their list, and the controller's hints for a slow start."""
 
     endpoints: list[Endpoint]
-    age_ms: float  # 0 where the list is dated ahead of the clock
+    age_ms: float  # 0 if the list is dated ahead of the clock
     hints: list[api.WarmStartHint]  # one for each endpoint of a stale list, none for a fresh one
 
     @property
     def stale(self) -> bool:
-        """Whether the list is too old to be used like an event of discovery."""
+        """Whether the list is too old to be used like one from discovery."""
         return bool(self.hints)
 
 
@@ -41,13 +41,13 @@
     max_age_ms: float = MAX_AGE_MS,
     initial_rate_per_s: float = INITIAL_RATE_PER_S,
 ) -> BootstrapPlan | None:
-    """The start that a cached list permits, for one of ``proxies`` proxies; None: too old, or nobody to use.
+    """Plan the start of one of ``proxies`` proxies; returns None if too old or without a usable endpoint.
 
-    Up to ``max_fresh_age_ms`` the list is used unchanged.  After that, up to ``max_age_ms``, it is stale: its
-    endpoints may have gone or restarted since.  Only those that were ready are used then (calls to one that
-    has gone are refused and retried elsewhere), and all proxies together start with ``initial_rate_per_s`` at
-    each, so that a processor that has just started is not overloaded.  A list dated ahead of the clock shows
-    that a clock was set back; its age is unknown, so it is stale.
+    Up to the age ``max_fresh_age_ms``, the list is used unchanged.  Up to ``max_age_ms`` it is stale: its
+    endpoints may have gone or restarted.  Of a stale list, only endpoints that were ready are used (calls to
+    one that has gone are refused and retried elsewhere).  All proxies together start with
+    ``initial_rate_per_s`` at each, so that a processor that has just started is not overloaded.  A list dated
+    ahead of the clock is stale, too: a clock was set back, so the list's age is unknown.
     """
     age_ms = now_ms - cached.as_of_ms
     if age_ms > max_age_ms:
--- a/canvasplank/endpoint_cache/cache_file.py
+++ b/canvasplank/endpoint_cache/cache_file.py
@@ -1,4 +1,4 @@
-"""Reads the cached endpoint list from its file, and replaces the file atomically."""
+"""Reads the cached endpoint list from its file and atomically replaces the file."""
 
 from __future__ import annotations
 
@@ -18,19 +18,19 @@
 
 
 def read_cached_list(path: str) -> CachedEndpointList | None:
-    """The cached list, or None with one log line; a missing file (a first start) is logged, too."""
+    """Return the cached list; logs one line and returns None if the file is missing or cannot be used."""
     try:
         with open(path, "rb") as file:
             return decode(file.read(MAX_BYTES + 1))
     except (OSError, CachedListError) as error:
-        LOG.warning("no endpoint list taken from %s: %s", path, error)
+        LOG.warning("not using the cached endpoint list %s: %s", path, error)
         return None
 
 
 def write_cached_list(path: str, cached: CachedEndpointList) -> None:
-    """Write a new file beside the old one, sync it, and rename it over the old one; raises ``OSError``.
+    """Write and sync a temporary file, then rename it over the old file; raises ``OSError``.
 
-    So a crash during the write leaves the old list or the new one, never a truncated one.
+    A crash during the write leaves the old list or the new one, never a truncated one.
     """
     new_path = f"{path}.new"
     with open(new_path, "wb") as file:
@@ -38,8 +38,8 @@
         file.flush()
         os.fsync(file.fileno())
     os.replace(new_path, path)
-    folder = os.open(Path(path).parent, os.O_RDONLY)
+    folder_fd = os.open(Path(path).parent, os.O_RDONLY)
     try:
-        os.fsync(folder)
+        os.fsync(folder_fd)  # makes the rename durable
     finally:
-        os.close(folder)
+        os.close(folder_fd)
--- a/canvasplank/endpoint_cache/config.py
+++ b/canvasplank/endpoint_cache/config.py
@@ -1,4 +1,4 @@
-"""The settings of the endpoint cache: a file (TOML) named by ``CANVASPLANK_MEMBERSHIP``."""
+"""Settings of the endpoint cache, read from the TOML file that ``CANVASPLANK_MEMBERSHIP`` names."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 from canvasplank.config.extension_file import load_extension_settings
 from canvasplank.endpoint_cache.bootstrap import INITIAL_RATE_PER_S, MAX_AGE_MS, MAX_FRESH_AGE_MS
 
-YEAR_MS = 366 * 24 * 3_600_000.0  # the largest age that a setting may name
+YEAR_MS = 366 * 24 * 3_600_000.0  # maximum of the age settings
 
 
 class EndpointCacheSettings(msgspec.Struct, forbid_unknown_fields=True):
-    """Where the list is cached, and how its age counts; see ``bootstrap.plan_bootstrap``."""
+    """The path of the cache file, and how a start depends on its age (``bootstrap.plan_bootstrap``)."""
 
     path: Annotated[str, msgspec.Meta(min_length=1)]
     max_fresh_age_ms: Annotated[float, msgspec.Meta(ge=0, le=YEAR_MS)] = msgspec.field(
@@ -28,7 +28,7 @@
 
 
 def load_endpoint_cache_settings(path: str) -> EndpointCacheSettings:
-    """The settings in a file; raises ``ConfigurationError`` for a file that cannot be used."""
+    """Read and validate the settings file; raises ``ConfigurationError``."""
     return load_extension_settings(path, "membership", EndpointCacheSettings, _check)
 
 
--- a/canvasplank/endpoint_cache/endpoint_list.py
+++ b/canvasplank/endpoint_cache/endpoint_list.py
@@ -1,6 +1,6 @@
-"""The current endpoint list, folded from the events of service discovery.
+"""The current endpoint list, as built from the events of service discovery.
 
-No I/O and no clock: the caller passes the time, in Unix milliseconds.
+This module does no I/O and reads no clock; times are arguments, in Unix milliseconds.
 """
 
 from __future__ import annotations
@@ -10,12 +10,10 @@
 
 
 class EndpointList:
-    """The endpoints to cache, the time at which they were last confirmed, and whether they are saved."""
+    """The endpoints to cache, the time of their last confirmation, and whether they have unsaved changes."""
 
     def __init__(self, endpoints: list[Endpoint], now_ms: float) -> None:
-        """``endpoints``: those of the configuration; if none, the list is incomplete until discovery sends
-        it.
-        """
+        """``endpoints`` is the configured list; if empty, the list is incomplete until discovery sends it."""
         self._endpoints = {endpoint.instance_id: endpoint for endpoint in endpoints}
         self._as_of_ms = now_ms
         self._is_complete = bool(endpoints)
@@ -23,19 +21,19 @@
 
     @property
     def is_complete(self) -> bool:
-        """Whether the configuration or discovery has given a complete list.
+        """Whether the configuration or discovery has provided a complete list.
 
-        One that is not must not be written: it would replace a complete list on disk by a fragment.
+        An incomplete list must not be written: it would replace a complete one on disk.
         """
         return self._is_complete
 
     @property
     def is_dirty(self) -> bool:
-        """Whether the list has changed since it was last saved."""
+        """Whether the list has changes that have not been saved."""
         return self._is_dirty
 
     def on_discovery_event(self, event: DiscoveryEvent, now_ms: float) -> None:
-        """Apply an event; changes that arrive before any complete list are ignored."""
+        """Apply an event; changes are ignored until there is a complete list."""
         if event.pool is not None and (self._is_complete or event.pool.reset):
             if not self._is_complete:
                 self._endpoints.clear()
@@ -44,11 +42,11 @@
             self._as_of_ms = max(self._as_of_ms, now_ms)
 
     def confirm(self, last_received_ms: float) -> None:
-        """Discovery sent data at that time and no newer event: the list was still true then."""
+        """Record that the list was still current when discovery last sent data."""
         self._as_of_ms = max(self._as_of_ms, last_received_ms)
 
     def snapshot(self) -> CachedEndpointList:
-        """The list as it is written to disk."""
+        """Return the list in the form that is written to disk."""
         return CachedEndpointList(
             FORMAT_VERSION,
             self._as_of_ms,
@@ -59,9 +57,9 @@
         )
 
     def mark_saved(self) -> None:
-        """A write of the latest snapshot has begun: only later changes are unsaved."""
+        """Record that a write of the latest snapshot has begun, so that only later changes are unsaved."""
         self._is_dirty = False
 
     def mark_unsaved(self) -> None:
-        """The write has failed."""
+        """Record that the write has failed."""
         self._is_dirty = True
--- a/canvasplank/endpoint_cache/extension.py
+++ b/canvasplank/endpoint_cache/extension.py
@@ -1,4 +1,4 @@
-"""The endpoint cache as an extension: a start from the cached list, and its upkeep."""
+"""The extension that starts from a cached endpoint list and keeps the cache up to date."""
 
 from __future__ import annotations
 
@@ -17,13 +17,13 @@
 
 
 def load(path: str) -> ExtensionFactory:
-    """The extension with the settings of this file; raises ``ConfigurationError``."""
+    """Return a factory of the extension with the settings in a file; raises ``ConfigurationError``."""
     settings = load_endpoint_cache_settings(path)
     return lambda context: EndpointCacheExtension(context, settings)
 
 
 class EndpointCacheExtension(Extension):
-    """Caches the endpoint list on disk, and starts from it where the configuration names no endpoints."""
+    """Caches the endpoint list on disk, and starts from it if the configuration has no endpoints."""
 
     def __init__(self, context: ExtensionContext, settings: EndpointCacheSettings) -> None:
         self._context, self._settings = context, settings
@@ -39,13 +39,13 @@
     async def start(self) -> None:
         """See ``Extension``."""
         self._writer.start()
-        if not self._is_configured and (plan := self._plan()) is not None:
+        if not self._is_configured and (plan := self._plan_bootstrap()) is not None:
             self._context.counters.add("membership.starts_from_disk")
             self._context.servers.update_endpoints(True, plan.endpoints)
             self._context.exchange.apply_hints(plan.hints)
 
-    def _plan(self) -> BootstrapPlan | None:
-        """The start that the file permits; what is found there is one log line."""
+    def _plan_bootstrap(self) -> BootstrapPlan | None:
+        """Read the cached list, decide how to start from it, and log one line about it."""
         context, settings = self._context, self._settings
         if (cached := read_cached_list(settings.path)) is None:
             return None
@@ -59,7 +59,7 @@
         )
         if plan is None:
             LOG.warning(
-                "no endpoint list taken from %s: too old, or without a usable endpoint", settings.path
+                "not using the cached endpoint list %s: too old, or no usable endpoint", settings.path
             )
             return None
         LOG.info(
--- a/canvasplank/endpoint_cache/writer.py
+++ b/canvasplank/endpoint_cache/writer.py
@@ -1,4 +1,4 @@
-"""Writes the endpoint list to disk after changes, and now and then while discovery confirms it."""
+"""Writes the endpoint list to disk after changes, and periodically while discovery confirms it."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 from canvasplank.runtime.worker_thread import WorkerThread, WorkerThreadBusyError
 
 LOG = logging.getLogger(__name__)
-WRITE_INTERVAL_MS = 1_000.0  # a release sends dozens of events a second: these are a few writes
-CONFIRM_INTERVAL_MS = 10_000.0  # where nothing changes, a file is about this old at a crash
-FINAL_WRITE_TIMEOUT_S = 0.2  # at the end of the program
+WRITE_INTERVAL_MS = 1_000.0  # combines the dozens of events per second of a roll-out into few writes
+CONFIRM_INTERVAL_MS = 10_000.0  # about the maximum age of an unchanged list's file after a crash
+FINAL_WRITE_TIMEOUT_S = 0.2  # at shutdown
 INITIAL_BACKOFF_MS, MAX_BACKOFF_MS = 1_000.0, 60_000.0  # after a failed write; doubles with each failure
 
 
 class EndpointListWriter:
-    """Writes an endpoint list to its file on its own thread, so that serving never waits for a disk."""
+    """Writes an endpoint list to its file on a separate thread, so that calls never wait for the disk."""
 
     def __init__(
         self,
@@ -30,7 +30,7 @@
         scheduler: Scheduler,
         last_received_ms: Callable[[], float | None],
     ) -> None:
-        """``last_received_ms``: when discovery last sent data, in Unix milliseconds; None: not connected."""
+        """``last_received_ms`` returns when discovery last sent data, in Unix ms; None if not connected."""
         self._path = path
         self._endpoint_list = endpoint_list
         self._scheduler = scheduler
@@ -43,19 +43,19 @@
         self._write_task: asyncio.Task[None] | None = None
 
     def on_discovery_event(self, event: DiscoveryEvent) -> None:
-        """Service discovery has sent an event."""
+        """Apply an event from service discovery to the list."""
         self._endpoint_list.on_discovery_event(event, self._scheduler.now_ms)
 
     def start(self) -> None:
-        """Check every ``WRITE_INTERVAL_MS`` whether a write is due."""
-        self._check()
+        """Start checking every ``WRITE_INTERVAL_MS`` whether a write is due."""
+        self._write_if_due()
 
-    def _check(self) -> None:
-        self._scheduler.call_later(WRITE_INTERVAL_MS, self._check)
+    def _write_if_due(self) -> None:
+        self._scheduler.call_later(WRITE_INTERVAL_MS, self._write_if_due)
         now_ms = self._scheduler.now_ms
         if not self._endpoint_list.is_complete or now_ms < self._retry_at_ms:
             return
-        # While discovery is silent the list is not confirmed and keeps its age: nothing to refresh.
+        # Without a connection to discovery nothing confirms the list, so its time on disk stays.
         refresh_due = False
         if (last_received_ms := self._last_received_ms()) is not None:
             self._endpoint_list.confirm(last_received_ms)
@@ -75,19 +75,19 @@
             self._on_write_failed(started_ms, error)
             return
         if self._failing:
-            LOG.info("the endpoint list is written again to %s", self._path)
+            LOG.info("the endpoint list can be written to %s again", self._path)
         self._failing, self._backoff_ms, self._written_ms = False, INITIAL_BACKOFF_MS, started_ms
 
     def _on_write_failed(self, started_ms: float, error: Exception) -> None:
-        """Log the first failure of a series, and back off."""
+        """Log the first of consecutive failures, and schedule a retry after a backoff."""
         self._retry_at_ms = started_ms + self._backoff_ms
         self._backoff_ms = min(MAX_BACKOFF_MS, 2 * self._backoff_ms)
         if not self._failing:
-            LOG.warning("the endpoint list is not written to %s: %s", self._path, error)
+            LOG.warning("cannot write the endpoint list to %s: %s", self._path, error)
         self._failing = True
 
     async def close(self) -> None:
-        """Complete a write in progress and write unsaved changes, for at most ``FINAL_WRITE_TIMEOUT_S``."""
+        """Finish a write in progress and write unsaved changes within ``FINAL_WRITE_TIMEOUT_S``."""
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(FINAL_WRITE_TIMEOUT_S):
                 if self._write_task is not None:
--- a/tests/test_endpoint_cache.py
+++ b/tests/test_endpoint_cache.py
@@ -68,7 +68,7 @@
         decode(data)
     (tmp_path / "servers.json").write_bytes(data)
     assert cache_file.read_cached_list(str(tmp_path / "servers.json")) is None
-    assert len(caplog.records) == 1 and "no endpoint list taken" in caplog.text
+    assert len(caplog.records) == 1 and "not using the cached endpoint list" in caplog.text
 
 
 @pytest.mark.parametrize(
@@ -150,7 +150,7 @@
 
     asyncio.run(run())
     assert [s.instance_id for s in decode(path.read_bytes()).endpoints] == ["s-c"]
-    assert caplog.text.count("is not written to") == 1
+    assert caplog.text.count("cannot write the endpoint list") == 1
 
 
 @pytest.mark.parametrize("changes_meanwhile", [True, False])
@@ -185,7 +185,7 @@
     asyncio.run(run())
     written = {endpoint.instance_id for endpoint in decode(path.read_bytes()).endpoints}
     assert written == ({"s-a", "s-b"} if changes_meanwhile else {"s-a"})
-    assert "is not written to" not in caplog.text
+    assert "cannot write the endpoint list" not in caplog.text
 
 
 @pytest.mark.parametrize(
