--- a/canvasplank/extensions/__init__.py
+++ b/canvasplank/extensions/__init__.py
@@ -1,1 +1,1 @@
-"""Optional features, each switched on by a file of its own."""
+"""Optional features, each enabled by its own settings file."""
--- a/canvasplank/extensions/extension.py
+++ b/canvasplank/extensions/extension.py
@@ -1,4 +1,4 @@
-"""What an extension is: its life cycle, and what it may use of the program."""
+"""The life cycle of extensions, and the interface of the program that they use."""
 
 from __future__ import annotations
 
@@ -17,20 +17,20 @@
 
 
 class FleetView(Protocol):
-    """What this proxy knows of its fleet, and may use of what the fleet shares."""
+    """This proxy's knowledge of its fleet, and its part of the fleet-wide budgets."""
 
     def size(self) -> int:
-        """Proxies in the fleet, as far as is known."""
+        """Return the number of proxies known to be in the fleet."""
 
     def set_up_fraction(self) -> float | None:
-        """Of all set-ups that the fleet may send, those that this proxy may; None: no budget divides them."""
+        """Return this proxy's share of the fleet's set-up budget; None if no budget covers all set-ups."""
 
     def budget_delay(self, call: api.Call, attempt: int, server_id: str, take: bool) -> float:
-        """How long until an attempt may go by the fleet's budgets, in milliseconds (``api.BudgetDelay``)."""
+        """Return the milliseconds until the fleet's budgets admit an attempt (``api.BudgetDelay``)."""
 
 
 class ExtensionContext(Protocol):
-    """What an extension may use of the program."""
+    """The interface of the program that extensions may use."""
 
     configuration: Configuration
     scheduler: Scheduler
@@ -41,36 +41,36 @@
     controller: Controller
 
     def use_fleet_view(self, fleet_view: FleetView) -> None:
-        """Have the program, and its other extensions, ask this of the fleet."""
+        """Set the source of knowledge about the fleet for the program and its other extensions."""
 
     def fleet_size(self) -> int:
-        """Proxies in the fleet, as far as is known; 0: nothing counts them."""
+        """Return the number of proxies known to be in the fleet; 0 if no extension knows the fleet."""
 
     def fleet_set_up_fraction(self) -> float | None:
-        """See ``FleetView``; None as well where no extension knows the fleet."""
+        """See ``FleetView.set_up_fraction``; None also if no extension knows the fleet."""
 
 
 class Extension:
-    """An extension that does nothing: each overrides the steps of the life cycle that it needs."""
+    """The base class of extensions, which override the methods of the life cycle that they need."""
 
     async def start(self) -> None:
-        """Runs before callers are let in, after the configuration's endpoints; must take a bounded time."""
+        """Start with the configured endpoints, before callers can connect; must return in bounded time."""
 
     def on_discovery_event(self, event: DiscoveryEvent) -> None:
-        """Service discovery has sent an event, which the call servers have already."""
+        """Handle an event from service discovery, after the table of call servers has been updated."""
 
     def is_ready(self) -> bool:
-        """Whether callers may be sent here, as far as this extension knows."""
+        """Return whether callers may be sent to this proxy, as far as this extension knows."""
         return True
 
     def on_configuration_reloaded(self) -> None:
-        """The configuration was read again."""
+        """Handle a reload of the configuration."""
 
     def export_metrics(self) -> None:
-        """Bring the program's counters up to date; called just before they are printed."""
+        """Update the program's counters; called before they are printed."""
 
     async def drain(self, within_s: float) -> None:
-        """The program ends and has answered every call: finish what is under way within this time."""
+        """Finish work in progress within ``within_s`` seconds, at shutdown after every call is answered."""
 
 
 ExtensionFactory = Callable[[ExtensionContext], Extension]
--- a/canvasplank/extensions/registry.py
+++ b/canvasplank/extensions/registry.py
@@ -1,7 +1,7 @@
-"""The extensions that files switch on.
+"""The registry of extensions.
 
-An extension is named by an environment variable that holds the path of its file.  One that is off is not even
-imported: off, it costs nothing.
+An extension is enabled by an environment variable with the path of its settings file.  Disabled extensions
+are not imported, so they cost nothing.
 """
 
 from __future__ import annotations
@@ -14,13 +14,13 @@
 
 
 class ExtensionEntry(NamedTuple):
-    """One extension: the environment variable that names its file, and the module whose ``load`` reads it."""
+    """The environment variable that names an extension's file, and the module whose ``load`` reads it."""
 
     variable: str
     module: str
 
 
-# In the order of their starts: the endpoint cache before those that need the endpoints.
+# In the order in which they start: the endpoint cache first, since others need the endpoints.
 REGISTRY = (
     ExtensionEntry("CANVASPLANK_MEMBERSHIP", "canvasplank.endpoint_cache.extension"),
     ExtensionEntry("CANVASPLANK_STORE", "canvasplank.store.extension"),
@@ -31,9 +31,9 @@
 
 
 def load_enabled_extensions(environment: Mapping[str, str]) -> list[ExtensionFactory]:
-    """Load each extension that the environment names a file for.
+    """Return the factories of the extensions that the environment enables.
 
-    Raises ``ConfigurationError`` for a file that cannot be used.
+    Raises ``ConfigurationError`` if a settings file cannot be used.
     """
     return [
         importlib.import_module(entry.module).load(path)
--- a/canvasplank/warm_start/__init__.py
+++ b/canvasplank/warm_start/__init__.py
@@ -1,3 +1,1 @@
-"""Warm start: a new instance starts from a running peer's snapshot of the call servers, weighted by its
-age.
-"""
+"""Starts a new instance with what a running peer has learned of the call servers, weighted by age."""
--- a/canvasplank/warm_start/client.py
+++ b/canvasplank/warm_start/client.py
@@ -1,8 +1,8 @@
-"""The client: a new instance fetches a snapshot from a running peer, once, within a short timeout.
+"""Fetches a snapshot from a running peer, once at the start of an instance.
 
-Whatever goes wrong (a refused connection, a peer slow or silent, a snapshot truncated, too large or foreign)
-is one log line and no snapshot: the instance then starts without one, and its start is never delayed past the
-timeout.
+After any failure (a refused connection, a slow or silent peer, a snapshot that is truncated, too large or of
+another version) the client logs one line, and the instance starts without a snapshot.  The timeout limits the
+delay of the start.
 """
 
 from __future__ import annotations
@@ -24,50 +24,49 @@
 )
 
 LOG = logging.getLogger(__name__)
-MAX_PEERS = 3  # tried one after another
-TIMEOUT_S = 0.5  # by which a start may be delayed, for all peers together
+MAX_PEERS = 3  # tried in turn
+TIMEOUT_S = 0.5  # maximum delay of a start, for all peers together
 
 
 async def fetch_snapshot(address: str, timeout_s: float = TIMEOUT_S) -> PeerSnapshot | None:
-    """The snapshot of the peer at this address, or None with one log line."""
+    """Return the snapshot of the peer at an address; logs one line and returns None on failure."""
     try:
         async with asyncio.timeout(timeout_s):
             return await _fetch(address)
     except TimeoutError:
-        why = f"no complete response within {timeout_s * 1000:.0f} ms"
+        reason = f"no complete response within {timeout_s * 1000:.0f} ms"
     except (OSError, ValueError, asyncio.IncompleteReadError) as error:
-        why = " ".join(str(error).split()) or type(error).__name__
-    LOG.warning("no view taken from %s: %s; starting without one", address, why)
+        reason = " ".join(str(error).split()) or type(error).__name__
+    LOG.warning("no view taken from %s: %s; starting without one", address, reason)
     return None
 
 
 async def fetch_first_snapshot(addresses: Sequence[str], timeout_s: float = TIMEOUT_S) -> PeerSnapshot | None:
-    """The first snapshot to be had from the first ``MAX_PEERS`` addresses, tried in order within
-    ``timeout_s``.
+    """Return the first snapshot received from the first ``MAX_PEERS`` addresses, tried in order.
 
-    Each has an equal share of the time that is left, so that one that hangs does not use all of it.
+    Each peer gets an equal share of the remaining time, so that one that hangs does not use up ``timeout_s``.
     """
     deadline_s = time.monotonic() + timeout_s
-    tried = addresses[:MAX_PEERS]
-    for index, address in enumerate(tried):
-        left_s = deadline_s - time.monotonic()
-        if left_s <= 0:
+    candidates = addresses[:MAX_PEERS]
+    for index, address in enumerate(candidates):
+        remaining_s = deadline_s - time.monotonic()
+        if remaining_s <= 0:
             break
-        snapshot = await fetch_snapshot(address, left_s / (len(tried) - index))
+        snapshot = await fetch_snapshot(address, remaining_s / (len(candidates) - index))
         if snapshot is not None:
             return snapshot
     return None
 
 
 async def _fetch(address: str) -> PeerSnapshot:
-    """Raises ``OSError``, ``IncompleteReadError``, or ``SnapshotError``."""
+    """Request and decode a snapshot; raises ``OSError``, ``IncompleteReadError`` or ``SnapshotError``."""
     host, port = parse_address(address)
     reader, writer = await asyncio.open_connection(host, port)
     try:
         writer.write(VIEW_REQUEST)
         (length,) = LENGTH.unpack(await reader.readexactly(LENGTH.size))
         if length > MAX_BYTES:
-            raise SnapshotError(f"a view of {length} bytes announced, more than {MAX_BYTES}")
+            raise SnapshotError(f"a view of {length} bytes announced, more than the maximum {MAX_BYTES}")
         data = await reader.readexactly(length)
     finally:
         await close_writer(writer)
--- a/canvasplank/warm_start/config.py
+++ b/canvasplank/warm_start/config.py
@@ -1,6 +1,6 @@
-"""The settings of the warm start: a file (TOML) named by ``CANVASPLANK_LEARNING``.
+"""Settings of the warm start, read from the TOML file that ``CANVASPLANK_LEARNING`` names.
 
-Without the file the warm start is off, as on platforms where instances may not communicate.
+Without the file the warm start is off, as it must be on platforms where instances may not communicate.
 """
 
 from __future__ import annotations
@@ -17,24 +17,22 @@
 
 
 class WarmStartSettings(msgspec.Struct, forbid_unknown_fields=True):
-    """From which peers to fetch a snapshot, where to serve our own, and how age counts; times in
-    milliseconds.
-    """
+    """The peers to fetch a snapshot from, the address to serve one at, and the weighting by age."""
 
     peer: str = ""  # host:port
-    peers: list[str] = []  # more of them
-    listen: str = ""  # host:port; empty: serve none
+    peers: list[str] = []  # further addresses
+    listen: str = ""  # host:port; empty: serve no snapshots
     timeout_ms: PositiveMs = msgspec.field(name="bound_ms", default=500.0)  # for all peers together
     half_life_ms: PositiveMs = HALF_LIFE_MS
     max_age_ms: PositiveMs = msgspec.field(name="most_age_ms", default=MAX_AGE_MS)
 
     def peer_addresses(self) -> list[str]:
-        """The addresses of ``peer`` and ``peers``, without duplicates."""
+        """Return the addresses in ``peer`` and ``peers`` without duplicates."""
         return list(dict.fromkeys(filter(None, [self.peer, *self.peers])))
 
 
 def load_warm_start_settings(path: str) -> WarmStartSettings:
-    """The settings in a file; raises ``ConfigurationError`` for a file that cannot be used."""
+    """Read and validate the settings file; raises ``ConfigurationError``."""
     return load_extension_settings(path, "learning", WarmStartSettings, _check)
 
 
--- a/canvasplank/warm_start/extension.py
+++ b/canvasplank/warm_start/extension.py
@@ -1,4 +1,4 @@
-"""The warm start as an extension: serves this instance's snapshot, and starts from a peer's."""
+"""The extension that serves this instance's snapshot and applies that of a peer."""
 
 from __future__ import annotations
 
@@ -16,15 +16,13 @@
 
 
 def load(path: str) -> ExtensionFactory:
-    """The extension with the settings of this file; raises ``ConfigurationError``."""
+    """Return a factory of the extension with the settings in a file; raises ``ConfigurationError``."""
     settings = load_warm_start_settings(path)
     return lambda context: WarmStartExtension(context, settings)
 
 
 class WarmStartExtension(Extension):
-    """Serves what this instance learns to new ones, and fetches a running one's snapshot once, at the
-    start.
-    """
+    """Serves snapshots to new instances, and fetches a snapshot from a running one at the start."""
 
     def __init__(self, context: ExtensionContext, settings: WarmStartSettings) -> None:
         self._context, self._settings = context, settings
@@ -45,8 +43,9 @@
         LOG.info("views for new instances at %s", self._settings.listen)
 
     async def _start_from_peer(self, peers: list[str]) -> None:
-        """Fetch a snapshot and apply it; in random order, so that not all new instances request the same
-        peer's.
+        """Fetch a snapshot and apply it.
+
+        The order of peers is random, so that new instances do not all request the same peer's snapshot.
         """
         context = self._context
         context.counters.add("learning.views_asked")
--- a/canvasplank/warm_start/peer_snapshot.py
+++ b/canvasplank/warm_start/peer_snapshot.py
@@ -1,9 +1,9 @@
-"""The wire format of a peer's snapshot: what one instance has learned of each call server, and when.
+"""The wire format of a snapshot: what an instance has learned of each call server, and when.
 
-A client sends the line ``view``; the server answers with a length, four bytes in network order, and so many
-bytes of MessagePack.  The format has a version of its own, so that an instance of another release is rejected
-cleanly rather than misread.  No I/O here: bytes in, a checked snapshot or ``SnapshotError`` out.  Log lines
-and counters call a snapshot a view, after the request.
+A client sends the line ``view``.  The server responds with a length (four bytes in network order) and that
+many bytes of MessagePack.  The format is versioned, so that a snapshot from an incompatible release is
+rejected and not misread.  This module does no I/O.  Log lines and counters call a snapshot a view, like the
+request.
 """
 
 from __future__ import annotations
@@ -18,31 +18,31 @@
 FORMAT_VERSION = 1
 VIEW_REQUEST = b"view\n"
 LENGTH = struct.Struct(">I")
-MAX_BYTES = 256 * 1024  # enough for some thousand servers
+MAX_BYTES = 256 * 1024  # enough for several thousand servers
 MAX_SERVERS = 4096
 
-# Figures and Unix milliseconds: finite, and bounded far above any real one.
+# Rates and Unix milliseconds: finite, with a limit far above any real value.
 NonNegative = Annotated[float, msgspec.Meta(ge=0, le=1e15)]
 
 
 class SnapshotError(ValueError):
-    """A snapshot that cannot be used; the message is one line."""
+    """A snapshot cannot be used; the message is one line."""
 
 
 class ServerSnapshot(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """What one instance has learned of one call server; None: not learned, which is not the same as zero."""
+    """What an instance has learned of one call server; None means not learned, as opposed to zero."""
 
     instance_id: Annotated[str, msgspec.Meta(min_length=1, max_length=128)]
-    started_ms: NonNegative | None  # Unix milliseconds of its process's start, as the endpoint list has it
-    # Unix milliseconds of the latest observation behind the figures.
+    started_ms: NonNegative | None  # Unix time of the start of its process, from the endpoint list
+    # Unix time of the latest observation on which the values are based.
     observed_ms: NonNegative = msgspec.field(name="learned_ms")
-    rate_per_s: NonNegative | None = None  # set-ups a second it accepted after its last 'processor full'
-    slow: bool = False  # its usual response takes as long as waiting does harm
+    rate_per_s: NonNegative | None = None  # set-ups per second accepted after its last 'processor full'
+    slow: bool = False  # its usual response time reaches the wait that the policy considers harmful
     silent: bool = False  # it had stopped responding
 
 
 class PeerSnapshot(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """All that a peer has learned, as of ``taken_ms`` on its Unix clock."""
+    """Everything that a peer has learned, as of ``taken_ms`` on its Unix clock."""
 
     version: int
     peer: Annotated[str, msgspec.Meta(max_length=128)]
@@ -55,7 +55,7 @@
 
 
 def make_snapshot(peer: str, learned: list[api.LearnedServer], now_ms: float) -> PeerSnapshot:
-    """The snapshot of the instance named ``peer``, from its ``Controller.learned_servers``."""
+    """Return the snapshot of the instance ``peer``, given its ``Controller.learned_servers()``."""
     servers = [
         ServerSnapshot(
             each.server_id,
@@ -71,29 +71,29 @@
 
 
 def encode(snapshot: PeerSnapshot) -> bytes:
-    """The MessagePack of a snapshot, without its length."""
+    """Encode a snapshot as MessagePack, without the length prefix."""
     return _ENCODER.encode(snapshot)
 
 
 def frame(data: bytes) -> bytes:
-    """The response on the wire: the length and the encoded snapshot."""
+    """Prefix an encoded snapshot with its length, as a response has it."""
     return LENGTH.pack(len(data)) + data
 
 
 def decode(data: bytes) -> PeerSnapshot:
-    """The snapshot in the bytes that a peer has sent, without their length.
+    """Decode a snapshot from a peer, without its length prefix.
 
-    Raises ``SnapshotError`` where they are too large, truncated, malformed, of another version, or contain an
-    observation later than the snapshot.
+    Raises ``SnapshotError`` if it is too large, truncated, malformed, of another version, or contains an
+    observation later than the snapshot itself.
     """
     if len(data) > MAX_BYTES:
-        raise SnapshotError(f"a view of {len(data)} bytes, more than {MAX_BYTES}")
+        raise SnapshotError(f"a view of {len(data)} bytes, more than the maximum {MAX_BYTES}")
     try:
         snapshot = _DECODER.decode(data)
     except msgspec.MsgspecError as error:
-        raise SnapshotError(f"a view that cannot be read: {' '.join(str(error).split())}") from error
+        raise SnapshotError(f"the view cannot be read: {' '.join(str(error).split())}") from error
     if snapshot.version != FORMAT_VERSION:
-        raise SnapshotError(f"a view of version {snapshot.version}, not {FORMAT_VERSION}")
+        raise SnapshotError(f"the view has format version {snapshot.version}, not {FORMAT_VERSION}")
     if any(server.observed_ms > snapshot.taken_ms for server in snapshot.servers):
-        raise SnapshotError("a view with an observation after it was taken")
+        raise SnapshotError("the view has an observation after it was taken")
     return snapshot
--- a/canvasplank/warm_start/server.py
+++ b/canvasplank/warm_start/server.py
@@ -1,7 +1,7 @@
-"""The server: a running instance answers the request ``view`` with a snapshot of what it has learned.
+"""Serves snapshots of what a running instance has learned, on a separate listener.
 
-It has a listener of its own, for installations where instances may communicate; none is opened where the
-settings name no address.  The snapshot is made on request, so that its times are those of the request.
+Without an address in the settings no listener is opened, as where instances may not communicate.  Each
+snapshot is made when it is requested, so that its times are current.
 """
 
 from __future__ import annotations
@@ -16,14 +16,14 @@
 from canvasplank.warm_start.peer_snapshot import VIEW_REQUEST, PeerSnapshot, encode, frame
 
 LOG = logging.getLogger(__name__)
-TIMEOUT_S = 1.0  # for the request, and again for the response to be sent
-MAX_CONNECTIONS = 8  # new instances are few; further connections are closed without a response
-REQUEST_MARGIN_BYTES = 64  # a line that exceeds the known request by more is not read to its end
+TIMEOUT_S = 1.0  # for receiving the request, and again for sending the response
+MAX_CONNECTIONS = 8  # at a time; further ones are closed without a response, since new instances are few
+REQUEST_MARGIN_BYTES = 64  # a line that is longer than the valid request by more is not read to its end
 
 
 @dataclass
 class RequestCounts:
-    """Connections so far: all, those that were sent a snapshot, and those that were closed without one."""
+    """Numbers of connections: all, those that got a snapshot, and those that were closed without one."""
 
     accepted: int = 0
     served: int = 0
@@ -31,17 +31,17 @@
 
 
 class SnapshotServer:
-    """Answers ``view``; any other request, or none within a second, is closed without a response."""
+    """Responds to ``view``; closes the connection on any other request, or none within ``TIMEOUT_S``."""
 
-    def __init__(self, produce: Callable[[], PeerSnapshot]) -> None:
-        """``produce`` makes the snapshot for one request."""
-        self._produce = produce
+    def __init__(self, take_snapshot: Callable[[], PeerSnapshot]) -> None:
+        """``take_snapshot`` makes the snapshot for one request."""
+        self._take_snapshot = take_snapshot
         self._server: asyncio.Server | None = None
         self._connections = 0
         self.counts = RequestCounts()
 
     async def listen(self, address: str) -> None:
-        """Open the listener for new instances; raises ``OSError`` where the address cannot be used."""
+        """Listen for new instances; raises ``OSError`` if the address cannot be used."""
         host, port = parse_address(address)
         limit = len(VIEW_REQUEST) + REQUEST_MARGIN_BYTES
         self._server = await asyncio.start_server(suppress_cancellation(self._serve), host, port, limit=limit)
@@ -60,7 +60,7 @@
             if self._connections > MAX_CONNECTIONS or request != VIEW_REQUEST:
                 self.counts.rejected += 1
                 return
-            writer.write(frame(encode(self._produce())))
+            writer.write(frame(encode(self._take_snapshot())))
             async with asyncio.timeout(TIMEOUT_S):
                 await writer.drain()
             self.counts.served += 1
--- a/canvasplank/warm_start/start_hints.py
+++ b/canvasplank/warm_start/start_hints.py
@@ -1,8 +1,8 @@
-"""Start hints for a new instance, from a peer's snapshot, the clock and the new instance's endpoint list.
+"""Derives a new instance's start hints from a peer's snapshot, the time and the endpoint list.
 
-No I/O and no clock: the caller passes the time, in Unix milliseconds.  The older an observation, the less it
-counts: its weight halves with every ``half_life_ms``, and it is dropped past ``max_age_ms``.  The hints only
-choose where the new instance starts; its own observations replace them.
+This module does no I/O and reads no clock; times are arguments, in Unix milliseconds.  The weight of an
+observation halves every ``half_life_ms``, and observations older than ``max_age_ms`` are dropped.  The hints
+only set the new instance's initial state; its own observations replace them.
 """
 
 from __future__ import annotations
@@ -12,21 +12,21 @@
 from canvasplank import interface as api
 from canvasplank.warm_start.peer_snapshot import PeerSnapshot
 
-# docs/warm-start.md, Options considered, says what else was considered.
+# For alternatives see docs/warm-start.md, Options considered.
 HALF_LIFE_MS = 5_000.0
 MAX_AGE_MS = 60_000.0
-MIN_TRUSTED_WEIGHT = 0.5  # that of one half-life: an older observation ejects no server
-CLOCK_TOLERANCE_MS = 1_000.0  # a snapshot taken further ahead of our clock than this is not used
+MIN_TRUSTED_WEIGHT = 0.5  # reached after one half-life; an older observation ejects no server
+CLOCK_TOLERANCE_MS = 1_000.0  # a snapshot taken further ahead of our clock is not used
 
 
 @dataclass(frozen=True, slots=True)
 class StartHint:
-    """Where the new instance starts for one server, and the weight of the peer's observation, from 0 to 1."""
+    """A new instance's initial state for one server, and the weight of the peer's observation (0 to 1)."""
 
     server_id: str
     weight: float
-    rate_per_s: float | None  # None: start as without a snapshot
-    eject: bool  # the peer saw it slow or silent, lately enough to avoid it
+    rate_per_s: float | None  # None: as without a snapshot
+    eject: bool  # the peer has recently observed the server as slow or silent
 
 
 @dataclass(frozen=True, slots=True)
@@ -38,7 +38,7 @@
 
 
 def age_weight(age_ms: float, half_life_ms: float = HALF_LIFE_MS, max_age_ms: float = MAX_AGE_MS) -> float:
-    """The weight of an observation of this age, from 0 to 1; 0 past ``max_age_ms``."""
+    """Return the weight of an observation by its age, from 0 to 1; 0 beyond ``max_age_ms``."""
     if age_ms > max_age_ms:
         return 0.0
     weight: float = 0.5 ** (max(0.0, age_ms) / half_life_ms)
@@ -49,18 +49,18 @@
     snapshot: PeerSnapshot,
     now_ms: float,
     listed: list[ListedServer],
-    fresh_rate_per_s: float | None = None,
+    default_rate_per_s: float | None = None,
     half_life_ms: float = HALF_LIFE_MS,
     max_age_ms: float = MAX_AGE_MS,
 ) -> list[StartHint]:
-    """The hints for those servers of a snapshot that are listed now, as the same processes that the peer saw.
+    """Return hints for the servers of a snapshot that the endpoint list has with the same process start.
 
-    ``fresh_rate_per_s``: the new instance's rate at a server without a hint; None: it has none.
+    ``default_rate_per_s`` is the new instance's rate at a server without a hint; None: no limit.
 
-    A server that has gone or restarted gets none: its figures were of another process.  A snapshot taken
-    ahead of our clock gives none at all: its figures would all pass for recent.  An ejection lapses with its
-    weight, and a rate is blended with the fresh one, so that a server that has recovered since is not
-    avoided: a slowdown seen 30 s ago counts for almost nothing.
+    A server that has gone or restarted gets no hint, since the observations were of another process.  A
+    snapshot taken ahead of our clock yields no hints, since all its observations would appear recent.  An
+    ejection requires a recent observation, and the rate is blended with the default one.  So a server that
+    has recovered is not avoided: a slowdown seen 30 s ago has almost no effect.
     """
     if snapshot.taken_ms > now_ms + CLOCK_TOLERANCE_MS:
         return []
@@ -77,25 +77,25 @@
             StartHint(
                 server.instance_id,
                 weight,
-                _blend(server.rate_per_s, fresh_rate_per_s, weight),
+                _blend(server.rate_per_s, default_rate_per_s, weight),
                 (server.slow or server.silent) and weight >= MIN_TRUSTED_WEIGHT,
             )
         )
     return hints
 
 
-def _blend(learned: float | None, fresh: float | None, weight: float) -> float | None:
-    """The mean of the learned and the fresh rate by the learned one's weight.
+def _blend(learned: float | None, default: float | None, weight: float) -> float | None:
+    """Return the mean of the learned and the default rate, weighted by the learned one's weight.
 
-    Without a fresh rate, the learned one unchanged from ``MIN_TRUSTED_WEIGHT`` on, else none.
+    Without a default rate, return the learned one from ``MIN_TRUSTED_WEIGHT`` on, else None.
     """
     if learned is None:
-        return fresh
-    if fresh is None:
+        return default
+    if default is None:
         return learned if weight >= MIN_TRUSTED_WEIGHT else None
-    return weight * learned + (1.0 - weight) * fresh
+    return weight * learned + (1.0 - weight) * default
 
 
 def to_warm_start_hints(hints: list[StartHint]) -> list[api.WarmStartHint]:
-    """The events that the controller takes."""
+    """Convert start hints to events for the controller."""
     return [api.WarmStartHint(hint.server_id, hint.rate_per_s, hint.eject) for hint in hints]
--- a/tests/test_warm_start.py
+++ b/tests/test_warm_start.py
@@ -64,7 +64,7 @@
 def test_a_slowdown_that_ended_30_s_ago_is_disregarded():
     """The hard case: the peer saw the server slow, the slowdown has ended, the new instance joins now."""
     old = snapshot(server_snapshot(age_ms=30_000.0, rate_per_s=2.0, slow=True), taken_ms=NOW - 29_000.0)
-    [hint] = start_hints.derive_start_hints(old, NOW, [ListedServer("s-1", None)], fresh_rate_per_s=50.0)
+    [hint] = start_hints.derive_start_hints(old, NOW, [ListedServer("s-1", None)], default_rate_per_s=50.0)
     assert not hint.eject
     assert hint.rate_per_s == pytest.approx(50.0 - 48.0 / 64)
 
@@ -74,7 +74,7 @@
         snapshot(server_snapshot(age_ms=500.0, rate_per_s=2.0, slow=True)),
         NOW,
         [ListedServer("s-1", None)],
-        fresh_rate_per_s=50.0,
+        default_rate_per_s=50.0,
     )
     assert hint.eject and hint.rate_per_s < 10.0
 
@@ -140,7 +140,7 @@
         new.servers(ready("a", 0), ready("b", 1))
         listed = [ListedServer("a", None), ListedServer("b", None)]
         for event in start_hints.to_warm_start_hints(
-            start_hints.derive_start_hints(seen, now_ms, listed, fresh_rate_per_s=None)
+            start_hints.derive_start_hints(seen, now_ms, listed, default_rate_per_s=None)
         ):
             new.handle(event)
         new.answer_delays_ms["b"] = 40
