--- a/tests/test_store_outbox.py
+++ b/tests/test_store_outbox.py
@@ -1,4 +1,4 @@
-"""The outbox, without input or output: no record lost or duplicated, and every one accounted for."""
+"""Tests of the outbox: it neither loses nor duplicates records, and counts the fate of each."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
     return Outbox(max_queue, max_batch, linger_ms)
 
 
-def test_a_batch_goes_when_it_is_full_or_has_lingered():
+def test_a_batch_may_be_taken_once_it_is_full_or_has_lingered():
     box = outbox()
     assert box.wait_ms(0) is None
     box.put(record(1), 0)
@@ -49,9 +49,9 @@
     box.put(record(2), 0)
     box.take(50)
     box.put(record(3), 60)
-    box.put(record(1, ENDED), 60)  # while its first row is out
+    box.put(record(1, ENDED), 60)  # while the first version is in flight
     box.on_failed(70)
-    assert box.take(70) == [], "not before the pause"
+    assert box.take(70) == [], "not before the backoff has passed"
     assert box.take(1000) == [record(1, ENDED), record(2), record(3)]
 
 
@@ -92,22 +92,23 @@
     st.lists(st.sampled_from(["put", "ended", "take", "written", "failed", "refused"]), max_size=80),
     st.integers(0, 9),
 )
-def test_whatever_happens_every_record_is_accounted_for(steps, seed):
-    """The store is a dictionary by key; at the end it holds the last row of every accepted call."""
-    box, chance = outbox(max_queue=12, max_batch=4, linger_ms=0), random.Random(seed)
-    taken, store, rejected, now, batch = {}, {}, set(), 0.0, []
+def test_every_record_is_counted_and_the_store_gets_the_latest_versions(steps, seed):
+    """The store is a dict; at the end it has the latest version of every record that was not rejected."""
+    box, rng = outbox(max_queue=12, max_batch=4, linger_ms=0), random.Random(seed)
+    accepted, store, rejected, now, batch = {}, {}, set(), 0.0, []
     for number, step in enumerate([*steps, *["take", "written"] * 100]):
         now += 6000
         if step in ("put", "ended"):
-            known = [key for key in taken if key not in rejected]
-            repeats = step == "ended" and known
-            new = record(int(chance.choice(known)[0], 16), ENDED) if repeats else record(number)
+            candidates = [key for key in accepted if key not in rejected]
+            is_update = step == "ended" and candidates
+            new = record(int(rng.choice(candidates)[0], 16), ENDED) if is_update else record(number)
             if box.put(new, now):
-                taken[new.key] = max(new, taken.get(new.key, new), key=lambda r: r.version)
+                accepted[new.key] = max(new, accepted.get(new.key, new), key=lambda r: r.version)
         elif step == "take" and not batch:
             batch = box.take(now)
         elif batch and step != "take":
-            if step == "written" or (step == "failed" and chance.random() < 0.5):  # written, answer lost
+            # A failed write may have been committed, with its response lost.
+            if step == "written" or (step == "failed" and rng.random() < 0.5):
                 for each in batch:
                     if store.get(each.key, each).version <= each.version:
                         store[each.key] = each
@@ -122,14 +123,14 @@
         assert len(box) <= 12
     assert not len(box)
     assert {k: v for k, v in store.items() if k not in rejected} == {
-        k: v for k, v in taken.items() if k not in rejected
+        k: v for k, v in accepted.items() if k not in rejected
     }
 
 
-@pytest.mark.parametrize("closing", [False, True])
-def test_a_closed_outbox_does_not_linger(closing):
+@pytest.mark.parametrize("is_closed", [False, True])
+def test_a_closed_outbox_does_not_linger(is_closed):
     box = outbox()
     box.put(record(1), 0)
-    if closing:
+    if is_closed:
         box.close()
-    assert (box.take(0) == [record(1)]) is closing
+    assert (box.take(0) == [record(1)]) is is_closed
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -1,8 +1,8 @@
-"""Data stored or sent by an earlier version is read by this one, and written in the same form.
+"""Tests that this version reads data stored or sent by an earlier one and writes it in the same format.
 
-The files under ``tests/fixtures/stored`` were written by the functions ``write_...`` of this module at the
-revision that its README names.  SQL columns, JSON and MessagePack keys are derived from the fields of
-structs, so a renamed field that does not keep its key fails here.
+The ``write_...`` functions of this module wrote the files under ``tests/fixtures/stored``, at the revision
+that the README there names.  SQL columns and the keys of JSON and MessagePack are derived from fields of
+structs, so these tests fail if a field is renamed without keeping its key.
 """
 
 from __future__ import annotations
@@ -58,23 +58,23 @@
 
 
 def dump(path: Path) -> str:
-    """The database as SQL statements."""
+    """Return the content of a database as SQL statements."""
     with contextlib.closing(sqlite3.connect(path)) as database:
         return "\n".join(database.iterdump()) + "\n"
 
 
-def restored(name: str, folder: Path) -> Path:
-    """A database made from the statements of a fixture."""
+def restore(name: str, folder: Path) -> Path:
+    """Create a database from the statements of a fixture and return its path."""
     path = folder / name
     with contextlib.closing(sqlite3.connect(path)) as database:
         database.executescript((STORED / f"{name}.sql").read_text())
     return path
 
 
-def outcome(place: int, final: str = "served", after_ms: int = 0, **more) -> CallOutcome:
-    taken_ms = START_MS + 1000 * place + after_ms
+def outcome(index: int, final: str = "served", after_ms: int = 0, **fields) -> CallOutcome:
+    taken_ms = START_MS + 1000 * index + after_ms
     return CallOutcome(
-        f"{place:016x}", "proxy-1", taken_ms, "reading", final, "core-a", 1, taken_ms + 40, **more
+        f"{index:016x}", "proxy-1", taken_ms, "reading", final, "core-a", 1, taken_ms + 40, **fields
     )
 
 
@@ -88,7 +88,7 @@
 ]
 
 
-def holding(held: int, demand: int | None = None) -> Allocation:
+def allocation(held: int, demand: int | None = None) -> Allocation:
     return Allocation(80_000, 16_000, held, demand)
 
 
@@ -96,20 +96,20 @@
 
 
 async def write_fleet(path: Path) -> None:
-    """Two proxies with allocations, a worker with a task, one that failed, and the usage ledger."""
+    """Two proxies with allocations, a worker with two tasks and a failed one, and the usage ledger."""
     store, fleet = StoreSqlite(str(path)), FleetSqlite(str(path))
     await fleet.open()
     await store.open()
     await fleet.migrate(usage_ledger.SCHEMA)
     await store.write(OUTCOMES)
     await fleet.transact(
-        LeaseRequest("proxy-1", None, 1, 8, 400.0, {"all": holding(0, 50_000)}, sees_discovery=True)
+        LeaseRequest("proxy-1", None, 1, 8, 400.0, {"all": allocation(0, 50_000)}, sees_discovery=True)
     )
-    await fleet.transact(LeaseRequest("proxy-2", None, 1, 8, 600.0, {"all": holding(0)}))
+    await fleet.transact(LeaseRequest("proxy-2", None, 1, 8, 600.0, {"all": allocation(0)}))
     await fleet.transact(
-        LeaseRequest("proxy-1", 1, 2, 8, 400.0, {"all": holding(30_000, 50_000)}, sees_discovery=True)
+        LeaseRequest("proxy-1", 1, 2, 8, 400.0, {"all": allocation(30_000, 50_000)}, sees_discovery=True)
     )
-    await fleet.transact(LeaseRequest("proxy-2", 2, 2, 8, 600.0, {"all": holding(0)}))
+    await fleet.transact(LeaseRequest("proxy-2", 2, 2, 8, 600.0, {"all": allocation(0)}))
     await fleet.transact(
         LeaseRequest(
             "worker-1",
@@ -128,9 +128,9 @@
         )
     )
     closing = FencingToken("close", 1, 3)
-    made = usage_ledger.Closing(PERIOD, (PERIOD + 1) * PERIOD_MS)
+    new_closing = usage_ledger.Closing(PERIOD, (PERIOD + 1) * PERIOD_MS)
     await fleet.execute_fenced(
-        closing, usage_ledger.closing_statements(made, PERIOD_MS, REPEAT_MS, None, closing.term)
+        closing, usage_ledger.closing_statements(new_closing, PERIOD_MS, REPEAT_MS, None, closing.term)
     )
     await fleet.execute_fenced(FencingToken("export", 1, 3), usage_ledger.mark_exported_statements(PERIOD, 1))
     await fleet.close()
@@ -152,7 +152,7 @@
     cache_file.write_cached_list(str(path), EndpointList(instances, float(START_MS)).snapshot())
 
 
-def peer_view() -> bytes:
+def encoded_snapshot() -> bytes:
     learned = [
         api.LearnedServer("core-a", START_MS - 5000.0, 12.5, False, False, START_MS - 100.0),
         api.LearnedServer("core-b", None, None, True, True, START_MS + 500.0),
@@ -170,46 +170,46 @@
 # --------------------------------------------------------------------------------------------------- tests
 
 
-def test_the_rows_of_a_fleet_are_read(tmp_path):
+def test_rows_of_a_fleet_are_read(tmp_path):
     async def read() -> FleetState:
-        fleet = FleetSqlite(str(restored("fleet.db", tmp_path)))
+        fleet = FleetSqlite(str(restore("fleet.db", tmp_path)))
         await fleet.open()
         try:
             return await fleet.read_state()
         finally:
             await fleet.close()
 
-    works = ("close", "export", "retain")
+    task_names = ("close", "export", "retain")
     assert asyncio.run(read()) == FleetState(
         members={
-            1: Member(1, "proxy-1", 2, 8, 400.0, {"all": holding(32_000, 50_000)}, sees_discovery=True),
-            2: Member(2, "proxy-2", 2, 8, 600.0, {"all": holding(32_000)}),
-            3: Member(3, "worker-1", 2, 8, 400.0, {}, capabilities=works),
+            1: Member(1, "proxy-1", 2, 8, 400.0, {"all": allocation(32_000, 50_000)}, sees_discovery=True),
+            2: Member(2, "proxy-2", 2, 8, 600.0, {"all": allocation(32_000)}),
+            3: Member(3, "worker-1", 2, 8, 400.0, {}, capabilities=task_names),
         },
         next_incarnation=4,
         tasks={"close": Task(1, 3), "export": Task(1, 3), "retain": Task(1, None, 1, 3)},
     )
 
 
-def test_a_fleet_goes_on_from_the_rows_of_an_earlier_version(tmp_path):
+def test_a_lease_is_renewed_from_rows_of_an_earlier_version(tmp_path):
     async def renew() -> LeaseResponse:
-        fleet = FleetSqlite(str(restored("fleet.db", tmp_path)))
+        fleet = FleetSqlite(str(restore("fleet.db", tmp_path)))
         await fleet.open()
         try:
             return await fleet.transact(
                 LeaseRequest(
-                    "proxy-2", 2, 3, 8, 600.0, {"all": holding(32_000)}, expired=(Heartbeat(1, 2, 400.0),)
+                    "proxy-2", 2, 3, 8, 600.0, {"all": allocation(32_000)}, expired=(Heartbeat(1, 2, 400.0),)
                 )
             )
         finally:
             await fleet.close()
 
-    answer = asyncio.run(renew())
-    assert answer.incarnation == 2 and answer.grants["all"].share == 64_000
-    assert answer.heartbeats == (Heartbeat(2, 3, 600.0), Heartbeat(3, 2, 400.0))
+    response = asyncio.run(renew())
+    assert response.incarnation == 2 and response.grants["all"].share == 64_000
+    assert response.heartbeats == (Heartbeat(2, 3, 600.0), Heartbeat(3, 2, 400.0))
 
 
-def test_the_columns_and_keys_of_a_fleet_stay(tmp_path):
+def test_columns_and_keys_of_a_fleet_are_unchanged(tmp_path):
     asyncio.run(write_fleet(tmp_path / "fleet.db"))
     assert dump(tmp_path / "fleet.db") == (STORED / "fleet.db.sql").read_text()
     with contextlib.closing(sqlite3.connect(tmp_path / "fleet.db")) as database:
@@ -225,37 +225,37 @@
 
 
 def test_the_command_line_shows_a_fleet_of_an_earlier_version(tmp_path):
-    (tmp_path / "fleet.toml").write_text(FLEET_FILE.format(path=restored("fleet.db", tmp_path)))
-    said = {
+    (tmp_path / "fleet.toml").write_text(FLEET_FILE.format(path=restore("fleet.db", tmp_path)))
+    results = {
         command: CliRunner().invoke(cli, [*command.split(), "--fleet", str(tmp_path / "fleet.toml")])
         for command in ("fleet status", "fleet owners", "budgets show")
     }
-    assert said["fleet status"].output == (
+    assert results["fleet status"].output == (
         "proxy-1\t1\t2 requests\tquiet\nproxy-2\t2\t2 requests\tquiet\nworker-1\t3\t2 requests\tquiet\n"
     )
-    assert said["fleet owners"].output == (
+    assert results["fleet owners"].output == (
         "close\tworker-1 (3)\tterm 1\nexport\tworker-1 (3)\tterm 1\n"
         "retain\tnobody\tterm 1\tfailed 1 times, last at 3\n"
     )
-    assert said["budgets show"].output == (
+    assert results["budgets show"].output == (
         "all\tleased 64 of 64/s\tfree 0/s\n"
         "  proxy-1\t1\tholds 32/s\twants 50/s\n"
         "  proxy-2\t2\tholds 32/s\twants -\n"
     )
 
 
-def test_the_usage_ledger_is_read_and_closed_again(tmp_path):
+def test_the_usage_ledger_is_read_and_the_next_period_closed(tmp_path):
     async def close_next() -> tuple[list[UsageSum], list[UsageSum]]:
-        fleet = FleetSqlite(str(restored("fleet.db", tmp_path)))
+        fleet = FleetSqlite(str(restore("fleet.db", tmp_path)))
         await fleet.open()
         try:
             await fleet.migrate(usage_ledger.SCHEMA)
             first = [UsageSum(*row) for row in await fleet.read(usage_ledger.SELECT_SUMS, (PERIOD,))]
             assert await fleet.read(usage_ledger.SELECT_LAST_CLOSING) == [(PERIOD,)]
-            made = usage_ledger.Closing(PERIOD + 1, (PERIOD + 2) * PERIOD_MS)
+            new_closing = usage_ledger.Closing(PERIOD + 1, (PERIOD + 2) * PERIOD_MS)
             await fleet.execute_fenced(
                 FencingToken("close", 1, 3),
-                usage_ledger.closing_statements(made, PERIOD_MS, REPEAT_MS, PERIOD, 1),
+                usage_ledger.closing_statements(new_closing, PERIOD_MS, REPEAT_MS, PERIOD, 1),
             )
             return first, [
                 UsageSum(*row) for row in await fleet.read(usage_ledger.SELECT_SUMS, (PERIOD + 1,))
@@ -274,9 +274,9 @@
     assert second == [UsageSum(PERIOD + 1, "zenith", "reading", "served", 0, 1)]
 
 
-def test_the_records_of_calls_are_read(tmp_path):
+def test_call_records_are_counted(tmp_path):
     async def count() -> list[CallCount]:
-        store = StoreSqlite(str(restored("store.db", tmp_path)))
+        store = StoreSqlite(str(restore("store.db", tmp_path)))
         await store.open()
         try:
             return await store.count_calls(0, "proxy-1")
@@ -296,19 +296,19 @@
     )
 
 
-def test_the_columns_of_the_records_stay(tmp_path):
+def test_columns_of_call_records_are_unchanged(tmp_path):
     asyncio.run(write_store(tmp_path / "store.db"))
     assert dump(tmp_path / "store.db") == (STORED / "store.db.sql").read_text()
 
 
-def test_a_later_row_of_a_call_takes_the_place_of_an_earlier_version_s(tmp_path):
+def test_a_later_version_of_a_record_replaces_one_of_an_earlier_release(tmp_path):
     async def write() -> None:
         store = StoreSqlite(str(path))
         await store.open()
         await store.write([outcome(3, "served", version=ENDED, ended_ms=START_MS + 8000, ending="released")])
         await store.close()
 
-    path = restored("store.db", tmp_path)
+    path = restore("store.db", tmp_path)
     asyncio.run(write())
     with contextlib.closing(sqlite3.connect(path)) as database:
         rows = database.execute(
@@ -318,7 +318,7 @@
     assert rows == [("served", START_MS + 8000, "released", 2, None)]
 
 
-def test_a_cached_endpoint_list_is_read_and_written_the_same(tmp_path):
+def test_a_cached_endpoint_list_is_read_and_written_unchanged(tmp_path):
     cached = STORED / "servers.json"
     assert cache_file.read_cached_list(str(cached)) == CachedEndpointList(
         1,
@@ -339,7 +339,7 @@
     ]
 
 
-def test_a_peer_s_view_is_read_and_sent_the_same():
+def test_a_peer_s_snapshot_is_read_and_sent_unchanged():
     data = (STORED / "peer-view.msgpack").read_bytes()
     assert peer_snapshot.decode(data) == PeerSnapshot(
         1,
@@ -350,7 +350,7 @@
             ServerSnapshot("core-b", None, float(START_MS), None, True, True),
         ],
     )
-    assert peer_view() == data
+    assert encoded_snapshot() == data
     assert peer_snapshot.VIEW_REQUEST == b"view\n"
     assert peer_snapshot.frame(data) == len(data).to_bytes(4, "big") + data
     sent = msgspec.msgpack.decode(data)
@@ -365,7 +365,7 @@
     ]
 
 
-def test_an_export_as_csv_stays():
+def test_an_export_as_csv_is_unchanged():
     data = (STORED / "usage.csv").read_bytes()
     assert export_files.to_csv(SUMS, PERIOD_MS) == data
     assert next(csv.reader(io.StringIO(data.decode()))) == [
@@ -378,16 +378,16 @@
     ]
 
 
-def test_an_export_as_parquet_stays():
+def test_an_export_as_parquet_is_unchanged():
     stored = parquet.read_table(STORED / "usage.parquet")
     assert parquet.read_table(pyarrow.BufferReader(export_files.to_parquet(SUMS, PERIOD_MS))).equals(stored)
     assert stored.column_names == ["period_start", "member", "class_name", "final", "correction", "calls"]
 
 
-@pytest.mark.parametrize("form", ["csv", "parquet"])
-def test_an_export_that_an_earlier_version_left_is_the_same_file(form, tmp_path):
-    name = f"usage-{PERIOD}.{form}"
-    (tmp_path / name).write_bytes((STORED / f"usage.{form}").read_bytes())
+@pytest.mark.parametrize("file_format", ["csv", "parquet"])
+def test_an_export_equals_the_file_of_an_earlier_version(file_format, tmp_path):
+    name = f"usage-{PERIOD}.{file_format}"
+    (tmp_path / name).write_bytes((STORED / f"usage.{file_format}").read_bytes())
     assert not export_files.publish(
-        tmp_path, name, export_files.ENCODERS[form](SUMS, PERIOD_MS), lambda point: None
+        tmp_path, name, export_files.ENCODERS[file_format](SUMS, PERIOD_MS), lambda point: None
     )
