--- a/tests/test_endpoint_cache.py
+++ b/tests/test_endpoint_cache.py
@@ -1,4 +1,4 @@
-"""The cached endpoint list: its format, its use by age, and starts from it while discovery is unreachable."""
+"""Tests of the endpoint cache: its format, its use by age, and starts while discovery is unreachable."""
 
 from __future__ import annotations
 
@@ -52,10 +52,10 @@
 
 
 @pytest.mark.parametrize(
-    ("data", "why"),
+    ("data", "message"),
     [
         (b"", "cannot be read"),
-        (encode(cached())[:-20], "cannot be read"),  # cut short
+        (encode(cached())[:-20], "cannot be read"),  # truncated
         (encode(cached()).replace(b"host_port", b"host_part"), "cannot be read"),
         (encode(CachedEndpointList(2, NOW, [A])), "version 2"),
         (encode(cached(0.0, A, A)), "twice"),
@@ -63,8 +63,8 @@
         (encode(cached()).replace(b"ready", b"\xff\xfe"), "cannot be read"),
     ],
 )
-def test_a_corrupt_list_is_not_used(data, why, tmp_path, caplog):
-    with pytest.raises(CachedListError, match=why):
+def test_a_corrupt_list_is_not_used(data, message, tmp_path, caplog):
+    with pytest.raises(CachedListError, match=message):
         decode(data)
     (tmp_path / "servers.json").write_bytes(data)
     assert cache_file.read_cached_list(str(tmp_path / "servers.json")) is None
@@ -74,11 +74,11 @@
 @pytest.mark.parametrize(
     ("age_ms", "names", "stale"),
     [
-        (MAX_FRESH_AGE_MS, ["s-a", "s-b"], False),  # unchanged, the draining one too
+        (MAX_FRESH_AGE_MS, ["s-a", "s-b"], False),  # unchanged, including the draining endpoint
         (MAX_FRESH_AGE_MS + 1, ["s-a"], True),
         (HOUR_MS, ["s-a"], True),
         (MAX_AGE_MS, ["s-a"], True),
-        (-5_000.0, ["s-a"], True),  # from the future: a clock was set back
+        (-5_000.0, ["s-a"], True),  # dated ahead: a clock was set back
     ],
 )
 def test_age_decides_which_endpoints_are_used_and_at_what_rate(age_ms, names, stale):
@@ -86,7 +86,7 @@
     assert [i.instance_id for i in plan.endpoints] == names
     assert plan.stale is stale
     assert plan.hints == [api.WarmStartHint(name, 1.0, eject=False) for name in names if stale]
-    assert plan.endpoints[0].started_at_ms == A.started_at_ms, "a server is its process"
+    assert plan.endpoints[0].started_at_ms == A.started_at_ms, "the start time identifies the process"
 
 
 @pytest.mark.parametrize("unusable", [cached(MAX_AGE_MS + 1), cached(HOUR_MS, B)])
@@ -111,12 +111,14 @@
             sent += sum(isinstance(action, api.SetUp) for _, action in gateway.action_log)
         return sent
 
-    budget = 4 * 0.29 * 20 * 3  # the rule's multiple, the coldest share, 20 calls a second, its span
+    # Set-ups that overload a cold server with a capacity of 20 calls/s: tip_multiple * cold_share * capacity
+    # * overload_for_ms in seconds.
+    budget = 4 * 0.29 * 20 * 3
     assert sent_in_three_seconds(*plan_bootstrap(cached(HOUR_MS), NOW, proxies=4).hints) < budget
-    assert sent_in_three_seconds() > budget, "without hints it is more"
+    assert sent_in_three_seconds() > budget, "more set-ups without hints"
 
 
-def test_the_endpoint_list_is_cached_only_after_a_complete_list():
+def test_the_endpoint_list_is_incomplete_until_a_complete_list_arrives():
     endpoint_list = EndpointList([], NOW)
     endpoint_list.on_discovery_event(discovery_event(2, reset=False, a="ready"), NOW)
     assert not endpoint_list.is_complete, "a fragment must not replace the list on disk"
@@ -138,15 +140,15 @@
 
     async def run():
         endpoint_list = EndpointList([Endpoint("s-c", "10.0.0.3:1", "ready")], NOW)
-        made = writer.EndpointListWriter(
+        list_writer = writer.EndpointListWriter(
             str(path), endpoint_list, Scheduler(TimerQueue(), lambda: NOW), lambda: None
         )
-        (tmp_path / "servers.json.new").mkdir()  # in the way of the new file
-        await made.close()
-        await made.close()
+        (tmp_path / "servers.json.new").mkdir()  # blocks the temporary file
+        await list_writer.close()
+        await list_writer.close()
         assert path.read_bytes() == before
         (tmp_path / "servers.json.new").rmdir()
-        await made.close()
+        await list_writer.close()
 
     asyncio.run(run())
     assert [s.instance_id for s in decode(path.read_bytes()).endpoints] == ["s-c"]
@@ -157,29 +159,29 @@
 def test_a_write_in_progress_at_the_end_is_completed_and_later_changes_are_written(
     tmp_path, monkeypatch, caplog, changes_meanwhile
 ):
-    """The thread refused the last write while an earlier one went on, and nothing waited for that."""
+    """Guards against skipping the last write because the thread is still busy with an earlier one."""
     path = tmp_path / "servers.json"
-    started, goes_on = threading.Event(), threading.Event()
+    started, may_continue = threading.Event(), threading.Event()
 
-    def slow(*arguments):
+    def slow_write(*arguments):
         started.set()
-        goes_on.wait(WAIT_S)
+        may_continue.wait(WAIT_S)
         cache_file.write_cached_list(*arguments)
 
-    monkeypatch.setattr(writer, "write_cached_list", slow)
+    monkeypatch.setattr(writer, "write_cached_list", slow_write)
     monkeypatch.setattr(writer, "FINAL_WRITE_TIMEOUT_S", WAIT_S)
 
     async def run():
         endpoint_list = EndpointList([Endpoint("s-a", "10.0.0.1:1", "ready")], NOW)
         scheduler = Scheduler(TimerQueue(), lambda: NOW)
-        made = writer.EndpointListWriter(str(path), endpoint_list, scheduler, lambda: None)
-        made.start()
+        list_writer = writer.EndpointListWriter(str(path), endpoint_list, scheduler, lambda: None)
+        list_writer.start()
         await asyncio.to_thread(started.wait, WAIT_S)
         if changes_meanwhile:
-            made.on_discovery_event(discovery_event(2, reset=False, b="ready"))
-        closing = asyncio.ensure_future(made.close())
+            list_writer.on_discovery_event(discovery_event(2, reset=False, b="ready"))
+        closing = asyncio.ensure_future(list_writer.close())
         await asyncio.sleep(0)
-        goes_on.set()
+        may_continue.set()
         await closing
 
     asyncio.run(run())
@@ -197,70 +199,70 @@
         ('path = "x"\ncolour = 1', "colour"),
     ],
 )
-def test_a_bad_setting_is_one_line(tmp_path, text, message):
+def test_invalid_settings_are_rejected(tmp_path, text, message):
     (tmp_path / "membership.toml").write_text(text)
     with pytest.raises(ConfigurationError, match=message):
         load_endpoint_cache_settings(str(tmp_path / "membership.toml"))
 
 
-def answered(callers: Callers, address: str | None = None) -> set[str]:
-    return {made.outcome for made in callers.tries.values() if address in (None, made.proxy)}
+def outcomes(callers: Callers, address: str | None = None) -> set[str]:
+    return {attempt.outcome for attempt in callers.tries.values() if address in (None, attempt.proxy)}
 
 
 @pytest.mark.parametrize("age_ms", [0.0, HOUR_MS])
 def test_calls_are_served_from_the_cached_list_until_discovery_replaces_it(tmp_path, age_ms):
-    """A first process caches the list and is killed; a second starts while discovery is unreachable and one
-    server has gone; then discovery is back, with a new server in place of that one.
+    """A first process caches the list and is killed.  A second starts while discovery is unreachable and one
+    server has gone.  Then discovery is back, with a new server in place of that one.
     """
 
     async def run():
         a, b, gone, new = (CallServer(f"s-{n}", 200.0, hold_ms=3000.0) for n in ("a", "b", "gone", "new"))
         path, file = tmp_path / "servers.json", tmp_path / "membership.toml"
         file.write_text(f'path = "{path}"\n')
-        async with fleet(tmp_path, [a, b, gone], 1) as world:
-            world.in_configuration = False
-            first = await world.proxy("n0", 1, CANVASPLANK_MEMBERSHIP=str(file))
+        async with fleet(tmp_path, [a, b, gone], 1) as started:
+            started.in_configuration = False
+            first = await started.proxy("n0", 1, CANVASPLANK_MEMBERSHIP=str(file))
             async with asyncio.timeout(WAIT_S):
                 while not path.exists():
                     await asyncio.sleep(0.05)
             await first.stop(signal.SIGKILL)
             await gone.stop()
-            await world.discovery.stop()
+            await started.discovery.stop()
             saved = decode(path.read_bytes())
             assert len(saved.endpoints) == 3
             path.write_bytes(
                 encode(CachedEndpointList(FORMAT_VERSION, time.time() * 1000 - age_ms, saved.endpoints))
             )
 
-            proxy = await world.proxy("n0", 2, CANVASPLANK_MEMBERSHIP=str(file))
+            proxy = await started.proxy("n0", 2, CANVASPLANK_MEMBERSHIP=str(file))
             callers = Callers(1, pools=3)
             await callers.add_proxy(proxy.address)
             await callers.offer(15.0, 1.5)
             await callers.settled(WAIT_S)
-            assert answered(callers) == {"served"}, proxy.text()
+            assert outcomes(callers) == {"served"}, proxy.text()
 
             await new.start()
-            world.servers.append(new)
-            world.discovery.anew()
-            await world.list(a, b, new)
-            await world.discovery.start()
-            before = new.set_ups
+            started.servers.append(new)
+            started.discovery.anew()
+            await started.list(a, b, new)
+            await started.discovery.start()
+            set_ups_before = new.set_ups
             async with asyncio.timeout(WAIT_S):
-                while new.set_ups == before:  # within seconds of discovery's return
+                while new.set_ups == set_ups_before:  # the new list must apply within WAIT_S
                     await callers.offer(15.0, 0.3)
-            async with asyncio.timeout(WAIT_S):  # calls established meanwhile end as usual
+            async with asyncio.timeout(WAIT_S):  # calls established before then must end as usual
                 while any(
                     t.outcome == "open" or (t.outcome == "served" and t.released_s is None)
                     for t in callers.tries.values()
                 ):
                     await asyncio.sleep(0.05)
-            assert answered(callers) == {"served"}, proxy.text()
-            assert all(made.answers == 1 for made in callers.tries.values())
+            assert outcomes(callers) == {"served"}, proxy.text()
+            assert all(attempt.answers == 1 for attempt in callers.tries.values())
             ended_early = [t for t in callers.tries.values() if t.released_s - t.answered_s < 2.5]
             await callers.stop()
             assert await proxy.stop() == 0
             assert not ended_early, (
-                "no established call was cut when discovery's list replaced the cached one"
+                "an established call was cut when discovery's list replaced the cached one"
             )
             assert {s.instance_id for s in decode(path.read_bytes()).endpoints} == {"s-a", "s-b", "s-new"}
             return proxy.text()
@@ -269,5 +271,5 @@
     assert "starting from the cached endpoint list" in log
     stale = age_ms > MAX_FRESH_AGE_MS
     assert (", stale: slow start" in log) is stale and ("hints=3" in log) is stale, (
-        "the controller has the hints"
+        "the controller must have received the hints"
     )
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -127,10 +127,10 @@
             "worker-1", 3, 2, 8, 400.0, {}, capabilities=("close", "export", "retain"), given_up=("retain",)
         )
     )
-    closing = FencingToken("close", 1, 3)
-    new_closing = usage_ledger.Closing(PERIOD, (PERIOD + 1) * PERIOD_MS)
+    token = FencingToken("close", 1, 3)
+    closing = usage_ledger.Closing(PERIOD, (PERIOD + 1) * PERIOD_MS)
     await fleet.execute_fenced(
-        closing, usage_ledger.closing_statements(new_closing, PERIOD_MS, REPEAT_MS, None, closing.term)
+        token, usage_ledger.closing_statements(closing, PERIOD_MS, REPEAT_MS, None, token.term)
     )
     await fleet.execute_fenced(FencingToken("export", 1, 3), usage_ledger.mark_exported_statements(PERIOD, 1))
     await fleet.close()
@@ -252,10 +252,10 @@
             await fleet.migrate(usage_ledger.SCHEMA)
             first = [UsageSum(*row) for row in await fleet.read(usage_ledger.SELECT_SUMS, (PERIOD,))]
             assert await fleet.read(usage_ledger.SELECT_LAST_CLOSING) == [(PERIOD,)]
-            new_closing = usage_ledger.Closing(PERIOD + 1, (PERIOD + 2) * PERIOD_MS)
+            closing = usage_ledger.Closing(PERIOD + 1, (PERIOD + 2) * PERIOD_MS)
             await fleet.execute_fenced(
                 FencingToken("close", 1, 3),
-                usage_ledger.closing_statements(new_closing, PERIOD_MS, REPEAT_MS, PERIOD, 1),
+                usage_ledger.closing_statements(closing, PERIOD_MS, REPEAT_MS, PERIOD, 1),
             )
             return first, [
                 UsageSum(*row) for row in await fleet.read(usage_ledger.SELECT_SUMS, (PERIOD + 1,))
--- a/tests/test_warm_start.py
+++ b/tests/test_warm_start.py
@@ -1,4 +1,4 @@
-"""A peer's snapshot: read only when complete and of our version, and weighted by its age."""
+"""Tests of warm starts: the snapshot format, weights by age, and start hints in the controller."""
 
 from __future__ import annotations
 
@@ -14,9 +14,9 @@
 
 
 def server_snapshot(
-    server: str = "s-1", age_ms: float = 0.0, started_ms: float | None = None, **more
+    server: str = "s-1", age_ms: float = 0.0, started_ms: float | None = None, **fields
 ) -> ServerSnapshot:
-    return ServerSnapshot(server, started_ms, NOW - age_ms, **more)
+    return ServerSnapshot(server, started_ms, NOW - age_ms, **fields)
 
 
 def snapshot(
@@ -31,7 +31,7 @@
 
 
 @pytest.mark.parametrize(
-    ("data", "why"),
+    ("data", "message"),
     [
         (peer_snapshot.encode(snapshot(server_snapshot()))[:-3], "cannot be read"),  # truncated
         (b"\x00" * (peer_snapshot.MAX_BYTES + 1), "more than"),  # oversized
@@ -48,8 +48,8 @@
         ),
     ],
 )
-def test_an_incomplete_or_foreign_snapshot_is_rejected(data, why):
-    with pytest.raises(SnapshotError, match=why):
+def test_an_invalid_snapshot_is_rejected(data, message):
+    with pytest.raises(SnapshotError, match=message):
         peer_snapshot.decode(data)
 
 
@@ -57,12 +57,12 @@
     ("age_ms", "expected"),
     [(0, 1.0), (5_000, 0.5), (10_000, 0.25), (-50, 1.0), (60_000, 0.5**12), (60_001, 0.0)],
 )
-def test_weight_halves_with_each_half_life(age_ms, expected):
+def test_the_weight_halves_with_each_half_life(age_ms, expected):
     assert start_hints.age_weight(age_ms) == pytest.approx(expected)
 
 
-def test_a_slowdown_that_ended_30_s_ago_is_disregarded():
-    """The hard case: the peer saw the server slow, the slowdown has ended, the new instance joins now."""
+def test_a_slowdown_seen_30_s_ago_has_almost_no_effect():
+    """The peer saw a slow server, the slowdown has ended since, and the new instance starts now."""
     old = snapshot(server_snapshot(age_ms=30_000.0, rate_per_s=2.0, slow=True), taken_ms=NOW - 29_000.0)
     [hint] = start_hints.derive_start_hints(old, NOW, [ListedServer("s-1", None)], default_rate_per_s=50.0)
     assert not hint.eject
@@ -83,23 +83,23 @@
     "listed",
     [
         [],  # gone
-        [ListedServer("s-2", None)],  # another instanceId at its place
-        [ListedServer("s-1", NOW - 2_000.0)],  # the same name, a new process
+        [ListedServer("s-2", None)],  # replaced by another instanceId
+        [ListedServer("s-1", NOW - 2_000.0)],  # the same instanceId, a new process
     ],
 )
-def test_servers_gone_or_started_anew_are_dropped(listed):
+def test_servers_that_have_gone_or_restarted_get_no_hint(listed):
     assert (
         start_hints.derive_start_hints(snapshot(server_snapshot(rate_per_s=3.0, silent=True)), NOW, listed)
         == []
     )
 
 
-def test_a_peer_whose_clock_runs_ahead_is_not_used():
+def test_a_snapshot_taken_ahead_of_the_clock_yields_no_hints():
     ahead = snapshot(server_snapshot(age_ms=-10_000.0, rate_per_s=1.0, silent=True), taken_ms=NOW + 10_000.0)
     assert start_hints.derive_start_hints(ahead, NOW, [ListedServer("s-1", None)]) == []
 
 
-def test_without_a_fresh_rate_an_old_rate_is_dropped():
+def test_without_a_default_rate_an_old_rate_is_dropped():
     [hint] = start_hints.derive_start_hints(
         snapshot(server_snapshot(age_ms=20_000.0, rate_per_s=7.0)), NOW, [ListedServer("s-1", None)]
     )
@@ -107,18 +107,18 @@
 
 
 class TestController:
-    """A running gateway's snapshot, passed to a new one in the wire format, as its controller receives it."""
+    """Passes the snapshot of a running gateway, in the wire format, to the controller of a new one."""
 
     @staticmethod
-    def running(slowdown_at_ms: float) -> PeerSnapshot:
-        """A gateway that saw server a fall silent at that time, while b responded."""
+    def snapshot_of_peer(silent_from_ms: float) -> PeerSnapshot:
+        """Return the snapshot of a gateway that sees server a silent from this time on, while b responds."""
         from conftest import Gateway, ready
 
         peer = Gateway()
-        peer.now = slowdown_at_ms
+        peer.now = silent_from_ms
         peer.servers(ready("a", 0), ready("b", 1))
         peer.serve_calls("b", first=1, count=10)
-        peer.answer_delays_ms["b"] = 40  # b goes on responding; a never does
+        peer.answer_delays_ms["b"] = 40  # b continues to respond, a does not
         for _ in range(6):
             peer.call(first=0)
             peer.advance_to(peer.now + 300)
@@ -129,9 +129,10 @@
         )
 
     @staticmethod
-    def joining(seen: PeerSnapshot, now_ms: float) -> int:
-        """A new gateway applies the snapshot, then gets 20 calls for pool 0 over 2 s while a is still silent
-        and b answers; how many set-ups went to a.
+    def set_ups_to_silent_server(seen: PeerSnapshot, now_ms: float) -> int:
+        """Return how many set-ups a new gateway with this snapshot sends to server a, which is still silent.
+
+        The gateway gets 20 calls for pool 0 over 2 s, and server b responds.
         """
         from conftest import Gateway, ready
 
@@ -149,17 +150,17 @@
             new.advance_to(new.now + 100)
         return sum(isinstance(a, api.SetUp) and a.server_id == "a" for _, a in new.action_log)
 
-    def test_a_running_gateway_exports_what_it_saw(self):
-        seen = self.running(0.0)
+    def test_the_snapshot_shows_which_server_is_silent(self):
+        seen = self.snapshot_of_peer(0.0)
         by_id = {entry.instance_id: entry for entry in seen.servers}
         assert by_id["a"].silent and not by_id["b"].silent
 
-    def test_a_recent_snapshot_steers_a_new_gateway_away_from_a_silent_server(self):
-        seen = self.running(0.0)
-        assert self.joining(seen, seen.taken_ms + 100) <= 2, "trials only"
+    def test_with_a_recent_snapshot_a_new_gateway_avoids_a_silent_server(self):
+        seen = self.snapshot_of_peer(0.0)
+        assert self.set_ups_to_silent_server(seen, seen.taken_ms + 100) <= 2, "only trial calls"
 
-    def test_a_long_silence_is_dated_by_its_last_trial(self):
-        """It was dated by the server's last response, so that the longest silences were disregarded."""
+    def test_a_long_silence_is_dated_by_the_last_trial_call(self):
+        """Guards against dating a silence by the last response: the longest silences were disregarded."""
         from conftest import Gateway, ready
 
         peer = Gateway()
@@ -175,27 +176,27 @@
         ]
         assert seen.silent and peer.now - seen.observed_ms < 5_000
 
-    def test_a_snapshot_from_before_the_recovery_30_s_ago_is_disregarded(self):
-        seen = self.running(0.0)
-        without_snapshot = self.joining(
+    def test_a_snapshot_taken_30_s_ago_has_no_effect(self):
+        seen = self.snapshot_of_peer(0.0)
+        without_snapshot = self.set_ups_to_silent_server(
             PeerSnapshot(peer_snapshot.FORMAT_VERSION, "none", 0.0, []), seen.taken_ms + 30_000
         )
-        assert self.joining(seen, seen.taken_ms + 30_000) == without_snapshot > 2
+        assert self.set_ups_to_silent_server(seen, seen.taken_ms + 30_000) == without_snapshot > 2
 
-    @pytest.mark.parametrize(("late", "slow"), [(1, False), (10, True)])
-    def test_slow_means_a_slow_usual_response(self, late, slow):
-        """One late response passed for a slow server, and the new gateway avoided a healthy one."""
+    @pytest.mark.parametrize(("late_responses", "slow"), [(1, False), (10, True)])
+    def test_a_server_is_slow_by_its_usual_response_time(self, late_responses, slow):
+        """Guards against one late response marking a server as slow: a healthy server was avoided."""
         from conftest import Gateway, ready
 
         peer = Gateway()
         peer.servers(ready("a", 0))
         peer.serve_calls("a", first=0, count=10)
-        peer.serve_calls("a", first=0, count=late, gap_ms=1500, waited_ms=900)
+        peer.serve_calls("a", first=0, count=late_responses, gap_ms=1500, waited_ms=900)
         [exported] = peer_snapshot.make_snapshot("n1", peer.controller.learned_servers(), peer.now).servers
         assert exported.slow is slow
 
-    def test_a_rate_from_a_start_hint_may_be_cut_at_once(self):
-        """It passed for a cut of our own: a server that was worse by now was not cut for a second."""
+    def test_a_rate_from_a_start_hint_can_be_reduced_at_once(self):
+        """Guards against treating the hint as an own reduction: the next one had to wait for a second."""
         from conftest import Gateway, ready
 
         new = Gateway()
--- a/tests/test_warm_start_client.py
+++ b/tests/test_warm_start_client.py
@@ -1,4 +1,4 @@
-"""Fetching a peer's snapshot: fake peers on loopback that respond well, late, never, truncated or wrongly."""
+"""Tests of fetching a snapshot from fake peers, whose responses may be valid, invalid, late or missing."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from canvasplank.warm_start.client import fetch_first_snapshot, fetch_snapshot
 from canvasplank.warm_start.peer_snapshot import PeerSnapshot, ServerSnapshot, frame
 
-GOOD = PeerSnapshot(
+SNAPSHOT = PeerSnapshot(
     peer_snapshot.FORMAT_VERSION,
     "n1",
     1.8e12,
@@ -22,108 +22,108 @@
 TIMEOUT_S = 0.3
 
 
-def refused_address() -> str:
+def unused_address() -> str:
     with socket.socket() as probe:
         probe.bind(("127.0.0.1", 0))
-        return f"127.0.0.1:{probe.getsockname()[1]}"  # closed again: nobody listens there
+        return f"127.0.0.1:{probe.getsockname()[1]}"  # closed again, so that connections are refused
 
 
-async def fake_peer(answer: bytes | None, delay_s: float = 0.0):
-    """A peer that waits, then writes ``answer``; None: it never responds."""
+async def fake_peer(response: bytes | None, delay_s: float = 0.0):
+    """A peer that waits, then writes ``response``; None: it never responds."""
 
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.readline()
-        if answer is None:
+        if response is None:
             await asyncio.sleep(60)
         await asyncio.sleep(delay_s)
-        writer.write(answer)
+        writer.write(response)
         await writer.drain()
         writer.close()
 
     return await asyncio.start_server(serve, "127.0.0.1", 0)
 
 
-def fetched(answer: bytes | None, delay_s: float = 0.0) -> tuple[PeerSnapshot | None, float]:
+def fetch_from_fake_peer(response: bytes | None, delay_s: float = 0.0) -> tuple[PeerSnapshot | None, float]:
     async def run() -> tuple[PeerSnapshot | None, float]:
-        server = await fake_peer(answer, delay_s)
+        server = await fake_peer(response, delay_s)
         async with server:
             port = server.sockets[0].getsockname()[1]
             started = time.monotonic()
-            taken = await fetch_snapshot(f"127.0.0.1:{port}", TIMEOUT_S)
-            return taken, time.monotonic() - started
+            fetched = await fetch_snapshot(f"127.0.0.1:{port}", TIMEOUT_S)
+            return fetched, time.monotonic() - started
 
     return asyncio.run(run())
 
 
-def test_the_snapshot_of_a_peer_that_responds():
-    taken, _ = fetched(frame(peer_snapshot.encode(GOOD)))
-    assert taken == GOOD
+def test_a_snapshot_is_fetched_from_a_peer():
+    fetched, _ = fetch_from_fake_peer(frame(peer_snapshot.encode(SNAPSHOT)))
+    assert fetched == SNAPSHOT
 
 
 @pytest.mark.parametrize(
-    ("answer", "delay_s", "logged"),
+    ("response", "delay_s", "message"),
     [
         (None, 0.0, "no complete response within 300 ms"),  # never responds
-        (frame(peer_snapshot.encode(GOOD)), 5.0, "no complete response"),  # slow
-        (frame(peer_snapshot.encode(GOOD))[:-4], 0.0, "bytes read"),  # truncated
+        (frame(peer_snapshot.encode(SNAPSHOT)), 5.0, "no complete response"),  # slow
+        (frame(peer_snapshot.encode(SNAPSHOT))[:-4], 0.0, "bytes read"),  # truncated
         (b"\xff\xff\xff\xff", 0.0, "more than"),  # oversized
         (frame(b"\x93\x01\x02\x03"), 0.0, "cannot be read"),  # malformed
         (frame(peer_snapshot.encode(PeerSnapshot(2, "n1", 1.8e12, []))), 0.0, "version 2"),  # another release
     ],
 )
-def test_a_peer_that_fails_costs_one_line_and_no_more_than_the_timeout(answer, delay_s, logged, caplog):
+def test_after_a_failure_one_line_is_logged_within_the_timeout(response, delay_s, message, caplog):
     with caplog.at_level(logging.WARNING):
-        taken, took_s = fetched(answer, delay_s)
-    assert taken is None
-    assert took_s < TIMEOUT_S + 1.0, "the start is not held up"
+        fetched, took_s = fetch_from_fake_peer(response, delay_s)
+    assert fetched is None
+    assert took_s < TIMEOUT_S + 1.0, "the start must not be delayed further"
     [line] = [r.getMessage() for r in caplog.records if r.name == "canvasplank.warm_start.client"]
-    assert logged in line and "starting without one" in line
+    assert message in line and "starting without one" in line
 
 
-def test_a_refused_connection_is_one_line(caplog):
+def test_a_refused_connection_is_logged_in_one_line(caplog):
     with caplog.at_level(logging.WARNING):
-        assert asyncio.run(fetch_snapshot(refused_address(), TIMEOUT_S)) is None
+        assert asyncio.run(fetch_snapshot(unused_address(), TIMEOUT_S)) is None
     assert len(caplog.records) == 1
 
 
-def test_a_running_instance_sends_its_snapshot_on_request_and_nothing_else():
+def test_the_server_sends_its_snapshot_only_on_a_valid_request():
     from canvasplank.warm_start.server import RequestCounts, SnapshotServer
 
     async def run() -> tuple[PeerSnapshot | None, RequestCounts]:
-        snapshot_server = SnapshotServer(lambda: GOOD)
+        snapshot_server = SnapshotServer(lambda: SNAPSHOT)
         await snapshot_server.listen("127.0.0.1:0")
         port = snapshot_server._server.sockets[0].getsockname()[1]
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
         writer.write(b"something else\n")
-        assert await reader.read() == b"", "closed unanswered"
+        assert await reader.read() == b"", "closed without a response"
         writer.close()
-        taken = await fetch_snapshot(f"127.0.0.1:{port}", TIMEOUT_S)
+        fetched = await fetch_snapshot(f"127.0.0.1:{port}", TIMEOUT_S)
         snapshot_server.close()
-        return taken, snapshot_server.counts
+        return fetched, snapshot_server.counts
 
-    taken, counts = asyncio.run(run())
-    assert taken == GOOD
+    fetched, counts = asyncio.run(run())
+    assert fetched == SNAPSHOT
     assert counts == RequestCounts(accepted=2, served=1, rejected=1)
 
 
-def test_peers_are_tried_one_after_another_within_the_one_timeout():
+def test_peers_are_tried_in_turn_within_one_timeout():
     """The first refuses, the second hangs for its share of the time, the third responds."""
 
     async def run() -> tuple[PeerSnapshot | None, float]:
-        hangs, answers = await fake_peer(None), await fake_peer(frame(peer_snapshot.encode(GOOD)))
-        async with hangs, answers:
+        hanging, responding = await fake_peer(None), await fake_peer(frame(peer_snapshot.encode(SNAPSHOT)))
+        async with hanging, responding:
             addresses = [
-                refused_address(),
-                *(f"127.0.0.1:{each.sockets[0].getsockname()[1]}" for each in (hangs, answers)),
+                unused_address(),
+                *(f"127.0.0.1:{each.sockets[0].getsockname()[1]}" for each in (hanging, responding)),
             ]
             started = time.monotonic()
             return await fetch_first_snapshot(addresses, TIMEOUT_S), time.monotonic() - started
 
-    taken, took_s = asyncio.run(run())
-    assert taken == GOOD and took_s < TIMEOUT_S + 1.0
+    fetched, took_s = asyncio.run(run())
+    assert fetched == SNAPSHOT and took_s < TIMEOUT_S + 1.0
 
 
 def test_no_more_than_three_peers_are_tried(caplog):
     with caplog.at_level(logging.WARNING):
-        assert asyncio.run(fetch_first_snapshot([refused_address() for _ in range(5)], TIMEOUT_S)) is None
+        assert asyncio.run(fetch_first_snapshot([unused_address() for _ in range(5)], TIMEOUT_S)) is None
     assert len(caplog.records) == 3
