--- a/canvasplank/endpoint_cache/bootstrap.py
+++ b/canvasplank/endpoint_cache/bootstrap.py
@@ -11,7 +11,7 @@
 from canvasplank.config.discovery_events import READY, Endpoint
 from canvasplank.endpoint_cache.cached_list import CachedEndpointList
 
-MAX_FRESH_AGE_MS = 10_000.0  # counts as current: events from discovery may be as late
+MAX_FRESH_AGE_MS = 10_000.0  # a list up to this age is as current as a late event from discovery
 MAX_AGE_MS = 7 * 24 * 3_600_000.0  # a week
 # The initial rate of all proxies together to each endpoint of a stale list.  It stays below the rate that
 # overloads a server that has just started (docs/endpoint-cache.md, Measured).
--- a/canvasplank/endpoint_cache/cache_file.py
+++ b/canvasplank/endpoint_cache/cache_file.py
@@ -18,7 +18,7 @@
 
 
 def read_cached_list(path: str) -> CachedEndpointList | None:
-    """Return the cached list; logs one line and returns None if the file is missing or cannot be used."""
+    """Return the cached list; logs one line and returns None if it is missing (first start) or unusable."""
     try:
         with open(path, "rb") as file:
             return decode(file.read(MAX_BYTES + 1))
--- a/canvasplank/endpoint_cache/writer.py
+++ b/canvasplank/endpoint_cache/writer.py
@@ -15,7 +15,7 @@
 
 LOG = logging.getLogger(__name__)
 WRITE_INTERVAL_MS = 1_000.0  # combines the dozens of events per second of a roll-out into few writes
-CONFIRM_INTERVAL_MS = 10_000.0  # about the maximum age of an unchanged list's file after a crash
+CONFIRM_INTERVAL_MS = 10_000.0  # about the maximum age of the file at a crash, if nothing changes
 FINAL_WRITE_TIMEOUT_S = 0.2  # at shutdown
 INITIAL_BACKOFF_MS, MAX_BACKOFF_MS = 1_000.0, 60_000.0  # after a failed write; doubles with each failure
 
--- a/canvasplank/extensions/extension.py
+++ b/canvasplank/extensions/extension.py
@@ -54,7 +54,7 @@
     """The base class of extensions, which override the methods of the life cycle that they need."""
 
     async def start(self) -> None:
-        """Start with the configured endpoints, before callers can connect; must return in bounded time."""
+        """Start after the configured endpoints are set and before callers connect; must take bounded time."""
 
     def on_discovery_event(self, event: DiscoveryEvent) -> None:
         """Handle an event from service discovery, after the table of call servers has been updated."""
