--- a/canvasplank/store/outbox.py
+++ b/canvasplank/store/outbox.py
@@ -1,4 +1,4 @@
-"""The bounded queue of records for the store, which forms batches and retries failed ones.
+"""A bounded queue that batches records for the store and retries failed batches.
 
 This module does no I/O and reads no clock.  The ``Writer`` takes a batch, reports its outcome
 (``on_written``, ``on_failed``, ``on_rejected``) and takes the next after ``wait_ms``.  At most one batch
--- a/canvasplank/store/records.py
+++ b/canvasplank/store/records.py
@@ -50,7 +50,7 @@
     taken_ms: int
     class_name: str
     final: str  # a value of ``Final``
-    server: str | None  # that established the call, else that of the last attempt
+    server: str | None  # the server of the established call, else of the last attempt
     attempts: int
     answered_ms: int
     ended_ms: int | None = None
--- a/canvasplank/store/schema.py
+++ b/canvasplank/store/schema.py
@@ -30,7 +30,7 @@
 )
 SCHEMA = Schema("schema_version", 7_201_310, MIGRATIONS)
 
-_COLUMN_TYPES = {  # of columns other than text
+_COLUMN_TYPES = {  # SQL types of the columns that are not text
     "taken_ms": "bigint",
     "attempts": "integer",
     "answered_ms": "bigint",
--- a/canvasplank/store/writer.py
+++ b/canvasplank/store/writer.py
@@ -87,7 +87,7 @@
         self._task = asyncio.get_running_loop().create_task(self._run())
 
     async def drain(self, timeout_s: float) -> None:
-        """Write the queued records and end the task; after ``timeout_s``, log how many were not written."""
+        """Write the queued records within ``timeout_s`` and end the task; logs how many remain unwritten."""
         if self._task is None:
             return
         self._outbox.close()
--- a/canvasplank/warm_start/start_hints.py
+++ b/canvasplank/warm_start/start_hints.py
@@ -53,7 +53,7 @@
     half_life_ms: float = HALF_LIFE_MS,
     max_age_ms: float = MAX_AGE_MS,
 ) -> list[StartHint]:
-    """Return hints for the servers of a snapshot that the endpoint list has with the same process start.
+    """Return hints for a snapshot's servers that are in the endpoint list with the same process start.
 
     ``default_rate_per_s`` is the new instance's rate at a server without a hint; None: no limit.
 
