--- a/tests/test_lease_verification.py
+++ b/tests/test_lease_verification.py
@@ -56,10 +56,10 @@
 class TestEveryInterleaving:
     """The program's own holder, failure detector and transaction, in every order of steps."""
 
-    SLIPPING = Bounds(ticks=3, requests=2, initial_processes=2, delaying=0)
+    SLIPPING = Bounds(ticks=3, requests=2, initial_processes=2, delayed_proxies=0)
     LATE = Bounds(ticks=0, requests=3, initial_processes=2)
-    THREE = Bounds(ticks=0, requests=2, initial_processes=3, processes=3, delaying=0, clock_slips=0)
-    LAPSING = Bounds(ticks=3, requests=2, initial_processes=2, delaying=0, clock_slips=0)
+    THREE = Bounds(ticks=0, requests=2, initial_processes=3, processes=3, delayed_proxies=0, clock_slips=0)
+    LAPSING = Bounds(ticks=3, requests=2, initial_processes=2, delayed_proxies=0, clock_slips=0)
 
     @pytest.mark.parametrize("bounds", [SLIPPING, LATE, THREE], ids=["clocks slip", "late", "three"])
     def test_shares_never_sum_to_more_than_the_total(self, bounds):
@@ -90,7 +90,8 @@
     @settings(max_examples=150, deadline=None)
     def test_random_walks_beyond_the_bounds(self, choices):
         explorer = Explorer(
-            Lease(3.0, 1.0, 0.0), Bounds(ticks=25, requests=20, processes=4, initial_processes=2, delaying=4)
+            Lease(3.0, 1.0, 0.0),
+            Bounds(ticks=25, requests=20, processes=4, initial_processes=2, delayed_proxies=4),
         )
         state = explorer.initial_state()
         for choice in choices:
--- a/verification/call_trace.py
+++ b/verification/call_trace.py
@@ -1,6 +1,7 @@
-"""What the peers of a deployment of proxies saw: callers, call servers, the front, and who watched processes.
+"""A trace of what the peers of a deployment of proxies observed.
 
-All times are Unix seconds, read by the one process that plays all the peers.
+The peers are callers, call servers, the front, and the observer of the proxy processes.  All times are Unix
+seconds, read by the one process that emulates all peers.
 """
 
 from __future__ import annotations
@@ -10,7 +11,7 @@
 
 
 class Answer(enum.Enum):
-    """A final answer to a set-up, as its caller read it."""
+    """A final answer to a set-up, as its caller received it."""
 
     SERVED = "served"
     REFUSED = "refused"
@@ -23,32 +24,33 @@
     ANSWERED = "answered"
     REJECTED = "rejected"
     CANCELLED = "cancelled"
-    DISCONNECTED = "disconnected"  # the connection that it came on ended
+    DISCONNECTED = "disconnected"  # the connection of the set-up ended
 
 
 @dataclass(slots=True)
 class CallerCall:
-    """One call as its caller saw it."""
+    """One call as its caller observed it."""
 
     call_id: str
-    sent_s: float  # its set-up was written
-    deadline_s: float  # the caller waits until then
+    sent_s: float  # when the set-up was last written
+    deadline_s: float  # until when the caller waits for an answer
     answers: list[tuple[float, Answer]] = field(default_factory=list)
-    releases_s: list[float] = field(default_factory=list)  # after it was served
-    abandoned_s: float | None = None  # the caller gave it up, or released it
-    lost_s: float | None = None  # its connection ended without an answer, and no crossing explains it
-    resent: bool = False  # its set-up crossed the end of its connection, and was sent once more
-    exchanges: list[tuple[float, str]] = field(default_factory=list)  # what passed, and at which address
+    releases_s: list[float] = field(default_factory=list)  # received after the call was established
+    abandoned_s: float | None = None  # when the caller gave the call up or released it
+    lost_s: float | None = None  # when its connection ended unanswered, and the set-up was not sent again
+    resent: bool = False  # the end of its connection crossed the set-up, which was sent once more
+    # Messages of the call, each with its time and the address of the proxy.
+    exchanges: list[tuple[float, str]] = field(default_factory=list)
 
     @property
     def served_s(self) -> float | None:
-        """When it was established, for its caller."""
+        """When the caller was told that the call is established."""
         return next((at_s for at_s, answer in self.answers if answer is Answer.SERVED), None)
 
 
 @dataclass(slots=True)
 class ServerAttempt:
-    """One set-up as a call server saw it."""
+    """One set-up as a call server observed it."""
 
     call_id: str
     server: str
@@ -64,24 +66,26 @@
     call_id: str
     server: str
     established_s: float
-    release_written_s: float | None = None  # by its server, where nothing but the proxy can keep it back
-    released_by_server_s: float | None = None  # it has passed to the proxy, and was read there
+    release_written_s: float | None = (
+        None  # when the server first wrote it; None where the link might hold it back
+    )
+    released_by_server_s: float | None = None  # when a release that the proxy read passed the link
     released_by_proxy_s: float | None = None
-    cut_s: float | None = None  # its server went away with it
+    cut_s: float | None = None  # when the server ended, and the call with it
 
 
 @dataclass(frozen=True, slots=True)
 class Told:
-    """A notification by service discovery that a server takes no new calls, sent to all that run."""
+    """A notification of all proxies by service discovery that a server accepts no new calls."""
 
     server: str
     at_s: float
-    until_s: float  # it takes new calls again from then
+    until_s: float  # when the server accepts new calls again
 
 
 @dataclass(frozen=True, slots=True)
 class Drain:
-    """A quiesce of one process until its resume or its end."""
+    """The drain of one process, from a quiesce until its resume or its end."""
 
     process: str
     from_s: float
@@ -91,7 +95,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Readiness:
-    """One answer of a process to the question whether callers may be sent to it."""
+    """The answer of a process to one readiness check."""
 
     process: str
     at_s: float
@@ -100,18 +104,18 @@
 
 @dataclass(frozen=True, slots=True)
 class HeldConnection:
-    """A caller's connection to a process, as seen at one moment of its drain."""
+    """A caller's connection to a process, as observed at one moment of the process's drain."""
 
     process: str
     at_s: float
-    request_age_s: float | None  # of its newest unanswered set-up; None: it has none
-    established: bool  # whether a call that was answered on it still is
-    free_s: float  # when a set-up was last unanswered no more and no other was open; else when it came up
+    request_age_s: float | None  # age of its newest unanswered set-up; None if it has none
+    established: bool  # whether it carries an established call
+    free_s: float  # when the number of its open set-ups last fell to 0; otherwise when it was opened
 
 
 @dataclass(frozen=True, slots=True)
 class Disturbed:
-    """A time in which nothing may have reached a call server."""
+    """A period in which messages from and to a call server may have been held back or lost."""
 
     server: str
     from_s: float
@@ -120,34 +124,34 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerEvent:
-    """Something that happened on a connection of a call server, as that saw it."""
+    """An event on a connection of a call server, as the server observed it."""
 
     server: str
     at_s: float
     text: str
-    call_id: str  # of the call that it concerns; empty: all
+    call_id: str  # the call that the event concerns; empty for all calls
 
 
 @dataclass(slots=True)
 class ProcessLife:
-    """One process of the program, from its start to its end."""
+    """One proxy process, from its start to its end."""
 
     name: str
     started_s: float
-    terminated_s: float | None = None  # the first SIGTERM
-    killed: bool = False  # SIGKILL found it alive
+    terminated_s: float | None = None  # when the first SIGTERM was sent
+    killed: bool = False  # whether it had to be killed (SIGKILL)
     exit_status: int | None = None
     log: str = ""
-    first_usage: tuple[int, float] | None = None  # descriptors, resident MB: settled after its start
-    last_usage: tuple[int, float] | None = None  # the same, settled at the end of the run
+    first_usage: tuple[int, float] | None = None  # descriptors and resident MB once settled after the start
+    last_usage: tuple[int, float] | None = None  # the same once settled at the end of the run
 
 
 @dataclass(slots=True)
 class CallTrace:
-    """Everything that was seen on one run."""
+    """Everything that the peers observed in one run."""
 
-    release_wait_s: float
-    drain_grace_s: float
+    release_wait_s: float  # the least time from a given-up attempt to the next
+    drain_grace_s: float  # the time after a server's drain notification in which it may still get attempts
     calls: dict[str, CallerCall] = field(default_factory=dict)
     attempts: list[ServerAttempt] = field(default_factory=list)
     established: list[ServerCall] = field(default_factory=list)
@@ -157,8 +161,9 @@
     held: list[HeldConnection] = field(default_factory=list)
     disturbed: list[Disturbed] = field(default_factory=list)
     server_events: list[ServerEvent] = field(default_factory=list)
-    unconnected_s: list[float] = field(default_factory=list)  # a process might have no caller's connection
+    # Times at which a process may have had no connection of a caller.
+    unconnected_s: list[float] = field(default_factory=list)
     refused_connections_s: list[float] = field(default_factory=list)  # while a process was ready
     processes: list[ProcessLife] = field(default_factory=list)
-    max_lateness_s: float = 0.0  # of the peers' own event loop
-    ended_s: float = 0.0  # when the trace was closed
+    max_lateness_s: float = 0.0  # of the peers' event loop
+    ended_s: float = 0.0  # when the trace ended
--- a/verification/leases.py
+++ b/verification/leases.py
@@ -1,16 +1,19 @@
-"""Model checker of the lease protocol: explores every interleaving, in the program's own code, up to bounds.
+"""Model checker for the lease protocol: runs the production code in every interleaving within given bounds.
 
-A state consists of a few proxies (each with the program's own ``LeaseHolder`` and ``FailureDetector``), the
-state in the store, the messages in flight and the time.  From each state every step is tried: a tick of time,
-in which each proxy's clock may gain or lose one; a request sent, and applied now, late, twice or never; its
-response received, late or never; a proxy started under a name in use while the older process goes on.  A
-frozen process is one that takes no step for long.
+A state consists of a few proxies (each with a production ``LeaseHolder`` and ``FailureDetector``), the state
+in the store, the messages in flight and the time.  The checker tries every possible step from each state:
 
-Sending a request changes only its sender, so a request that is applied within the same tick is sent and
-applied in one step; every other order leads to the same states.
+- the time advances by a tick, in which each proxy's clock may gain or lose a tick;
+- a proxy sends a request, which is applied now, late, twice or never;
+- a proxy receives a response, now, late or never;
+- a proxy starts under a name in use, while the older process continues.
 
-Invariant, checked in every state: the shares that all proxies may be using, each by its own clock, sum to no
-more than the total.
+A frozen process corresponds to a proxy that takes no step for several ticks.  Sending a request changes only
+its sender.  A request that is applied in the tick in which it is sent is therefore sent and applied in one
+step; any other order of the two leads to the same states.
+
+The invariant is checked in every state: the sum of the shares that the proxies may be using, each by its own
+clock, does not exceed the total.
 """
 
 from __future__ import annotations
@@ -28,7 +31,7 @@
 from canvasplank.fleet.state import FleetState
 
 BUDGET = "b"
-TOTAL = 6  # small, so that the states are few
+TOTAL = 6  # small, to keep the number of states low
 Apply = Callable[[FleetState, LeaseRequest], tuple[FleetState, LeaseResponse]]
 
 
@@ -38,29 +41,29 @@
 
     holder: LeaseHolder
     failure_detector: FailureDetector
-    clock_offset: int = 0  # its clock shows the true time plus this
-    clock_slips: int = 0  # how often its clock has gained or lost
+    clock_offset: int = 0  # the time on its clock minus the true time
+    clock_slips: int = 0  # how often its clock has gained or lost a tick
     requests_sent: int = 0
-    request: LeaseRequest | None = None  # the newest, if not applied yet
-    sent_at: int = 0  # the true time when that was sent
-    delayed: LeaseRequest | None = None  # one that its sender has given up, or a duplicate
+    request: LeaseRequest | None = None  # the newest request, unless it has been applied
+    sent_at: int = 0  # the true time when the newest request was sent
+    delayed: LeaseRequest | None = None  # a duplicate, or a request superseded by a newer one
     response: LeaseResponse | None = None  # in flight
 
 
 @dataclass(slots=True)
 class State:
-    """A state of the model; the time is in ticks."""
+    """A state of the model; times are in ticks."""
 
     proxies: list[Proxy]
     fleet: FleetState = field(default_factory=FleetState)
     now: int = 0
 
     def in_use(self) -> int:
-        """The sum of the shares that all proxies may be using now."""
+        """The sum of the shares that the proxies may be using now."""
         return sum(p.holder.share(BUDGET, self.now + p.clock_offset) for p in self.proxies)
 
     def key(self) -> tuple[object, ...]:
-        """Equal for states with the same future: a lease that has expired counts as one that never ran."""
+        """Equal for states with the same future; an expired lease equals one that was never granted."""
         return (
             tuple(self._proxy_key(p) for p in self.proxies),
             tuple(sorted((k, m.seq, m.allocations[BUDGET].held) for k, m in self.fleet.members.items())),
@@ -104,14 +107,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Bounds:
-    """The extent of an exploration."""
+    """Upper limits of an exploration."""
 
     ticks: int = 6
-    requests: int = 4  # sent by each proxy
+    requests: int = 4  # by each proxy
     clock_slips: int = 1  # of each clock
-    delaying: int = 1  # proxies whose requests may be in flight over a tick, come late, or come twice
+    delayed_proxies: int = 1  # proxies whose requests may be in flight over a tick, late or duplicated
     processes: int = 2
-    initial_processes: int = 1
+    initial_processes: int = 1  # started in the initial state
     states: int = 400_000
 
 
@@ -121,14 +124,14 @@
 
     states: int
     complete: bool  # whether every state within the bounds was explored
-    path: tuple[str, ...] | None  # the steps to a state that violates the invariant, where there is one
+    path: tuple[str, ...] | None  # the steps to a state that violates the invariant; None: none was found
 
 
 class Explorer:
-    """Explores breadth first, so that a path to a violation is a shortest one."""
+    """Explores states breadth-first, so that the path to a violation is a shortest one."""
 
     def __init__(self, lease: Lease, bounds: Bounds, apply: Apply = lease_transaction.apply) -> None:
-        """``apply``: the transaction to check, in place of the program's."""
+        """``apply`` is the transaction to check; the default is the production one."""
         self._lease, self._bounds, self._apply = lease, bounds, apply
         self._prompt_steps = (self._request, self._receive)
         self._all_steps = (
@@ -140,7 +143,7 @@
         )
 
     def run(self) -> Exploration:
-        """Explore every state within the bounds, or up to the first that violates the invariant."""
+        """Explore all states within the bounds, or until one violates the invariant."""
         initial = self.initial_state()
         predecessors: dict[tuple[object, ...], tuple[tuple[object, ...], str] | None] = {initial.key(): None}
         queue = deque([initial])
@@ -159,7 +162,7 @@
         return Exploration(len(predecessors), True, None)
 
     def initial_state(self) -> State:
-        """The state in which no proxy has sent a request."""
+        """The state in which no proxy has sent a request yet."""
         return State([self._proxy("p0") for _ in range(self._bounds.initial_processes)])
 
     @staticmethod
@@ -177,14 +180,14 @@
         return Proxy(LeaseHolder(name, limits, self._lease), FailureDetector(self._lease))
 
     def steps(self, state: State) -> Iterator[tuple[str, State]]:
-        """Every step that is possible in a state, by name, and the state that it leads to."""
+        """Yield the name of every step that is possible in a state, and the state that it leads to."""
         if state.now < self._bounds.ticks:
             yield from self._ticks(state)
         if len(state.proxies) < self._bounds.processes:
-            # The name is used again while the older process goes on.
+            # The new process takes the name of one that is still running.
             yield "start", State([*state.proxies, self._proxy("p0")], state.fleet, state.now)
         for number in range(len(state.proxies)):
-            for step in self._all_steps if number < self._bounds.delaying else self._prompt_steps:
+            for step in self._all_steps if number < self._bounds.delayed_proxies else self._prompt_steps:
                 proxies = list(state.proxies)
                 proxies[number] = _copy(proxies[number])
                 after = State(proxies, state.fleet, state.now)
@@ -192,7 +195,7 @@
                     yield f"{step.__name__.strip('_')} {number}", after
 
     def _ticks(self, state: State) -> Iterator[tuple[str, State]]:
-        """Time passes; any of the clocks may gain or lose one against it."""
+        """The steps that advance the time by a tick, for each subset of clocks that gain or lose a tick."""
         can_slip = [
             number for number, p in enumerate(state.proxies) if p.clock_slips < self._bounds.clock_slips
         ]
@@ -208,10 +211,11 @@
                 )
             yield f"tick, slipping {list(slipping)}", State(proxies, state.fleet, state.now + 1)
 
-    # Each step changes the state and the proxy that it is given; False: it is not possible there.
+    # A step changes the given state and proxy, and returns False if it is not possible in this state.
+    # ``Exploration.path`` contains the names of these methods.
 
     def _send(self, state: State, proxy: Proxy) -> bool:
-        """It sends a request; the one before, if it is still in flight, may come late, or never."""
+        """The proxy sends a request; an earlier one that is still in flight may arrive late, or never."""
         if proxy.requests_sent >= self._bounds.requests:
             return False
         proxy.requests_sent += 1
@@ -222,18 +226,18 @@
         return True
 
     def _request(self, state: State, proxy: Proxy) -> bool:
-        """It sends a request that is applied at once; receiving the response is another step."""
+        """The proxy sends a request that is applied at once; its response is received in a later step."""
         return self._send(state, proxy) and self._commit(state, proxy)
 
     def _request_twice(self, state: State, proxy: Proxy) -> bool:
-        """It sends a request that is applied at once, and a duplicate stays in flight."""
+        """The proxy sends a request that is applied at once, while a duplicate stays in flight."""
         if not self._send(state, proxy):
             return False
         proxy.delayed = proxy.request
         return self._commit(state, proxy)
 
     def _arrive(self, state: State, proxy: Proxy) -> bool:
-        """The store applies a request that was sent before the last tick."""
+        """The store applies the newest request, sent in an earlier tick."""
         return proxy.request is not None and proxy.sent_at < state.now and self._commit(state, proxy)
 
     def _commit(self, state: State, proxy: Proxy) -> bool:
@@ -242,7 +246,7 @@
         return True
 
     def _arrive_late(self, state: State, proxy: Proxy) -> bool:
-        """The store applies a request whose response nobody waits for."""
+        """The store applies a superseded or duplicate request, whose response is lost."""
         if proxy.delayed is None:
             return False
         state.fleet, _ = self._apply(state.fleet, proxy.delayed)
@@ -250,7 +254,7 @@
         return True
 
     def _receive(self, state: State, proxy: Proxy) -> bool:
-        """It receives the response in flight."""
+        """The proxy receives the response in flight."""
         if proxy.response is None:
             return False
         proxy.holder.on_response(proxy.response)
@@ -263,16 +267,16 @@
     return replace(proxy, holder=proxy.holder.copy(), failure_detector=copy.copy(proxy.failure_detector))
 
 
-LARGE = {
+LARGE_EXPLORATIONS = {
     "three processes, one tick": (
         Lease(2.0, 1.0, 0.0),
-        Bounds(ticks=1, requests=2, initial_processes=3, processes=3, delaying=0, clock_slips=0),
+        Bounds(ticks=1, requests=2, initial_processes=3, processes=3, delayed_proxies=0, clock_slips=0),
     ),
     "clocks slip, four ticks": (
         Lease(2.0, 1.0, 0.0),
-        Bounds(ticks=4, requests=2, initial_processes=2, delaying=0),
+        Bounds(ticks=4, requests=2, initial_processes=2, delayed_proxies=0),
     ),
-    "late over a tick": (
+    "requests delayed over a tick": (
         Lease(2.0, 1.0, 0.0),
         Bounds(ticks=1, requests=3, initial_processes=2, clock_slips=0, states=10**6),
     ),
@@ -280,13 +284,13 @@
 
 
 def main() -> int:
-    """Explore further than the tests do, for some minutes; the number of violations found."""
+    """Explore more states than the tests do, in some minutes; return the number of violations found."""
     violations = 0
-    for name, (lease, bounds) in LARGE.items():
+    for name, (lease, bounds) in LARGE_EXPLORATIONS.items():
         exploration = Explorer(lease, bounds).run()
         extent = "all" if exploration.complete else "the first"
         print(
-            f"{name}: {extent} {exploration.states} states, {exploration.path or 'the sum holds in each'}",
+            f"{name}: {extent} {exploration.states} states, {exploration.path or 'no violation'}",
             flush=True,
         )
         violations += exploration.path is not None
