--- a/verification/__init__.py
+++ b/verification/__init__.py
@@ -1,1 +1,1 @@
-"""Checkers: an exhaustive exploration of the lease protocol, and invariants over the traces of processes."""
+"""Checkers: a model checker for the lease protocol, and invariants over the logs and traces of processes."""
--- a/verification/leases.py
+++ b/verification/leases.py
@@ -107,14 +107,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Bounds:
-    """Upper limits of an exploration."""
+    """The upper limits of an exploration, and its initial number of processes."""
 
     ticks: int = 6
     requests: int = 4  # by each proxy
     clock_slips: int = 1  # of each clock
     delayed_proxies: int = 1  # proxies whose requests may be in flight over a tick, late or duplicated
     processes: int = 2
-    initial_processes: int = 1  # started in the initial state
+    initial_processes: int = 1
     states: int = 400_000
 
 
--- a/verification/memberships.py
+++ b/verification/memberships.py
@@ -1,7 +1,8 @@
-"""Checks, over the logs of all processes, that no member of a fleet was removed while its lease ran.
+"""Checks the logs of all processes: no member of a fleet may be removed before its lease has expired.
 
-The lease is that of the member's own log, the instant that of whoever removed it: both are read on the
-machine's steady clock, so the check holds for processes of one machine.
+The end of a lease is taken from the member's own log, the time of a removal from the log of the process that
+removed the member.  Both are times of the machine's ``CLOCK_BOOTTIME``, so the check is valid for processes
+of one machine only.
 """
 
 from __future__ import annotations
@@ -15,38 +16,38 @@
 
 @dataclass(slots=True)
 class Membership:
-    """One incarnation of a process; ``until_ms`` is the end of the last lease that it logged."""
+    """One incarnation of a process."""
 
     process: str
     incarnation: int
-    until_ms: float = 0.0
+    until_ms: float = 0.0  # the end of the last lease that the process logged
 
 
 @dataclass(frozen=True, slots=True)
 class Removal:
-    """A member removed by another one, which logged it at ``at_ms``."""
+    """The removal of a member by another process."""
 
-    incarnation: int
-    at_ms: float
+    incarnation: int  # of the removed member
+    at_ms: float  # when the other process logged the removal
 
 
 @dataclass(slots=True)
 class FleetHistory:
-    """What all processes logged of their memberships and of the members that they removed."""
+    """The memberships and removals that all processes logged."""
 
     memberships: list[Membership] = field(default_factory=list)
     removals: list[Removal] = field(default_factory=list)
 
     def last_membership(self, process: str) -> Membership:
-        """The newest membership of a process; ``IndexError`` if it never joined."""
+        """The newest membership of a process; raises ``IndexError`` if the process never joined."""
         return [each for each in self.memberships if each.process == process][-1]
 
     def was_removed(self, membership: Membership) -> bool:
-        """Whether another member removed it."""
+        """Whether another process removed this member."""
         return any(removal.incarnation == membership.incarnation for removal in self.removals)
 
     def removed_too_early(self) -> list[Membership]:
-        """The members that another one removed before the end of the lease that they logged."""
+        """The members that another process removed before the end of their last logged lease."""
         return [
             each
             for each in self.memberships
@@ -56,7 +57,7 @@
 
 
 def read_history(paths: Iterable[Path]) -> FleetHistory:
-    """The history in the processes' logs of JSON lines; a process is named as its log, without the suffix."""
+    """Read the history from logs of JSON lines; a process has the name of its log file without the suffix."""
     history = FleetHistory()
     for path in paths:
         current: Membership | None = None
@@ -76,7 +77,7 @@
 
 
 def _events(path: Path) -> Iterator[dict[str, Any]]:
-    """The events of a log; a line that is cut short, as by a kill, is skipped."""
+    """The events of a log; a line that is incomplete, for example after SIGKILL, is skipped."""
     for line in path.read_text().splitlines():
         try:
             event = json.loads(line)
