--- a/benchmarks/budgets.py
+++ b/benchmarks/budgets.py
@@ -1,9 +1,14 @@
-"""Measures fleet-wide budgets on processes and emulators: ``python -m benchmarks.budgets FOLDER``.
+"""Measures fleet-wide budgets with proxy processes and emulators: ``python -m benchmarks.budgets FOLDER``.
 
-Writes ``budgets.csv`` and a chart into the folder: how soon a joining proxy has its share and a killed one's
-is used again, what is used of the total while one proxy has nine tenths of the demand (against equal static
-quotas), the store's load by the number of proxies, set-up times, and a schedule of faults over many processes
-with the invariants of ``verification.spending``.  The labels of results stay, so that runs compare.
+The results are written to ``budgets.csv`` and to a chart in the folder:
+
+- the time until a joining proxy has its share, and until the share of a killed proxy is in use again;
+- how much of the total is used while one proxy has nine tenths of the demand, against equal static quotas;
+- the load of the store by the number of proxies;
+- set-up times with budgets off, on, and with the store stalled;
+- the invariants of ``verification.spending`` under a schedule of faults over many processes.
+
+The labels of the results must not change, so that runs can be compared.
 """
 
 from __future__ import annotations
@@ -35,12 +40,12 @@
 from verification.spending import most_shared, read_trace, used_per_s, worst_window
 
 PLAN = Plan(total_per_s=160.0, reserve_fraction=0.1, max_members=128, lease_ms=3000.0, renew_ms=1000.0)
-REACHED = 0.8  # of a share that is due: from there on it counts as reached
+REACHED_FRACTION = 0.8  # a share counts as reached from this fraction of the share that is due
 CONCURRENT_STARTS = 8
 
 
 class Measurement(NamedTuple):
-    """One line of the results."""
+    """One line of the results; the field names are the header of ``budgets.csv``."""
 
     what: str
     variant: str
@@ -49,64 +54,70 @@
 
 
 @asynccontextmanager
-async def sharing(plan: Plan, count: int, *, off: bool = False) -> AsyncIterator[tuple[BudgetFleet, Callers]]:
-    """This number of proxies on an emulated PostgreSQL in this process; ``off``: without budgets."""
+async def deploy(
+    plan: Plan, count: int, *, without_budgets: bool = False
+) -> AsyncIterator[tuple[BudgetFleet, Callers]]:
+    """Run ``count`` proxies on a PostgreSQL emulator in this process."""
     with tempfile.TemporaryDirectory() as folder:
         store = PostgresqlEmulator(Path(folder))
         await store.start()
         server = CallServer("s-0", capacity_per_s=5000.0, hold_ms=50.0, lines=100_000)
         async with fleet(Path(folder), [server], instances=count) as started:
             callers = Callers(seed=5)
-            shared = BudgetFleet(started, plan, callers, store)
+            deployment = BudgetFleet(started, plan, callers, store)
             try:
-                if off:
+                if without_budgets:
                     for number in range(count):
                         proxy = await started.proxy(f"n{number}", number)
                         await callers.add_proxy(proxy.address)
                 else:
                     for first in range(0, count, CONCURRENT_STARTS):
                         last = min(count, first + CONCURRENT_STARTS)
-                        await shared.start([f"n{n}" for n in range(first, last)])
-                yield shared, callers
+                        await deployment.start([f"n{n}" for n in range(first, last)])
+                yield deployment, callers
             finally:
                 await callers.stop()
-                await shared.stop()
+                await deployment.stop()
         await store.stop()
 
 
-def share(shared: BudgetFleet, name: str) -> float:
-    """The share that a proxy logged last, a second."""
-    shares = read_trace(shared.proxies[name].log, "all").shares
+def last_share(deployment: BudgetFleet, name: str) -> float:
+    """The share that a proxy logged last, in units a second."""
+    shares = read_trace(deployment.proxies[name].log, "all").shares
     return shares[-1][2] if shares else 0.0
 
 
-async def until(holds: Callable[[], bool], max_s: float = 30.0) -> float:
-    """Wait until a condition holds, ``max_s`` at most; the seconds that this took."""
+async def wait_until(condition: Callable[[], bool], timeout_s: float = 30.0) -> float:
+    """Wait until a condition holds, or ``timeout_s`` at most; return the time that this took in seconds."""
     start_s = time.monotonic()
-    while not holds() and time.monotonic() < start_s + max_s:
+    while not condition() and time.monotonic() < start_s + timeout_s:
         await asyncio.sleep(0.05)
     return time.monotonic() - start_s
 
 
-async def joining_and_dying(count: int) -> list[Measurement]:
-    """How soon a new proxy has four fifths of an even share, and others have a killed one's."""
-    async with sharing(PLAN, count) as (shared, callers):
+async def measure_join_and_kill(count: int) -> list[Measurement]:
+    """The times until a new proxy has four fifths of an even share, and others as much of a killed one's."""
+    async with deploy(PLAN, count) as (deployment, callers):
         load = asyncio.create_task(callers.offer(2 * PLAN.total_per_s, 120.0))
         leased_per_s = PLAN.total_per_s * (1 - PLAN.reserve_fraction)
-        names = list(shared.proxies)
-        await until(lambda: all(share(shared, n) > REACHED * leased_per_s / count for n in names))
+        names = list(deployment.proxies)
+        await wait_until(
+            lambda: all(last_share(deployment, n) > REACHED_FRACTION * leased_per_s / count for n in names)
+        )
         start_s = time.monotonic()
-        await shared.start_proxy("late")
+        await deployment.start_proxy("late")
         started_s = time.monotonic() - start_s
-        joined_s = await until(lambda: share(shared, "late") >= REACHED * leased_per_s / (count + 1))
+        joined_s = await wait_until(
+            lambda: last_share(deployment, "late") >= REACHED_FRACTION * leased_per_s / (count + 1)
+        )
         others = [n for n in names if n != "n0"]
-        before = sum(share(shared, n) for n in others)
-        released = share(shared, "n0")
-        await shared.stop_proxy("n0", signal.SIGKILL)
-        used_s = await until(
+        before = sum(last_share(deployment, n) for n in others)
+        killed_share = last_share(deployment, "n0")
+        await deployment.stop_proxy("n0", signal.SIGKILL)
+        used_s = await wait_until(
             lambda: (
-                sum(share(shared, n) for n in others)
-                >= before + REACHED * released * (len(others) / (len(others) + 1))
+                sum(last_share(deployment, n) for n in others)
+                >= before + REACHED_FRACTION * killed_share * (len(others) / (len(others) + 1))
             )
         )
         load.cancel()
@@ -118,15 +129,16 @@
         ]
 
 
-async def skewed(static: bool) -> list[Measurement]:
-    """What is used of the total while one of eight proxies has nine tenths of the calls."""
+async def measure_skewed_demand(static: bool) -> list[Measurement]:
+    """How much of the total is used while one of eight proxies has nine tenths of the calls."""
     plan = replace(PLAN, reserve_fraction=1.0 if static else PLAN.reserve_fraction, max_members=8)
-    async with sharing(plan, 8) as (shared, callers):
-        flooded = shared.proxies["n0"].address
-        callers.proxies = [flooded] * 63 + list(callers.proxies)[1:]  # nine tenths, and a tenth for the rest
+    async with deploy(plan, 8) as (deployment, callers):
+        busiest = deployment.proxies["n0"].address
+        # Callers choose an entry at random; 63 of the 70 entries, nine tenths, are the busiest proxy.
+        callers.proxies = [busiest] * 63 + list(callers.proxies)[1:]
         load = asyncio.create_task(callers.offer(PLAN.total_per_s, 14.0))
         await asyncio.sleep(13.5)
-        traces = [read_trace(path, "all") for path in shared.logs()]
+        traces = [read_trace(path, "all") for path in deployment.logs()]
         newest = max(trace.spent[-1] for trace in traces)
         used = used_per_s(traces, newest - 6000, newest)
         load.cancel()
@@ -134,8 +146,8 @@
         return [Measurement("one of eight has 9/10 of 160 calls/s: used", variant, "calls/s", used)]
 
 
-async def store_load(count: int) -> list[Measurement]:
-    """Transactions a second and processor time, with this number of lease renewers in one process."""
+async def measure_store_load(count: int) -> list[Measurement]:
+    """Transactions a second and CPU time with ``count`` lease renewers in one process."""
     with tempfile.TemporaryDirectory() as folder:
         store = PostgresqlEmulator(Path(folder))
         await store.start()
@@ -167,59 +179,62 @@
         ]
 
 
-async def set_up_times(variant: str) -> list[Measurement]:
-    """Set-up times with budgets off, on, and with the store stalled; the budget delays no call."""
+async def measure_set_up_times(variant: str) -> list[Measurement]:
+    """Set-up times with budgets off, on, or with the store stalled; the budget is large enough for all."""
     plan = replace(PLAN, total_per_s=4000.0, max_members=4, reserve_fraction=0.5)
-    async with sharing(plan, 4, off=variant == "off") as (shared, callers):
+    async with deploy(plan, 4, without_budgets=variant == "off") as (deployment, callers):
         await asyncio.sleep(2.0)
-        shared.store.faults.stalled = variant == "store stalled"
+        deployment.store.faults.stalled = variant == "store stalled"
         await callers.offer(200.0, 8.0)
         await callers.settled(4.0)
-        took = sorted(1000 * t.took_s for t in callers.tries.values() if t.outcome == "served")
-        shared.store.faults.stalled = False
+        times_ms = sorted(1000 * t.took_s for t in callers.tries.values() if t.outcome == "served")
+        deployment.store.faults.stalled = False
         return [
-            Measurement("set-up time: median", variant, "ms", statistics.median(took)),
-            Measurement("set-up time: 99 %", variant, "ms", took[int(0.99 * len(took))]),
-            Measurement("set-ups served", variant, "of all", len(took) / len(callers.tries)),
+            Measurement("set-up time: median", variant, "ms", statistics.median(times_ms)),
+            Measurement("set-up time: 99 %", variant, "ms", times_ms[int(0.99 * len(times_ms))]),
+            Measurement("set-ups served", variant, "of all", len(times_ms) / len(callers.tries)),
         ]
 
 
-async def inject_faults(shared: BudgetFleet, count: int) -> None:
-    """Freeze, cut off and kill an eighth each, stall and restart the store, then restart half at once."""
+async def inject_faults(deployment: BudgetFleet, count: int) -> None:
+    """Freeze, cut off and kill proxies, stall and restart the store, then restart half the proxies at once.
+
+    An eighth each is frozen, cut off from the store, cut off from its responses only, and killed.
+    """
     await asyncio.sleep(6.0)
     frozen = [f"n{n}" for n in range(0, count, 8)]
     for name in frozen:
-        shared.proxies[name].freeze()
+        deployment.proxies[name].freeze()
     for name in [f"n{n}" for n in range(1, count, 8)]:
-        shared.links[name].cut()
+        deployment.links[name].cut()
     for name in [f"n{n}" for n in range(2, count, 8)]:
-        shared.links[name].cut("back")
+        deployment.links[name].cut("back")
     killed = [f"n{n}" for n in range(3, count, 8)]
-    await asyncio.gather(*(shared.stop_proxy(name, signal.SIGKILL) for name in killed))
-    await shared.start(killed)
+    await asyncio.gather(*(deployment.stop_proxy(name, signal.SIGKILL) for name in killed))
+    await deployment.start(killed)
     await asyncio.sleep(5.0)
     for name in frozen:
-        shared.proxies[name].wake()
-    for link in shared.links.values():
+        deployment.proxies[name].wake()
+    for link in deployment.links.values():
         link.heal()
-    shared.store.faults.stalled = True
+    deployment.store.faults.stalled = True
     await asyncio.sleep(10.0)
-    shared.store.faults.stalled = False
-    await shared.store.restart(1.0)
+    deployment.store.faults.stalled = False
+    await deployment.store.restart(1.0)
     await asyncio.sleep(8.0)
-    await asyncio.gather(*(shared.stop_proxy(f"n{n}", signal.SIGKILL) for n in range(count // 2)))
+    await asyncio.gather(*(deployment.stop_proxy(f"n{n}", signal.SIGKILL) for n in range(count // 2)))
     for first in range(0, count // 2, CONCURRENT_STARTS):
-        await shared.start([f"n{n}" for n in range(first, first + CONCURRENT_STARTS)])
+        await deployment.start([f"n{n}" for n in range(first, first + CONCURRENT_STARTS)])
     await asyncio.sleep(8.0)
 
 
-async def faults(count: int) -> list[Measurement]:
-    """A schedule of faults over many processes, and the invariants over the traces of all of them."""
-    async with sharing(PLAN, count) as (shared, callers):
+async def measure_faults(count: int) -> list[Measurement]:
+    """The invariants over the traces of all processes, under a schedule of faults."""
+    async with deploy(PLAN, count) as (deployment, callers):
         load = asyncio.create_task(callers.offer(2 * PLAN.total_per_s, 300.0))
-        await inject_faults(shared, count)
+        await inject_faults(deployment, count)
         load.cancel()
-        traces = [read_trace(path, "all") for path in shared.logs()]
+        traces = [read_trace(path, "all") for path in deployment.logs()]
         size = f"{count} proxies, {len(traces)} processes"
         return [
             Measurement(
@@ -238,8 +253,8 @@
         ]
 
 
-def chart(measurements: list[Measurement], path: Path) -> None:
-    """Draw the comparisons of use, of the store's load and of the time to a share."""
+def draw_chart(measurements: list[Measurement], path: Path) -> None:
+    """Draw the use of the total, the load of the store and the time until a share is reached."""
     import matplotlib
 
     matplotlib.use("svg")
@@ -265,14 +280,14 @@
 
 
 async def measure() -> list[Measurement]:
-    """Run all benchmarks, one after another."""
+    """Run all benchmarks one after another, and print their results."""
     measurements: list[Measurement] = []
     benchmarks: list[Callable[[], Awaitable[list[Measurement]]]] = [
-        *(partial(joining_and_dying, count) for count in (8, 32)),
-        *(partial(skewed, static) for static in (True, False)),
-        *(partial(store_load, count) for count in (8, 64, 256)),
-        *(partial(set_up_times, variant) for variant in ("off", "on", "store stalled")),
-        partial(faults, 64),
+        *(partial(measure_join_and_kill, count) for count in (8, 32)),
+        *(partial(measure_skewed_demand, static) for static in (True, False)),
+        *(partial(measure_store_load, count) for count in (8, 64, 256)),
+        *(partial(measure_set_up_times, variant) for variant in ("off", "on", "store stalled")),
+        partial(measure_faults, 64),
     ]
     for benchmark in benchmarks:
         results = await benchmark()
@@ -283,11 +298,11 @@
 
 
 def main(folder: str) -> None:
-    """Measure, and write the table and the chart."""
+    """Run all benchmarks, and write the table and the chart into the folder."""
     measurements = asyncio.run(measure())
     with (Path(folder) / "budgets.csv").open("w", newline="") as file:
         csv.writer(file).writerows([Measurement._fields, *measurements])
-    chart(measurements, Path(folder) / "budgets.svg")
+    draw_chart(measurements, Path(folder) / "budgets.svg")
 
 
 if __name__ == "__main__":
--- a/benchmarks/ownership.py
+++ b/benchmarks/ownership.py
@@ -1,8 +1,11 @@
-"""Measures task leadership on worker processes: ``python -m benchmarks.ownership FOLDER [RECORDS]``.
+"""Measures task leadership with worker processes: ``python -m benchmarks.ownership FOLDER [RECORDS]``.
 
-The time until a task has a new leader after the old one was killed, frozen, or stopped; the load of an idle
-worker on the store; RECORDS records written while leaders crash, counted in the exported files; and set-up
-times of a proxy beside an export.
+The results are printed and written to ``ownership.csv`` in the folder:
+
+- the time until the tasks have a new leader after the old one was killed, frozen or told to stop;
+- the load of an idle worker on the store;
+- set-up times of a proxy with and without a concurrent export;
+- the number of calls in the exported files, for RECORDS records that were written while leaders crashed.
 """
 
 from __future__ import annotations
@@ -30,7 +33,7 @@
 from emulators.server import CallServer
 
 ROOT = Path(__file__).parent.parent
-FLEET = """backend = "postgresql"
+FLEET_SETTINGS = """backend = "postgresql"
 dsn = "{dsn}"
 proxies_most = 16
 [[budget]]
@@ -38,32 +41,32 @@
 kind = "set-ups"
 whole_per_s = 80.0
 """
-WORK = """folder = "{folder}"
+WORKER_SETTINGS = """folder = "{folder}"
 period_ms = 1000
 grace_ms = 200.0
 look_ms = 200.0
 repeat_ms = 300.0
 """
-BATCH = 500
+BATCH_SIZE = 500  # records
 
 Result = tuple[str, str, str, object]  # what, variant, unit, value
 
 
 class Cluster:
-    """An emulated PostgreSQL, and workers on it with the leases of ``deploy/fleet.toml``."""
+    """A PostgreSQL emulator, and workers that use it with the leases of ``deploy/fleet.toml``."""
 
     def __init__(self, folder: Path) -> None:
-        self.folder, self.out = folder, folder / "out"
-        self.out.mkdir()
+        self.folder, self.export_folder = folder, folder / "out"
+        self.export_folder.mkdir()
         self.store = PostgresqlEmulator(folder)
         self.workers: dict[str, asyncio.subprocess.Process] = {}
 
     async def start(self, dsn: str = "") -> None:
-        """Start, on an emulated server of its own or the one at this DSN."""
+        """Write the settings, and open the database at ``dsn``; if that is empty, that of the emulator."""
         await self.store.start()
         dsn = dsn or self.store.dsn
-        (self.folder / "fleet.toml").write_text(FLEET.format(dsn=dsn))
-        (self.folder / "work.toml").write_text(WORK.format(folder=self.out))
+        (self.folder / "fleet.toml").write_text(FLEET_SETTINGS.format(dsn=dsn))
+        (self.folder / "work.toml").write_text(WORKER_SETTINGS.format(folder=self.export_folder))
         self.fleet = FleetPostgresql(dsn, 30.0)
         await self.fleet.open()
         self.records = Postgresql(dsn, 30.0)
@@ -90,21 +93,21 @@
             )
 
     async def leaders(self) -> dict[str, str]:
-        """The leaders' names by task."""
+        """The names of the leaders, by task."""
         state = await self.fleet.read_state()
         return {
             task: state.members[t.owner].name for task, t in state.tasks.items() if t.owner in state.members
         }
 
     async def wait_until_leader(self, name: str) -> float:
-        """Wait until one leads all tasks; the time that took in seconds."""
+        """Wait until this worker leads all tasks; return the time that this took in seconds."""
         start_s = time.monotonic()
         while set((await self.leaders()).values()) != {name}:
             await asyncio.sleep(0.02)
         return time.monotonic() - start_s
 
     async def stop(self) -> None:
-        """End everything."""
+        """Kill the workers, and close the database."""
         for process in self.workers.values():
             if process.returncode is None:
                 process.send_signal(signal.SIGKILL)
@@ -115,9 +118,9 @@
 
 
 async def measure_takeover() -> list[Result]:
-    """After a kill, a freeze, and SIGTERM."""
+    """The time until a second worker leads all tasks, after SIGKILL, SIGSTOP or SIGTERM for the first."""
     results: list[Result] = []
-    for event, number in {
+    for event, signal_number in {
         "killed": signal.SIGKILL,
         "frozen": signal.SIGSTOP,
         "told to stop": signal.SIGTERM,
@@ -131,10 +134,10 @@
             await asyncio.sleep(3.0)
             commits = cluster.store.commits
             await asyncio.sleep(4.0)
-            if number is signal.SIGKILL:
-                each_per_s = (cluster.store.commits - commits) / 8  # two workers, four seconds
-                results.append(("transactions of an idle worker", "", "a second", each_per_s))
-            cluster.workers["old"].send_signal(number)
+            if signal_number is signal.SIGKILL:
+                worker_per_s = (cluster.store.commits - commits) / 8  # two workers in four seconds
+                results.append(("transactions of an idle worker", "", "a second", worker_per_s))
+            cluster.workers["old"].send_signal(signal_number)
             results.append(
                 ("a new owner after the old one was", event, "s", await cluster.wait_until_leader("new"))
             )
@@ -143,20 +146,20 @@
 
 
 async def measure_exactly_once(count: int) -> list[Result]:
-    """Records written while leaders and the writer crash, counted in the files."""
+    """The number of calls exported, of records written while leaders are killed and responses are lost."""
     with tempfile.TemporaryDirectory() as folder:
         cluster, rng, crashes = Cluster(Path(folder)), random.Random(11), 0
         await cluster.start()
         await cluster.start_worker("w0")
-        for first in range(0, count, BATCH):
+        for first in range(0, count, BATCH_SIZE):
             now_ms = int(time.time() * 1000)
             batch = [
                 CallOutcome(f"{n:016x}", "n0", now_ms - n % 3000, "low", "served", "s", 1, now_ms)
-                for n in range(first, min(count, first + BATCH))
+                for n in range(first, min(count, first + BATCH_SIZE))
             ]
             if rng.random() < 0.3:
                 cluster.store.faults.drop_after_commit = 1
-            for _ in range(2 if rng.random() < 0.2 else 1):  # a written batch may be repeated
+            for _ in range(2 if rng.random() < 0.2 else 1):  # a committed batch may be written again
                 await _write_until_committed(cluster, batch)
             if rng.random() < 0.15:
                 newest = f"w{crashes}"
@@ -167,7 +170,7 @@
         cluster.store.faults.drop_after_commit = 0
         deadline_s = time.monotonic() + 60
         while time.monotonic() < deadline_s and (
-            exported(cluster.out) < count or await _has_unexported(cluster)
+            count_exported(cluster.export_folder) < count or await _has_unexported(cluster)
         ):
             await asyncio.sleep(0.5)
         results = [
@@ -175,16 +178,16 @@
                 "records written, exported",
                 f"{crashes} owners killed",
                 "",
-                f"{count}, {exported(cluster.out)}",
+                f"{count}, {count_exported(cluster.export_folder)}",
             ),
-            ("files", "", "", len(list(cluster.out.glob("*.csv")))),
+            ("files", "", "", len(list(cluster.export_folder.glob("*.csv")))),
         ]
         await cluster.stop()
         return results
 
 
 async def measure_set_up_times(exporting: bool) -> list[Result]:
-    """Set-up times of a proxy, while a worker beside it closes and exports 100,000 records or not."""
+    """Set-up times of a proxy, with ``exporting`` while a worker closes and exports 100,000 records."""
     with tempfile.TemporaryDirectory() as folder:
         cluster = Cluster(Path(folder))
         database = await _start_database(folder)
@@ -206,7 +209,7 @@
             await callers.offer(100.0, 10.0)
             await callers.settled(4.0)
             times_ms = sorted(1000 * t.took_s for t in callers.tries.values() if t.outcome == "served")
-            exported_calls = exported(cluster.out)
+            exported_calls = count_exported(cluster.export_folder)
             await callers.stop()
         await cluster.stop()
         database.kill()
@@ -230,7 +233,7 @@
 
 
 async def _start_database(folder: str) -> asyncio.subprocess.Process:
-    """The emulated server in a process of its own: in this one its work would delay the callers."""
+    """Start the emulator as a process of its own; in this one its work would delay the callers."""
     return await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
@@ -249,13 +252,13 @@
     return True
 
 
-def exported(folder: Path) -> int:
-    """The number of calls in all files."""
+def count_exported(folder: Path) -> int:
+    """The number of calls in all exported files."""
     return sum(int(line["calls"]) for path in folder.glob("*.csv") for line in csv.DictReader(path.open()))
 
 
 async def measure(count: int) -> list[Result]:
-    """All measurements, one after another."""
+    """Run all benchmarks one after another."""
     return [
         *await measure_takeover(),
         *await measure_set_up_times(False),
@@ -265,7 +268,7 @@
 
 
 def main(folder: str, count: str = "100000") -> None:
-    """Measure, print the table and write it to ``ownership.csv``."""
+    """Run all benchmarks, print the results and write them to ``ownership.csv``."""
     results = asyncio.run(measure(int(count)))
     for row in results:
         print(*row, sep="\t", flush=True)
