--- a/tests/test_call_rules.py
+++ b/tests/test_call_rules.py
@@ -1,4 +1,4 @@
-"""The rules of the service over traces: each is broken by one change to a trace that holds."""
+"""Tests of the rules of the service: each change to a valid trace breaks exactly one rule."""
 
 from __future__ import annotations
 
@@ -23,23 +23,23 @@
 ID = "aa" * 8
 
 
-def trace() -> CallTrace:
-    """A call given up at one server, established at another and ended; a drain; a process that ends."""
-    held = CallTrace(release_wait_s=0.2, drain_grace_s=0.25, ended_s=30.0)
-    held.calls[ID] = CallerCall(ID, 1.0, 4.0, answers=[(2.0, Answer.SERVED)], releases_s=[5.1])
-    held.attempts = [
+def valid_trace() -> CallTrace:
+    """A call cancelled at one server, established at another and released; a drain; a process that exits."""
+    trace = CallTrace(release_wait_s=0.2, drain_grace_s=0.25, ended_s=30.0)
+    trace.calls[ID] = CallerCall(ID, 1.0, 4.0, answers=[(2.0, Answer.SERVED)], releases_s=[5.1])
+    trace.attempts = [
         ServerAttempt(ID, "a", 1.0, 1.5, End.CANCELLED),
         ServerAttempt(ID, "b", 1.71, 1.99, End.ANSWERED),
     ]
-    held.established = [ServerCall(ID, "b", 1.99, released_by_server_s=5.0)]
-    held.told = [Told("b", 1.5, 9.0)]
-    held.drains = [Drain("p", 10.0, 16.0, resumed=True)]
-    held.readiness = [Readiness("p", 15.0, False), Readiness("p", 17.0, True)]
-    held.held = [HeldConnection("p", 15.0, None, True, 13.0)]
-    held.processes = [
+    trace.established = [ServerCall(ID, "b", 1.99, released_by_server_s=5.0)]
+    trace.told = [Told("b", 1.5, 9.0)]
+    trace.drains = [Drain("p", 10.0, 16.0, resumed=True)]
+    trace.readiness = [Readiness("p", 15.0, False), Readiness("p", 17.0, True)]
+    trace.held = [HeldConnection("p", 15.0, None, True, 13.0)]
+    trace.processes = [
         ProcessLife("p", 0.0, terminated_s=20.0, exit_status=0, first_usage=(10, 20.0), last_usage=(12, 21.0))
     ]
-    return held
+    return trace
 
 
 def answered_twice(t: CallTrace) -> None:
@@ -54,7 +54,7 @@
     t.calls[ID].answers.clear()
 
 
-def given_up_past_the_deadline(t: CallTrace) -> None:
+def given_up_after_the_deadline(t: CallTrace) -> None:
     t.calls[ID].answers, t.calls[ID].abandoned_s, t.calls[ID].deadline_s = [], 4.3, 4.0
 
 
@@ -62,7 +62,7 @@
     t.calls[ID].lost_s = 1.2
 
 
-def served_by_nobody(t: CallTrace) -> None:
+def established_at_no_server(t: CallTrace) -> None:
     t.established.clear()
 
 
@@ -86,11 +86,11 @@
     t.told = [Told("b", 1.4, 9.0)]
 
 
-def caller_not_told(t: CallTrace) -> None:
+def no_release_to_caller(t: CallTrace) -> None:
     t.calls[ID].releases_s.clear()
 
 
-def caller_told_late(t: CallTrace) -> None:
+def late_release_to_caller(t: CallTrace) -> None:
     t.calls[ID].releases_s = [6.2]
 
 
@@ -100,22 +100,22 @@
 
 
 def written_release_passed_late(t: CallTrace) -> None:
-    """It was read on the second connection that it was written to, long after the first."""
+    """The proxy read the release on a second connection, long after it was written on the first."""
     t.established[0].release_written_s = 3.9
 
 
-def release_observed_though_written_before_the_caller_had_its_answer(t: CallTrace) -> None:
+def release_observed_but_written_before_the_answer_arrived(t: CallTrace) -> None:
     t.established[0].release_written_s = 1.995
     t.calls[ID].releases_s.clear()
 
 
-def server_not_told(t: CallTrace) -> None:
+def no_release_to_server(t: CallTrace) -> None:
     t.calls[ID].abandoned_s, t.calls[ID].releases_s = 3.0, []
     t.established[0].released_by_server_s = None
 
 
-def server_told_late(t: CallTrace) -> None:
-    server_not_told(t)
+def late_release_to_server(t: CallTrace) -> None:
+    no_release_to_server(t)
     t.established[0].released_by_proxy_s = 4.5
 
 
@@ -147,11 +147,11 @@
     t.processes[0].killed = True
 
 
-def exit_status(t: CallTrace) -> None:
+def nonzero_exit_status(t: CallTrace) -> None:
     t.processes[0].exit_status = 1
 
 
-def ended_untold(t: CallTrace) -> None:
+def exit_without_sigterm(t: CallTrace) -> None:
     t.processes[0].terminated_s = None
 
 
@@ -163,25 +163,25 @@
     t.processes[0].last_usage = (12, 40.0)
 
 
-BREAKS = {
+BROKEN_RULE_BY_CHANGE = {
     answered_twice: "answers",
     answered_late: "late",
     not_answered: "unanswered",
-    given_up_past_the_deadline: "unanswered",
+    given_up_after_the_deadline: "unanswered",
     connection_lost: "lost",
-    served_by_nobody: "made up",
+    established_at_no_server: "made up",
     attempts_overlap: "two attempts",
     attempt_never_ends: "two attempts",
     sent_again_early: "release wait",
     sent_again_early_after_a_disconnect: "release wait",
     sent_to_drained_server: "drained server",
-    caller_not_told: "release to caller",
-    caller_told_late: "release to caller",
+    no_release_to_caller: "release to caller",
+    late_release_to_caller: "release to caller",
     written_release_lost: "release to caller",
     written_release_passed_late: "release to caller",
-    release_observed_though_written_before_the_caller_had_its_answer: "release to caller",
-    server_not_told: "release to server",
-    server_told_late: "release to server",
+    release_observed_but_written_before_the_answer_arrived: "release to caller",
+    no_release_to_server: "release to server",
+    late_release_to_server: "release to server",
     connection_refused: "door",
     ready_in_drain: "drain",
     idle_connection_in_drain: "drain",
@@ -189,46 +189,48 @@
     not_ready_after_resume: "resume",
     traceback_logged: "traceback",
     killed: "exit",
-    exit_status: "exit",
-    ended_untold: "exit",
+    nonzero_exit_status: "exit",
+    exit_without_sigterm: "exit",
     descriptors_grow: "descriptors",
     memory_grows: "memory",
 }
 
 
-def rules(violations: list[Violation]) -> set[str]:
+def broken_rules(violations: list[Violation]) -> set[str]:
     return {violation.rule for violation in violations}
 
 
-def test_a_trace_that_holds_breaks_no_rule():
-    assert check(trace()) == []
+def test_a_valid_trace_breaks_no_rule():
+    assert check(valid_trace()) == []
 
 
-@pytest.mark.parametrize(("change", "rule"), BREAKS.items(), ids=lambda each: getattr(each, "__name__", each))
-def test_each_change_breaks_its_rule_alone(change, rule):
-    changed = trace()
+@pytest.mark.parametrize(
+    ("change", "rule"), BROKEN_RULE_BY_CHANGE.items(), ids=lambda each: getattr(each, "__name__", each)
+)
+def test_each_change_breaks_one_rule(change, rule):
+    changed = valid_trace()
     change(changed)
-    assert rules(check(changed)) == {rule}
+    assert broken_rules(check(changed)) == {rule}
 
 
-def test_a_connection_with_a_set_up_open_at_every_moment_may_be_held_in_a_drain():
-    """Each of them is owed its answer there."""
-    busy = trace()
+def test_a_connection_that_always_has_an_open_set_up_may_be_held_during_a_drain():
+    """The set-ups must be answered on their connection."""
+    busy = valid_trace()
     busy.held[0] = HeldConnection("p", 15.0, 0.2, True, 13.0)
     assert check(busy) == []
 
 
-def test_a_release_that_nothing_can_reach_the_server_with_has_more_time():
-    cut_off = trace()
-    server_not_told(cut_off)
+def test_a_release_to_an_unreachable_server_has_more_time():
+    cut_off = valid_trace()
+    no_release_to_server(cut_off)
     cut_off.disturbed = [Disturbed("b", 2.5, 5.0)]
     cut_off.established[0].released_by_proxy_s = 5.5
     assert check(cut_off) == []
 
 
-def test_the_lateness_of_the_observer_is_allowed_for():
-    """What it noted late may have happened in time."""
-    late = trace()
+def test_time_limits_are_extended_by_the_lateness_of_the_observer():
+    """An event that was recorded late may have happened in time."""
+    late = valid_trace()
     sent_again_early(late)
     late.max_lateness_s = 0.1
     assert check(late) == []
--- a/tests/test_lease_verification.py
+++ b/tests/test_lease_verification.py
@@ -1,4 +1,4 @@
-"""Every interleaving of the lease protocol, and the invariants over traces."""
+"""Tests of the lease protocol with the model checker, and of the invariants over traces."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
 
 
 def apply_without_checks(state, request, *, dropped=()):
-    """The transaction without some of its checks."""
+    """Apply the transaction of a request without the checks named in ``dropped``."""
     members = dict(state.members)
     if "seq" in dropped and request.incarnation in members:
         members[request.incarnation] = msgspec.structs.replace(members[request.incarnation], seq=-1)
     if "incarnation" in dropped and request.incarnation is not None and request.incarnation not in members:
-        # A process that claims to be a member is believed, with the shares that it claims to use.
+        # A request with an unknown incarnation is accepted as that of a member, with the shares it reports.
         members[request.incarnation] = Member(
             request.incarnation, request.name, -1, request.max_members, request.lease_ms, request.in_use
         )
@@ -38,7 +38,7 @@
         FleetState(members, state.next_incarnation, state.unreadable), request
     )
     if "order" in dropped and response.incarnation is not None:
-        # The store lowers a share before its holder does.
+        # The store lowers a share before its holder has stopped using the difference.
         member = after.members[response.incarnation]
         target = response.grants["b"].target
         lowered = msgspec.structs.replace(
@@ -50,18 +50,23 @@
 
 
 def without(*checks):
+    """A transaction like ``lease_transaction.apply`` without these checks."""
     return lambda state, request: apply_without_checks(state, request, dropped=checks)
 
 
 class TestEveryInterleaving:
-    """The program's own holder, failure detector and transaction, in every order of steps."""
+    """The production holder, failure detector and transaction, in every order of steps."""
 
-    SLIPPING = Bounds(ticks=3, requests=2, initial_processes=2, delayed_proxies=0)
-    LATE = Bounds(ticks=0, requests=3, initial_processes=2)
-    THREE = Bounds(ticks=0, requests=2, initial_processes=3, processes=3, delayed_proxies=0, clock_slips=0)
-    LAPSING = Bounds(ticks=3, requests=2, initial_processes=2, delayed_proxies=0, clock_slips=0)
+    CLOCKS_SLIP = Bounds(ticks=3, requests=2, initial_processes=2, delayed_proxies=0)
+    LATE_REQUESTS = Bounds(ticks=0, requests=3, initial_processes=2)
+    THREE_PROCESSES = Bounds(
+        ticks=0, requests=2, initial_processes=3, processes=3, delayed_proxies=0, clock_slips=0
+    )
+    LEASES_EXPIRE = Bounds(ticks=3, requests=2, initial_processes=2, delayed_proxies=0, clock_slips=0)
 
-    @pytest.mark.parametrize("bounds", [SLIPPING, LATE, THREE], ids=["clocks slip", "late", "three"])
+    @pytest.mark.parametrize(
+        "bounds", [CLOCKS_SLIP, LATE_REQUESTS, THREE_PROCESSES], ids=["clocks slip", "late", "three"]
+    )
     def test_shares_never_sum_to_more_than_the_total(self, bounds):
         exploration = Explorer(Lease(2.0, 1.0, 0.0), bounds).run()
         assert exploration.path is None and exploration.complete and exploration.states > 5_000
@@ -69,18 +74,18 @@
     @pytest.mark.parametrize(
         ("lease", "bounds", "apply"),
         [
-            (Lease(2.0, 0.0, 0.0), SLIPPING, lease_transaction.apply),
-            (Lease(2.0, 1.0, 0.0), LATE, without("order")),
-            (Lease(2.0, 1.0, 0.0), LATE, without("seq")),
-            (Lease(2.0, 1.0, 0.0), LAPSING, without("incarnation")),
-            (Lease(2.0, 1.0, 0.0), LAPSING, without("heartbeat")),
+            (Lease(2.0, 0.0, 0.0), CLOCKS_SLIP, lease_transaction.apply),
+            (Lease(2.0, 1.0, 0.0), LATE_REQUESTS, without("order")),
+            (Lease(2.0, 1.0, 0.0), LATE_REQUESTS, without("seq")),
+            (Lease(2.0, 1.0, 0.0), LEASES_EXPIRE, without("incarnation")),
+            (Lease(2.0, 1.0, 0.0), LEASES_EXPIRE, without("heartbeat")),
         ],
         ids=[
             "no margin",
-            "the store lowers first",
-            "stale requests count",
-            "no incarnation",
-            "renewal ignored",
+            "shares lowered by the store first",
+            "stale requests applied",
+            "unknown incarnations accepted",
+            "renewals ignored",
         ],
     )
     def test_a_violation_is_found_where_a_check_is_removed(self, lease, bounds, apply):
@@ -101,7 +106,7 @@
 
 
 class TestTraceInvariants:
-    """The invariants over traces can fail."""
+    """Traces that violate an invariant are detected."""
 
     def test_overlapping_shares_are_found(self):
         one = Trace("a", shares=[(0.0, 100.0, 30.0)])
--- a/tests/test_memberships.py
+++ b/tests/test_memberships.py
@@ -1,4 +1,4 @@
-"""What the check over the fleet's logs tells apart."""
+"""Tests of the check for members that were removed before their lease expired."""
 
 from __future__ import annotations
 
@@ -10,13 +10,17 @@
 
 
 def write_log(folder, process, *events):
+    """Write a log of these events that ends with an incomplete line."""
     path = folder / f"{process}.log"
     path.write_text("".join(f"{json.dumps(event)}\n" for event in events) + '{"event": "fleet.in", "incar')
     return path
 
 
 def history_with_lease(folder, until_ms):
-    """One member, its lease until then, and another that removed it and an incarnation that nobody logged."""
+    """The history of a member with a lease until ``until_ms``, and of another process that removed it.
+
+    The other process also removed an incarnation that appears in no log.
+    """
     joined = {"event": "fleet.in", "incarnation": 3, "members": 1}
     renewed = {"event": "budget.share", "budget": "all", "until_ms": until_ms}
     dropped = renewed | {"until_ms": 0.0}
