--- a/experiments/__init__.py
+++ b/experiments/__init__.py
@@ -1,1 +1,1 @@
-"""Experiments over a fleet: real processes with injected faults, or the same decisions simulated."""
+"""Experiments on a fleet of proxies: real processes with injected faults, or a simulation of the fleet."""
--- a/experiments/__main__.py
+++ b/experiments/__main__.py
@@ -1,4 +1,4 @@
-"""``python -m experiments run FILE --to FOLDER``: runs every variant at every size with every seed."""
+"""The command ``python -m experiments run FILE --to FOLDER``: runs a file's variants, sizes and seeds."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 PROCESSES, SIMULATED = "processes", "simulated"
 
 
-def _result(
+def _run_result(
     experiment: Experiment, mode: str, variant: Variant, size: int, seed: int, observations: Observations
 ) -> report.RunResult:
     figures = compute_figures(observations, experiment.duration_s, experiment.discovery_recovered_s())
@@ -27,7 +27,7 @@
 
 @click.group()
 def cli() -> None:
-    """Experiments over a fleet."""
+    """Run experiments on a fleet of proxies."""
 
 
 @cli.command()
@@ -37,17 +37,19 @@
     "folder",
     required=True,
     type=click.Path(file_okay=False, path_type=Path),
-    help="Where the tables and charts go; made if missing.",
+    help="The folder for tables and charts; created if missing.",
 )
-@click.option("--size", "sizes", type=int, multiple=True, help="Only these sizes.")
-@click.option("--seed", "seeds", type=int, multiple=True, help="These seeds instead of the file's.")
 @click.option(
-    "--simulated/--processes", default=None, help="Only the one or the other; both as the file has them."
+    "--size", "sizes", type=int, multiple=True, help="Run only this size of the file; may be repeated."
 )
+@click.option(
+    "--seed", "seeds", type=int, multiple=True, help="Use this seed instead of the file's; may be repeated."
+)
+@click.option("--simulated/--processes", default=None, help="Run only one of the two modes; by default both.")
 def run(
     file: str, folder: Path, sizes: tuple[int, ...], seeds: tuple[int, ...], simulated: bool | None
 ) -> None:
-    """Run an experiment; the figures of each run are written as soon as it ends."""
+    """Run an experiment and write the figures of each run as soon as it ends."""
     try:
         experiment = load_experiment(file)
     except ConfigurationError as error:
@@ -66,11 +68,11 @@
                     observations = asyncio.run(experiment_run.run(experiment, variant, size, seed))
                 else:
                     observations = simulation.run(experiment, variant, size, seed)
-                results.append(_result(experiment, mode, variant, size, seed, observations))
+                results.append(_run_result(experiment, mode, variant, size, seed, observations))
                 report.write_tables(folder, results)
                 click.echo(f"{mode}\t{size}\t{variant.name}\tseed {seed}\t{time.monotonic() - start_s:.0f} s")
     if not results:
-        raise click.ClickException("nothing to run: no such size")
+        raise click.ClickException("nothing to run: the experiment has no run of the requested size and mode")
     (folder / "summary.md").write_text(report.summary(results))
     for path in report.write_charts(folder, results):
         click.echo(str(path))
--- a/experiments/experiment_run.py
+++ b/experiments/experiment_run.py
@@ -1,4 +1,4 @@
-"""Runs one variant of an experiment on real processes of the program, beside emulators in this process."""
+"""Runs one variant of an experiment on real proxy processes, with the emulators in this process."""
 
 from __future__ import annotations
 
@@ -17,24 +17,24 @@
 from emulators.server import CallServer
 from emulators.tasks import Tasks
 from experiments.fault_injection import FaultInjector
-from experiments.observations import MS, BudgetTrace, CallResult, Observations
+from experiments.observations import MS_PER_S, BudgetTrace, CallResult, Observations
 from experiments.plan import Experiment, FaultKind, Variant
 from experiments.process_usage import processor_time_s, resident_mb
 from experiments.proxy_processes import ProxyProcesses
 from verification.spending import read_trace
 
 LAG_INTERVAL_S = 0.01
-LAST_ANSWERS_TIMEOUT_S = 4.0  # for calls that are open when the load ends
+LAST_ANSWERS_TIMEOUT_S = 4.0  # for calls that are unanswered when the load ends
 
 
 class ExperimentRun:
-    """One run: a variant at one size and seed, over a started fleet of emulators."""
+    """One run of a variant at one size with one seed; ``running_fleet`` has the started emulators."""
 
     def __init__(
-        self, experiment: Experiment, variant: Variant, size: int, seed: int, started: Fleet
+        self, experiment: Experiment, variant: Variant, size: int, seed: int, running_fleet: Fleet
     ) -> None:
-        self._experiment, self._variant, self._fleet = experiment, variant, started
-        self._callers = Callers(seed, pools=len(started.servers))
+        self._experiment, self._variant, self._fleet = experiment, variant, running_fleet
+        self._callers = Callers(seed, pools=len(running_fleet.servers))
         self._observations = Observations(size, experiment.servers.capacity_per_s)
         self._tasks = Tasks()
         self._start_s = asyncio.get_running_loop().time()
@@ -44,9 +44,15 @@
             (fault.fraction for fault in experiment.faults if fault.kind is FaultKind.PROXIES_CUT_OFF), 0.0
         )
         cut_off = set(rng.sample(names, round(cut_off_fraction * len(names))))
-        self._processes = ProxyProcesses(started, variant, self._callers, names, cut_off)
+        self._processes = ProxyProcesses(running_fleet, variant, self._callers, names, cut_off)
         self._faults = FaultInjector(
-            started, self._processes, self._observations, rng, self._now_s, self._start_proxy, self._tasks
+            running_fleet,
+            self._processes,
+            self._observations,
+            rng,
+            self._now_s,
+            self._start_proxy,
+            self._tasks,
         )
 
     def _now_s(self) -> float:
@@ -54,13 +60,13 @@
         return asyncio.get_running_loop().time() - self._start_s
 
     async def run(self) -> Observations:
-        """Start the processes, offer the load, inject the faults; return what was observed."""
+        """Start the processes, offer the load and inject the faults; return the observations."""
         duration_s = self._experiment.duration_s
-        await self._processes.start_surroundings()
+        await self._processes.start_environment()
         self._tasks.keep(self._measure_loop_lag())
         for fault in self._experiment.faults:
             self._tasks.keep(self._faults.inject(fault))
-        await asyncio.sleep(0)  # a fault that begins at 0 s is there before the first process
+        await asyncio.sleep(0)  # so that a fault with a start time of 0 s begins before the first process
         load = self._tasks.keep(self._callers.offer(self._experiment.calls_per_s, duration_s))
         for name in self._processes.names:
             self._start_proxy(name)
@@ -70,22 +76,24 @@
         self._collect()
         await self._tasks.end()
         await self._callers.stop()
-        await self._processes.stop_surroundings()
+        await self._processes.stop_environment()
         return self._observations
 
     def _start_proxy(self, name: str) -> None:
-        """Start the proxy of this name, beside everything else."""
+        """Start the proxy of this name in a task of its own."""
         self._tasks.keep(self._processes.start(name, self._on_proxy_listening))
 
     def _on_proxy_listening(self) -> None:
         self._observations.started_at_s.append(self._now_s())
 
     async def _measure_loop_lag(self) -> None:
-        """How late this process's own loop wakes: what it notes is no more exact than that."""
+        """Record the lag of this process's event loop, which bounds the accuracy of every recorded time."""
         while True:
-            slept_at_s = time.monotonic()
+            sleep_start_s = time.monotonic()
             await asyncio.sleep(LAG_INTERVAL_S)
-            self._observations.loop_lag_ms.append((time.monotonic() - slept_at_s - LAG_INTERVAL_S) * MS)
+            self._observations.loop_lag_ms.append(
+                (time.monotonic() - sleep_start_s - LAG_INTERVAL_S) * MS_PER_S
+            )
 
     # ------------------------------------------------------------------------------------ observations
 
@@ -93,7 +101,7 @@
         return [at - self._start_s for at in loop_times_s]
 
     def _collect(self) -> None:
-        """Take from the emulators, the logs and the processes what they have noted."""
+        """Copy what the emulators, logs and processes recorded into the observations."""
         observations, start_unix_s = self._observations, time.time() - self._now_s()
         observations.polled_at_s = self._since_start(self._fleet.discovery.polls)
         observations.listed_at_s = self._since_start(self._fleet.discovery.first_listed)
@@ -113,8 +121,8 @@
                 observations.cpu_s.append(processor_time_s(proxy.process.pid))
 
     def _collect_budgets(self, settings: BudgetSettings) -> None:
-        """Read the traces of the budgets from the logs of every process that ever ran."""
-        start_ms = boottime_ms() - self._now_s() * MS
+        """Read the traces of the budgets from the logs of all processes, ended ones included."""
+        start_ms = boottime_ms() - self._now_s() * MS_PER_S
         for each in settings.budget:
             traces = [read_trace(proxy.log, each.name) for proxy in self._fleet.proxies]
             leased_per_s = each.total_per_s * (1 - each.reserve_fraction)
@@ -130,6 +138,6 @@
         CallServer(f"s-{n}", plan.capacity_per_s, plan.hold_ms, lines=plan.lines) for n in range(plan.count)
     ]
     with tempfile.TemporaryDirectory() as folder:
-        async with fleet(Path(folder), servers, instances=size) as started:
-            started.in_configuration = False  # the proxies start without an endpoint list
-            return await ExperimentRun(experiment, variant, size, seed, started).run()
+        async with fleet(Path(folder), servers, instances=size) as running_fleet:
+            running_fleet.in_configuration = False  # the proxies start without an endpoint list
+            return await ExperimentRun(experiment, variant, size, seed, running_fleet).run()
--- a/experiments/fault_injection.py
+++ b/experiments/fault_injection.py
@@ -1,4 +1,4 @@
-"""Injects the faults of an experiment into a run: each begins at its time, and ends after its duration."""
+"""Injects the faults of an experiment into a run, each at its start time and for its duration."""
 
 from __future__ import annotations
 
@@ -9,18 +9,18 @@
 
 from emulators.fleet import Fleet
 from emulators.tasks import Tasks
-from experiments.observations import MS, ColdServer, Observations
+from experiments.observations import MS_PER_S, ColdServer, Observations
 from experiments.plan import DISCOVERY_FAULTS, SERVER_FAULTS, STORE_FAULTS, Fault, FaultKind
 from experiments.proxy_processes import ProxyProcesses
 
-# The platform's rules for a server that has just started, as ``ColdServer`` has them.
+# Platform settings that describe a server that has just started, in the order of ``ColdServer``'s fields.
 COLD_SERVER_RULES = ("cold_share", "warm_within_ms", "tip_multiple", "overload_for_ms")
 
 Action = Callable[[], Awaitable[object]]
 
 
-class Effect(NamedTuple):
-    """What is done when a fault begins, and when it ends."""
+class FaultActions(NamedTuple):
+    """The actions that begin and end a fault."""
 
     begin: Action
     end: Action
@@ -29,8 +29,8 @@
 class FaultInjector:
     """Applies faults to the emulators, the links and the processes of one run.
 
-    ``now_s`` gives seconds since the run's start; ``restart`` starts the proxy of a name again. Which proxies
-    or servers a fault hits is sampled from ``rng`` when it begins.
+    ``now_s`` returns the seconds since the run's start; ``restart`` starts the proxy of a name again. The
+    proxies or servers that a fault affects are sampled from ``rng`` when it begins.
     """
 
     def __init__(
@@ -47,64 +47,75 @@
         self._rng, self._now_s, self._restart, self._tasks = rng, now_s, restart, tasks
 
     async def inject(self, fault: Fault) -> None:
-        """Wait for the fault's time, begin it, and end it after its duration."""
+        """Begin the fault at its start time, and end it after its duration."""
         await asyncio.sleep(max(0.0, fault.start_s - self._now_s()))
-        begin, end = self._effect(fault)
+        begin, end = self._actions_of(fault)
         await begin()
         await asyncio.sleep(max(0.0, fault.end_s - self._now_s()))
         await end()
 
-    def _effect(self, fault: Fault) -> Effect:
+    def _actions_of(self, fault: Fault) -> FaultActions:
         if fault.kind in DISCOVERY_FAULTS:
-            return self._discovery_effect(fault)
+            return self._discovery_actions(fault)
         if fault.kind in STORE_FAULTS:
-            return self._store_effect(fault)
+            return self._store_actions(fault)
         if fault.kind in SERVER_FAULTS:
-            return self._server_effect(fault)
-        return self._proxy_effect(fault)
+            return self._server_actions(fault)
+        return self._proxy_actions(fault)
 
-    def _discovery_effect(self, fault: Fault) -> Effect:
+    def _discovery_actions(self, fault: Fault) -> FaultActions:
         discovery = self._fleet.discovery
         match fault.kind:
             case FaultKind.DISCOVERY_CLOSES:
-                return Effect(_set(discovery, "in_trouble", True), _set(discovery, "in_trouble", False))
+                return FaultActions(
+                    _setter(discovery, "in_trouble", True), _setter(discovery, "in_trouble", False)
+                )
             case FaultKind.DISCOVERY_STALLS:
-                return Effect(_set(discovery, "stalled", True), _set(discovery, "stalled", False))
+                return FaultActions(_setter(discovery, "stalled", True), _setter(discovery, "stalled", False))
             case FaultKind.DISCOVERY_BUSY:
-                return Effect(_set(discovery, "busy_s", fault.retry_after_s), _set(discovery, "busy_s", None))
-        return Effect(discovery.stop, discovery.start)
+                return FaultActions(
+                    _setter(discovery, "busy_s", fault.retry_after_s), _setter(discovery, "busy_s", None)
+                )
+        return FaultActions(discovery.stop, discovery.start)
 
-    def _store_effect(self, fault: Fault) -> Effect:
+    def _store_actions(self, fault: Fault) -> FaultActions:
         store, processes = self._processes.store, self._processes
         assert store is not None, "the plan allows these faults only for fleets on PostgreSQL"
         match fault.kind:
             case FaultKind.STORE_STALLS:
-                return Effect(_set(store.faults, "stalled", True), _set(store.faults, "stalled", False))
+                return FaultActions(
+                    _setter(store.faults, "stalled", True), _setter(store.faults, "stalled", False)
+                )
             case FaultKind.STORE_RESTARTS:
-                return Effect(lambda: store.restart(fault.duration_s), _nothing)
+                return FaultActions(lambda: store.restart(fault.duration_s), _do_nothing)
         names = self._sample(processes.names, fault.fraction)
         directions = ("back",) if fault.kind is FaultKind.PROXIES_DEAF_STORE else ()
-        return Effect(
-            _call(lambda: processes.cut_off_store(names, directions)),
-            _call(lambda: processes.reconnect_store(names)),
+        return FaultActions(
+            _as_action(lambda: processes.cut_off_store(names, directions)),
+            _as_action(lambda: processes.reconnect_store(names)),
         )
 
-    def _server_effect(self, fault: Fault) -> Effect:
+    def _server_actions(self, fault: Fault) -> FaultActions:
         names = self._sample([server.name for server in self._fleet.servers], fault.fraction)
         if fault.kind is FaultKind.SERVERS_SILENT:
-            return Effect(
-                _call(lambda: self._silence(names, True)), _call(lambda: self._silence(names, False))
+            return FaultActions(
+                _as_action(lambda: self._set_silent(names, True)),
+                _as_action(lambda: self._set_silent(names, False)),
             )
-        return Effect(lambda: self._restart_cold(names), _nothing)
+        return FaultActions(lambda: self._restart_cold(names), _do_nothing)
 
-    def _proxy_effect(self, fault: Fault) -> Effect:
+    def _proxy_actions(self, fault: Fault) -> FaultActions:
         processes = self._processes
-        if fault.kind is FaultKind.PROXIES_CUT_OFF:  # whom it hits was sampled before the first start
-            return Effect(_call(processes.discovery_link.cut), _call(processes.discovery_link.heal))
+        if fault.kind is FaultKind.PROXIES_CUT_OFF:  # its proxies were sampled before the first start
+            return FaultActions(
+                _as_action(processes.discovery_link.cut), _as_action(processes.discovery_link.heal)
+            )
         names = self._sample(processes.names, fault.fraction)
         if fault.kind is FaultKind.PROXIES_FROZEN:
-            return Effect(_call(lambda: processes.freeze(names)), _call(lambda: processes.wake(names)))
-        return Effect(lambda: processes.kill(names), _call(lambda: self._restart_killed(names)))
+            return FaultActions(
+                _as_action(lambda: processes.freeze(names)), _as_action(lambda: processes.wake(names))
+            )
+        return FaultActions(lambda: processes.kill(names), _as_action(lambda: self._restart_killed(names)))
 
     def _sample(self, names: list[str], fraction: float) -> set[str]:
         return set(self._rng.sample(names, round(fraction * len(names))))
@@ -113,27 +124,27 @@
         for name in sorted(names - self._processes.proxies.keys()):
             self._restart(name)
 
-    def _silence(self, names: set[str], silent: bool) -> None:
+    def _set_silent(self, names: set[str], silent: bool) -> None:
         for server in self._fleet.servers:
             if server.name in names:
                 server.silent = silent
 
     async def _restart_cold(self, names: set[str]) -> None:
-        """Make these servers as slow as just started ones, and have service discovery list them so."""
+        """Make these servers as slow as just started ones, and publish their new start times."""
         rules = self._fleet.settings["rules"]
         fraction, warm_up_ms, factor, overload_ms = (rules[name] for name in COLD_SERVER_RULES)
         for server in self._fleet.servers:
             if server.name in names:
                 self._observations.cold_servers[server.name] = ColdServer(
-                    self._now_s(), fraction, warm_up_ms / MS, factor, overload_ms / MS
+                    self._now_s(), fraction, warm_up_ms / MS_PER_S, factor, overload_ms / MS_PER_S
                 )
-                self._tasks.keep(server.start_cold(fraction, warm_up_ms / MS))
-        await asyncio.sleep(0)  # each server sets its start time first
+                self._tasks.keep(server.start_cold(fraction, warm_up_ms / MS_PER_S))
+        await asyncio.sleep(0)  # so that each server sets its start time before the list is published
         await self._fleet.list(*self._fleet.servers)
 
 
-def _set(emulator: object, switch: str, value: object) -> Action:
-    """Set a switch of an emulator: these are public fields, meant to be changed while it runs."""
+def _setter(emulator: object, switch: str, value: object) -> Action:
+    """Return an action that sets a public field of an emulator, one that may change while it runs."""
 
     async def change() -> None:
         setattr(emulator, switch, value)
@@ -141,12 +152,14 @@
     return change
 
 
-def _call(function: Callable[[], object]) -> Action:
+def _as_action(function: Callable[[], object]) -> Action:
+    """Wrap a synchronous function as an action."""
+
     async def run() -> None:
         function()
 
     return run
 
 
-async def _nothing() -> None:
-    """The end of a fault that ends by itself."""
+async def _do_nothing() -> None:
+    """End a fault whose begin action also ends it."""
--- a/experiments/measures.py
+++ b/experiments/measures.py
@@ -1,4 +1,4 @@
-"""Figures of one experiment run: pure functions of its observations; times are seconds since its start."""
+"""Computes the figures of one experiment run from its observations; times are seconds since its start."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 HISTOGRAM_MAX_MS, HISTOGRAM_DIGITS = 60_000, 3
 US_PER_MS = 1000
 STEADY_FRACTION, STEADY_WINDOW_S = 0.95, 2.0  # service is steady with this fraction served in every window
-FIRST_POLLS_S = 4.0  # after the last proxy has started; by then first polls have ended
+INITIAL_POLLS_S = 4.0  # the first polls count as ended this long after the start of the last proxy
 
 
 class Figure(NamedTuple):
-    """One measured value, in ``unit`` (empty: a count or a fraction); None: it was not reached."""
+    """One measured value in ``unit``, empty for a count or a fraction; a value of None was never reached."""
 
     name: str
     unit: str
@@ -25,7 +25,7 @@
 
 
 def histogram(values_ms: Sequence[float]) -> HdrHistogram:
-    """A histogram of these, recorded in microseconds, to three digits."""
+    """Return a histogram of these values, recorded in microseconds with three significant digits."""
     found = HdrHistogram(1, HISTOGRAM_MAX_MS * US_PER_MS, HISTOGRAM_DIGITS)
     for value in values_ms:
         found.record_value(max(1, int(value * US_PER_MS)))
@@ -33,12 +33,12 @@
 
 
 def percentile(values_ms: Sequence[float], percent: float) -> float | None:
-    """A percentile of these; None: there are none."""
+    """Return a percentile of these values in milliseconds; None without values."""
     return histogram(values_ms).get_value_at_percentile(percent) / US_PER_MS if values_ms else None
 
 
 def per_second(times: Sequence[float], duration_s: float) -> list[int]:
-    """How many of these times, in seconds, fall in each second."""
+    """Return how many of these times, in seconds, fall into each second of the run."""
     counts = [0] * int(duration_s)
     for at in times:
         if 0 <= at < len(counts):
@@ -47,35 +47,36 @@
 
 
 def served_fractions(calls: Sequence[CallResult], duration_s: float) -> list[float | None]:
-    """The fraction served of the calls due in each second; None: none were due."""
+    """Return the fraction served of the calls due in each second; None for a second without calls."""
     due = per_second([call.due_s for call in calls], duration_s)
     served = per_second([call.due_s for call in calls if call.outcome == "served"], duration_s)
     return [good / count if count else None for good, count in zip(served, due, strict=True)]
 
 
 def steady_since_s(calls: Sequence[CallResult], duration_s: float) -> float | None:
-    """From when ``STEADY_FRACTION`` were served in every window of ``STEADY_WINDOW_S``; None: never.
+    """Return the time of the first call after the last bad window; None: service never became steady.
 
-    A window begins with each call, so that no window's edge hides a gap.
+    A window of ``STEADY_WINDOW_S`` with less than ``STEADY_FRACTION`` served is bad. One begins at each call:
+    fixed windows would split a gap that crosses an edge between them.
     """
     ordered = sorted(calls)
     complete = [call for call in ordered if call.due_s < duration_s - STEADY_WINDOW_S]
-    bad_since_s = None
+    last_bad_s = None
     last, served = 0, 0
     for first, call in enumerate(complete):
         while last < len(ordered) and ordered[last].due_s < call.due_s + STEADY_WINDOW_S:
             served += ordered[last].outcome == "served"
             last += 1
         if served < STEADY_FRACTION * (last - first):
-            bad_since_s = call.due_s
+            last_bad_s = call.due_s
         served -= call.outcome == "served"
-    return next((call.due_s for call in complete if bad_since_s is None or call.due_s > bad_since_s), None)
+    return next((call.due_s for call in complete if last_bad_s is None or call.due_s > last_bad_s), None)
 
 
 def worst_cold_load(set_ups: Sequence[float], cold: ColdServer, capacity_per_s: float) -> float:
-    """The highest load of a cold server in any window of ``overload_s``, over the load at which it fails.
+    """Return the highest load of a cold server in any window of ``overload_s``, over the load it can bear.
 
-    Its capacity at the window's beginning counts, as it only grows; past 1 the server fails.
+    Above 1 the server fails. The capacity at the beginning of a window counts, as it only grows.
     """
     times = sorted(at for at in set_ups if at >= cold.start_s)
     worst, last = 0.0, 0
@@ -85,13 +86,16 @@
         age = min(1.0, (start_s - cold.start_s) / cold.warm_up_s)
         capacity_now_per_s = capacity_per_s * (cold.initial_fraction + (1 - cold.initial_fraction) * age)
         count = last - first
-        if count > 1:  # one alone is no load
+        if count > 1:  # a single set-up cannot overload a server
             worst = max(worst, count / (cold.overload_factor * capacity_now_per_s * cold.overload_s))
     return worst
 
 
 def compute_figures(observations: Observations, duration_s: float, recovered_s: float | None) -> list[Figure]:
-    """Every figure of one run; ``recovered_s``: when service discovery was back, where it had a fault."""
+    """Return all figures of one run.
+
+    ``recovered_s`` is the end of the last fault of service discovery; None without such a fault.
+    """
     figures = [Figure("all are up after", "s", max(observations.started_at_s, default=None))]
     figures += _discovery_figures(observations, recovered_s)
     figures += _server_figures(observations)
@@ -121,7 +125,7 @@
 
 
 def _process_figures(observations: Observations) -> list[Figure]:
-    """What the processes took, and how exact the measurement is."""
+    """Return the memory and processor time of the proxies, and the lag of the measuring event loop."""
     figures = []
     for name, unit, values in (
         ("memory of a proxy, mean", "MB", observations.memory_mb),
@@ -138,15 +142,15 @@
 
 
 def _discovery_figures(observations: Observations, recovered_s: float | None) -> list[Figure]:
+    """Return the poll rates and, after a fault of service discovery, when the proxies had a list again."""
     polls = sorted(observations.polled_at_s)
-    """``recovered_s``: the end of the last fault of service discovery; None: it had none."""
     figures = [
         Figure("polls, most in 0.1 s", "", most_in(polls, 0.1)),
         Figure("polls, most in 1 s", "", most_in(polls, 1.0)),
     ]
     if recovered_s is None:
         return figures
-    start_s = max(observations.started_at_s, default=0.0) + FIRST_POLLS_S
+    start_s = max(observations.started_at_s, default=0.0) + INITIAL_POLLS_S
     if start_s < recovered_s:
         polls_per_s = sum(start_s <= at < recovered_s for at in polls) / (recovered_s - start_s)
         figures.append(Figure("polls a second while the board is in trouble", "a second", polls_per_s))
@@ -160,7 +164,7 @@
 
 
 def _budget_figures(name: str, budget: BudgetTrace, duration_s: float) -> list[Figure]:
-    """Each limit of a budget as a fraction of what is allowed: past 1 the budget was broken."""
+    """Return the use of a budget as fractions of its limits; above 1 the budget was violated."""
     processes = max(1, sum(bool(trace.spent) for trace in budget.traces))
     return [
         Figure(
--- a/experiments/proxy_processes.py
+++ b/experiments/proxy_processes.py
@@ -1,4 +1,4 @@
-"""The proxies of an experiment run: real processes, their settings files, and links that can be cut."""
+"""The proxy processes of an experiment run, their settings files, and their links, which can be cut."""
 
 from __future__ import annotations
 
@@ -19,43 +19,43 @@
 from experiments.plan import Variant
 
 PROXY_NICENESS = 10
-HEALTH_TESTS_PER_S = 200.0  # of all proxies together: the loop that tests them also measures
+HEALTH_TESTS_PER_S = 200.0  # for all proxies together: the event loop that runs the tests also measures
 
 
 class ProxyProcesses:
     """Starts, freezes, kills and disconnects the proxies of one run.
 
-    ``names`` are all proxies of the run; those in ``behind_link`` find service discovery through a link that
-    can be cut. Each proxy has a link of its own to the emulated store, where the variant uses one.
+    ``names`` are all proxies of the run; those in ``behind_link`` reach service discovery through a link that
+    can be cut. If the variant uses the emulated store, each proxy has its own link to it.
     """
 
     def __init__(
         self, fleet: Fleet, variant: Variant, callers: Callers, names: list[str], behind_link: set[str]
     ) -> None:
         self.names = names
-        self.proxies: dict[str, Proxy] = {}  # those that run, by name
+        self.proxies: dict[str, Proxy] = {}  # the running ones, by name
         self.discovery_link = Link(fleet.discovery.address)
         self.store: PostgresqlEmulator | None = None
         self._fleet, self._variant, self._callers = fleet, variant, callers
         self._behind_link = behind_link
-        self._store_links: dict[str, Link] = {}  # from each proxy to the store
+        self._store_links: dict[str, Link] = {}  # to the store, by proxy
         self._start_count = 0
-        # Hundreds of starting processes would keep this one from its clock, and what it notes would be late.
+        # Without it, hundreds of starting processes delay this one, and the times it records are late.
         fleet.nice = PROXY_NICENESS
         fleet.discovery_for = self._discovery_address
 
     def _discovery_address(self, name: str) -> str:
         return (self.discovery_link if name in self._behind_link else self._fleet.discovery).address
 
-    async def start_surroundings(self) -> None:
-        """Start the link to service discovery, and the emulated store where the variant has one."""
+    async def start_environment(self) -> None:
+        """Start the link to service discovery and, if the variant uses it, the emulated store."""
         await self.discovery_link.start()
         if (self._variant.fleet or {}).get("backend") == "postgresql":
             self.store = PostgresqlEmulator(self._fleet.folder)
             await self.store.start()
 
-    async def stop_surroundings(self) -> None:
-        """Stop the links and the store; the processes end with their fleet."""
+    async def stop_environment(self) -> None:
+        """Stop the links and the store; the proxies are stopped by their fleet."""
         for link in (self.discovery_link, *self._store_links.values()):
             await link.stop()
         if self.store is not None:
@@ -64,10 +64,10 @@
     # ------------------------------------------------------------------------------------ processes
 
     async def start(self, name: str, on_listening: Callable[[], None]) -> None:
-        """Start the proxy of this name and, once it passes a front's health test, send callers to it.
+        """Start a proxy and connect the callers to it once it passes the front's health test.
 
-        ``on_listening`` is called as soon as it listens. A name has the number of its seed after its first
-        letter. Each start has a configuration and a log of its own under the one name.
+        ``on_listening`` is called as soon as the proxy listens. Its seed is the number after the first letter
+        of its name. Each start of a name has its own configuration and log.
         """
         self._start_count += 1
         tag, environment = f"{name}.{self._start_count}", await self._extension_files(name)
@@ -78,18 +78,18 @@
         await self._callers.add_proxy(proxy.address)
 
     async def kill(self, names: set[str]) -> None:
-        """Send SIGKILL to those of these that run, and take them from the callers."""
+        """Send SIGKILL to the running proxies among these, and stop sending new calls to them."""
         for proxy in [self.proxies.pop(name) for name in names & self.proxies.keys()]:
             if proxy.address in self._callers.proxies:
                 self._callers.drop_proxy(proxy.address)
             await proxy.stop(signal.SIGKILL)
 
     def freeze(self, names: set[str]) -> None:
-        """Stop the processes of these where they are (SIGSTOP)."""
+        """Suspend the running proxies among these with SIGSTOP."""
         self._signal_each(names, Proxy.freeze)
 
     def wake(self, names: set[str]) -> None:
-        """Let frozen ones go on (SIGCONT)."""
+        """Resume the running proxies among these with SIGCONT."""
         self._signal_each(names, Proxy.wake)
 
     def _signal_each(self, names: set[str], send: Callable[[Proxy], None]) -> None:
@@ -100,41 +100,41 @@
     # ------------------------------------------------------------------------------------ links to the store
 
     def cut_off_store(self, names: set[str], directions: tuple[str, ...]) -> None:
-        """Hold back what goes between these and the store, in these directions of a ``Link``; empty: both."""
+        """Hold back data between these proxies and the store, in these ``Link`` directions; empty: both."""
         for name in names & self._store_links.keys():
             self._store_links[name].cut(*directions)
 
     def reconnect_store(self, names: set[str]) -> None:
-        """Let everything through again between these and the store."""
+        """Pass data between these proxies and the store again, the held-back data first."""
         for name in names & self._store_links.keys():
             self._store_links[name].heal()
 
     # ------------------------------------------------------------------------------------ settings
 
     async def _extension_files(self, name: str) -> dict[str, str]:
-        """The environment of a proxy: a file for each extension that the variant switches on."""
+        """Return a proxy's environment: the path of a settings file for each extension that is enabled."""
         environment = {}
         if self._variant.cold_start is not None:
             environment["CANVASPLANK_STARTING"] = self._settings_file("starting", self._variant.cold_start)
         if self._variant.fleet is not None:
-            settings = {**self._variant.fleet, **await self._store_settings(name)}
+            settings = {**self._variant.fleet, **await self._store_location(name)}
             environment["CANVASPLANK_FLEET"] = self._settings_file(f"fleet-{name}", settings)
             environment["CANVASPLANK_LOG"] = "json"
         return environment
 
     def _settings_file(self, name: str, settings: dict[str, Any]) -> str:
-        """The path of a settings file, the same for every start of a run, so it is written once.
+        """Return the path of a settings file, written once for all starts of a run.
 
-        A process that read it while it was written again for the next one found it empty, which switches the
-        extension off: of 300 started at once 273 were not paced.
+        A process that reads the file while it is being rewritten finds it empty, which disables the
+        extension: 273 of 300 processes started at once ran without pacing.
         """
         path: Path = self._fleet.folder / f"{name}.toml"
         if not path.exists():
             path.write_text(tomli_w.dumps(settings))
         return str(path)
 
-    async def _store_settings(self, name: str) -> dict[str, str]:
-        """Where a proxy finds the fleet's store: a SQLite file, or PostgreSQL behind its own link."""
+    async def _store_location(self, name: str) -> dict[str, str]:
+        """Return the location of the fleet's store: a SQLite file, or PostgreSQL behind the proxy's link."""
         if self.store is None:
             return {"path": str(self._fleet.folder / "fleet.db")}
         dsn = urlsplit(self.store.dsn)
--- a/experiments/report.py
+++ b/experiments/report.py
@@ -1,4 +1,4 @@
-"""The output of an experiment: tables of figures and of series (Parquet and CSV), charts, and a summary."""
+"""Writes an experiment's output: tables of figures and series (Parquet and CSV), charts, and a summary."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 FIGURES, SERIES = "figures", "series"
 POLLS, CONNECTIONS, SET_UPS, SERVED = "polls", "first connections", "set-ups", "served share"
-RESULT_COLUMNS = [  # of both tables: the run, and what the row is about
+RESULT_COLUMNS = [  # of both tables: the run, and the name of the figure or series
     ("experiment", pa.string()),
     ("way", pa.string()),
     ("size", pa.int32()),
@@ -41,7 +41,7 @@
 
 
 class RunResult(NamedTuple):
-    """One run and what it measured; ``mode``: on processes, or simulated (the column ``way``)."""
+    """The result of one run; ``mode`` is ``processes`` or ``simulated`` (column ``way`` of the tables)."""
 
     experiment: str
     mode: str
@@ -53,22 +53,22 @@
 
     @property
     def key(self) -> tuple[str, str, int, str, int]:
-        """The first columns, that identify the run."""
+        """The columns that identify the run."""
         return self.experiment, self.mode, self.size, self.variant, self.seed
 
 
 def compute_series(observations: Observations, duration_s: float) -> dict[str, list[float | None]]:
-    """What the charts show, a value a second: counts, and the fraction served of the calls due then."""
-    found: dict[str, list[float | None]] = {
+    """Return the series of the charts, with a value per second: counts, and the served fraction of calls."""
+    series: dict[str, list[float | None]] = {
         POLLS: list(per_second(observations.polled_at_s, duration_s)),
         CONNECTIONS: _counts(observations.connected_at_s, duration_s),
         SET_UPS: _counts(observations.set_ups_at_s, duration_s),
     }
     for name, budget in observations.budgets.items():
-        found[f"{name} spent"] = list(per_second(budget.spent_at_s(), duration_s))
+        series[f"{name} spent"] = list(per_second(budget.spent_at_s(), duration_s))
     if observations.calls:
-        found[SERVED] = served_fractions(observations.calls, duration_s)
-    return found
+        series[SERVED] = served_fractions(observations.calls, duration_s)
+    return series
 
 
 def _counts(times_by_server: dict[str, list[float]], duration_s: float) -> list[float | None]:
@@ -76,7 +76,7 @@
 
 
 def write_tables(folder: Path, results: Iterable[RunResult]) -> None:
-    """Write the tables of all runs, as Parquet and CSV; those of an earlier call are replaced."""
+    """Write the tables of all runs as Parquet and CSV, replacing those of an earlier call."""
     results = list(results)
     figures = [(*r.key, *figure) for r in results for figure in r.figures]
     points = [
@@ -93,16 +93,16 @@
         pa.csv.write_csv(table, folder / f"{name}.csv")
 
 
-def mean(values: Iterable[float | None]) -> float | None:
-    """The mean of the values that are not None; None: there are none."""
+def mean_or_none(values: Iterable[float | None]) -> float | None:
+    """Return the mean of the values that are not None, or None without any."""
     present = [value for value in values if value is not None]
     return math.fsum(present) / len(present) if present else None
 
 
 def summary(results: Iterable[RunResult]) -> str:
-    """Write a Markdown table for each size: a row a figure, a column a variant; mean over seeds, and range.
+    """Return a Markdown table per mode and size, with a row per figure and a column per variant.
 
-    Where a figure has no value in some run, the cell names how many have one.
+    A cell has the mean over the seeds and the range and, if some runs have no value, how many have one.
     """
     results = list(results)
     lines: list[str] = []
@@ -127,14 +127,14 @@
     present = [value for value in values if value is not None]
     if not present:
         return "never" if values else ""
-    text = f"{mean(present):.3g}"
+    text = f"{mean_or_none(present):.3g}"
     if max(present) > min(present):
         text += f" ({min(present):.3g} to {max(present):.3g})"
     return text if len(present) == len(values) else f"{text}, in {len(present)} of {len(values)}"
 
 
 def write_charts(folder: Path, results: Iterable[RunResult]) -> list[Path]:
-    """Write a chart (SVG) for each mode and size; return their paths."""
+    """Write an SVG chart for each mode and size, and return their paths."""
     import matplotlib
 
     matplotlib.use("svg")
@@ -147,7 +147,7 @@
 
 
 def _write_chart(folder: Path, mode: str, size: int, results: list[RunResult]) -> Path:
-    """The series above each other, a line a variant (the mean over seeds)."""
+    """Draw one plot per series, with a line per variant (the mean over seeds)."""
     import matplotlib.pyplot as plt
 
     names = list(dict.fromkeys(name for r in results for name in r.series))
@@ -155,12 +155,12 @@
     for axis, name in zip(axes[:, 0], names, strict=True):
         for variant in dict.fromkeys(r.variant for r in results):
             lines = [r.series[name] for r in results if r.variant == variant]
-            means = [mean(at) for at in zip(*lines, strict=True)]
+            means = [mean_or_none(at) for at in zip(*lines, strict=True)]
             axis.plot([math.nan if value is None else value for value in means], label=variant)
         axis.set_ylabel(name if name == SERVED else f"{name} a second", fontsize=8)
     axes[0, 0].legend(fontsize=7)
     axes[0, 0].set_title(f"{size} proxies, {mode}", fontsize=9)
-    axes[-1, 0].set_xlabel("seconds since the first was started")
+    axes[-1, 0].set_xlabel("seconds since the start of the run")
     figure.tight_layout()
     path = folder / f"{results[0].experiment}-{size}-{mode.replace(' ', '-')}.svg"
     figure.savefig(path, metadata={"Date": None})
--- a/experiments/simulated_environment.py
+++ b/experiments/simulated_environment.py
@@ -1,4 +1,4 @@
-"""The simulated surroundings of a proxy: the clock, call servers and service discovery."""
+"""Models of a proxy's environment: the clock, the call servers and service discovery."""
 
 from __future__ import annotations
 
@@ -7,28 +7,28 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from experiments.observations import MS, ColdServer
+from experiments.observations import MS_PER_S, ColdServer
 from experiments.plan import DISCOVERY_FAULTS, Fault, FaultKind
 
-ONE_WAY_DELAY_MS = 1.0  # of a message, between any two parties
-MAX_QUEUE_DELAY_MS = 2500.0  # a server rejects set-ups past this wait ...
-REJECTION_COST_FRACTION = 0.2  # ... at this fraction of a set-up's cost
+ONE_WAY_DELAY_MS = 1.0  # of every message on the network
+MAX_QUEUE_DELAY_MS = 2500.0  # a server with a longer queue delay rejects set-ups
+REJECTION_COST_FRACTION = 0.2  # cost of a rejection, as a fraction of a set-up's
 
 
 class EventClock:
-    """Runs callbacks in the order of their times, and at one time in the order of scheduling."""
+    """Runs callbacks in the order of their due times, and those of one time in the order of scheduling."""
 
     def __init__(self) -> None:
         self.now_ms = 0.0
         self._heap: list[tuple[float, int, Callable[[], None]]] = []
-        self._number = itertools.count()
+        self._sequence = itertools.count()
 
     def call_later(self, delay_ms: float, callback: Callable[[], None]) -> None:
-        """Run ``callback`` after this delay; a negative one is none."""
-        heapq.heappush(self._heap, (self.now_ms + max(0.0, delay_ms), next(self._number), callback))
+        """Schedule ``callback`` after this delay; a negative delay counts as 0."""
+        heapq.heappush(self._heap, (self.now_ms + max(0.0, delay_ms), next(self._sequence), callback))
 
     def run(self, until_ms: float) -> None:
-        """Run everything that is due by ``until_ms``, in simulated time."""
+        """Run all callbacks that are due by ``until_ms``, in simulated time."""
         while self._heap and self._heap[0][0] <= until_ms:
             self.now_ms, _, callback = heapq.heappop(self._heap)
             callback()
@@ -36,7 +36,7 @@
 
 @dataclass
 class SimulatedServer:
-    """One call server: a processor with a queue, that rejects set-ups once the queue is long."""
+    """Model of a call server: a processor with a queue, which rejects set-ups while the queue is long."""
 
     name: str
     capacity_per_s: float
@@ -48,17 +48,17 @@
     connected_at_s: list[float] = field(default_factory=list)
 
     def _service_time_ms(self) -> float:
-        """What a set-up costs now: more while the server warms up."""
+        """Return the processor time of a set-up now; it is longer while the server warms up."""
         speed = 1.0
         if self.cold is not None:
-            age = (self.clock.now_ms / MS - self.cold.start_s) / self.cold.warm_up_s
+            age = (self.clock.now_ms / MS_PER_S - self.cold.start_s) / self.cold.warm_up_s
             speed = self.cold.initial_fraction + (1 - self.cold.initial_fraction) * min(1.0, max(0.0, age))
-        return MS / self.capacity_per_s / speed
+        return MS_PER_S / self.capacity_per_s / speed
 
-    def set_up(self, on_answer: Callable[[bool], None]) -> None:
-        """Queue a set-up; ``on_answer`` is called with whether it is accepted, when the answer arrives."""
+    def enqueue_set_up(self, on_answer: Callable[[bool], None]) -> None:
+        """Queue a set-up; when its answer arrives, ``on_answer`` is called with whether it was accepted."""
         now_ms = self.clock.now_ms
-        self.set_ups_at_s.append(now_ms / MS)
+        self.set_ups_at_s.append(now_ms / MS_PER_S)
         accepted = self.idle_at_ms - now_ms <= MAX_QUEUE_DELAY_MS
         cost_fraction = 1.0 if accepted else REJECTION_COST_FRACTION
         self.idle_at_ms = max(self.idle_at_ms, now_ms) + self._service_time_ms() * cost_fraction
@@ -67,7 +67,7 @@
 
 
 class SimulatedDiscovery:
-    """Service discovery: answers polls with the list, or with the fault of that time."""
+    """Model of service discovery: answers a poll with the endpoint list, or with the current fault."""
 
     def __init__(self, faults: list[Fault]) -> None:
         self._faults = [fault for fault in faults if fault.kind in DISCOVERY_FAULTS]
@@ -75,9 +75,10 @@
         self.listed_at_s: list[float] = []
 
     def poll(self, now_s: float) -> Fault | None:
-        """The fault that a poll meets at this time; None: it gets the list."""
+        """Record a poll at this time and return the fault that it meets; None: the poll gets the list."""
         fault = next((f for f in self._faults if f.start_s <= now_s < f.end_s), None)
-        if fault is None or fault.kind is not FaultKind.DISCOVERY_AWAY:  # a refused connection is not noted
+        # A refused connection is not recorded.
+        if fault is None or fault.kind is not FaultKind.DISCOVERY_AWAY:
             self.polled_at_s.append(now_s)
         if fault is None:
             self.listed_at_s.append(now_s)
--- a/experiments/simulated_proxy.py
+++ b/experiments/simulated_proxy.py
@@ -1,4 +1,4 @@
-"""A proxy of the simulation: the decision modules of the program, and what carries out their actions."""
+"""A simulated proxy: the program's own decision modules, with the actions executed on the models."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from canvasplank.cold_start.rendezvous_subset import RendezvousSubset
 from canvasplank.config.discovery_events import Endpoint, to_server
 from canvasplank.policy import Controller
-from experiments.observations import MS, Observations
+from experiments.observations import MS_PER_S, Observations
 from experiments.plan import FaultKind
 from experiments.simulated_environment import (
     ONE_WAY_DELAY_MS,
@@ -21,12 +21,12 @@
     SimulatedServer,
 )
 
-STALLED_POLL_TIMEOUT_MS = 1500.0  # a poll that is not answered is given up after this
+STALLED_POLL_TIMEOUT_MS = 1500.0  # for a poll without an answer
 REFUSED, FAILED, SERVED, OPEN = "refused", "failed", "served", "open"
 
 
 class SimulatedFleet(Protocol):
-    """What a proxy uses of the simulation it belongs to."""
+    """The parts of a simulation that its proxies use."""
 
     clock: EventClock
     discovery: SimulatedDiscovery
@@ -34,17 +34,17 @@
     observations: Observations
 
     def endpoints(self) -> list[Endpoint]:
-        """The endpoint list as service discovery has it now."""
+        """Return the current endpoint list of service discovery."""
 
     def on_ready(self, proxy: SimulatedProxy) -> None:
-        """Callers may be sent to this proxy from now on."""
+        """Mark this proxy as ready for calls."""
 
     def end_call(self, call_id: str, outcome: str) -> None:
-        """A call has its final answer."""
+        """Record the final answer of a call."""
 
 
 class DoublingBackoff:
-    """The poll backoff of a program without cold-start settings: delays that double, without jitter."""
+    """The poll backoff without cold-start settings: delays that double, without jitter."""
 
     def __init__(self) -> None:
         self._next_ms = INITIAL_BACKOFF_MS
@@ -60,46 +60,48 @@
 
 
 class SimulatedProxy:
-    """One proxy: the program's controller, backoff and subset, and what carries out their actions."""
+    """One proxy with the program's controller, poll backoff and endpoint subset."""
 
     def __init__(
         self,
         fleet: SimulatedFleet,
         number: int,
         settings: api.Settings,
-        starting: ColdStartSettings | None,
+        cold_start: ColdStartSettings | None,
         seed: int,
     ) -> None:
         self._fleet, self._clock = fleet, fleet.clock
         self._rng = random.Random(seed * 100_003 + number)
-        self._starting, self._count = starting, settings.instances
+        self._cold_start, self._proxy_count = cold_start, settings.instances
         self._controller = Controller(settings, self._rng.getrandbits(32))
         self._attempts: dict[str, int] = {}
-        self._open_attempts: dict[str, int] = {}  # by call, the attempt that has not ended
-        if starting is None or not starting.polls_per_s:
+        self._open_attempts: dict[str, int] = {}  # by call: its attempt that has not ended
+        if cold_start is None or not cold_start.polls_per_s:
             self._backoff: PollBackoff | DoublingBackoff = DoublingBackoff()
         else:
-            first_per_s = starting.first_per_s or starting.polls_per_s
-            self._backoff = PollBackoff(lambda: self._count, starting.polls_per_s, first_per_s, self._rng)
+            first_per_s = cold_start.first_per_s or cold_start.polls_per_s
+            self._backoff = PollBackoff(
+                lambda: self._proxy_count, cold_start.polls_per_s, first_per_s, self._rng
+            )
         self._subset = RendezvousSubset(
-            f"n{number}", (None,), starting.servers_per_proxy if starting else 0, lambda _: False
+            f"n{number}", (None,), cold_start.servers_per_proxy if cold_start else 0, lambda _: False
         )
         self._connected: set[str] = set()
-        self._server_by_call: dict[str, str] = {}  # of each call's latest attempt
+        self._server_by_call: dict[str, str] = {}  # the server of each call's latest attempt
 
     def start(self) -> None:
-        """Start: ready for callers at once or, with ``ready_with_list``, with its first list."""
-        self._fleet.observations.started_at_s.append(self._clock.now_ms / MS)
-        if self._starting is None or not self._starting.ready_with_list:
+        """Start polling; the proxy is ready at once or, with ``ready_with_list``, with its first list."""
+        self._fleet.observations.started_at_s.append(self._clock.now_ms / MS_PER_S)
+        if self._cold_start is None or not self._cold_start.ready_with_list:
             self._fleet.on_ready(self)
         self._clock.call_later(self._backoff.initial_delay(), self._poll)
 
     def _poll(self) -> None:
-        fault = self._fleet.discovery.poll(self._clock.now_ms / MS)
+        fault = self._fleet.discovery.poll(self._clock.now_ms / MS_PER_S)
         if fault is None:
             self._clock.call_later(2 * ONE_WAY_DELAY_MS, self._on_list)
             return
-        retry_after_ms = fault.retry_after_s * MS if fault.kind is FaultKind.DISCOVERY_BUSY else 0.0
+        retry_after_ms = fault.retry_after_s * MS_PER_S if fault.kind is FaultKind.DISCOVERY_BUSY else 0.0
         timeout_ms = STALLED_POLL_TIMEOUT_MS if fault.kind is FaultKind.DISCOVERY_STALLS else 0.0
         self._clock.call_later(
             timeout_ms + self._backoff.retry_delay(self._clock.now_ms, retry_after_ms), self._poll
@@ -107,34 +109,34 @@
 
     def _on_list(self) -> None:
         selected = self._subset.select(True, self._fleet.endpoints())
-        if self._starting is not None and self._starting.ready_with_list:
+        if self._cold_start is not None and self._cold_start.ready_with_list:
             self._fleet.on_ready(self)
         for endpoint in selected:
-            per_s = self._starting.connections_per_s if self._starting else 0.0
-            spread_ms = self._rng.uniform(0.0, MS * self._count / per_s) if per_s else 0.0
+            per_s = self._cold_start.connections_per_s if self._cold_start else 0.0
+            spread_ms = self._rng.uniform(0.0, MS_PER_S * self._proxy_count / per_s) if per_s else 0.0
             self._clock.call_later(spread_ms, partial(self._connect, endpoint.instance_id))
         self._handle(api.ServerList(api.ListKind.COMPLETE, tuple(self._to_server(each) for each in selected)))
 
     def _to_server(self, endpoint: Endpoint) -> api.Server:
         server = to_server(endpoint)
-        senders = self._subset.senders(server.pool, self._count)
-        initial_per_s = self._starting.initial_rate_per_s if self._starting else 0.0
+        senders = self._subset.senders(server.pool, self._proxy_count)
+        initial_per_s = self._cold_start.initial_rate_per_s if self._cold_start else 0.0
         return api.Server(
             server.id,
             server.pool,
             server.state,
             server.started_ms,
             senders,
-            initial_per_s / (senders or self._count) if initial_per_s else None,
+            initial_per_s / (senders or self._proxy_count) if initial_per_s else None,
         )
 
     def _connect(self, name: str) -> None:
         if name not in self._connected:
             self._connected.add(name)
-            self._fleet.servers[name].connected_at_s.append(self._clock.now_ms / MS)
+            self._fleet.servers[name].connected_at_s.append(self._clock.now_ms / MS_PER_S)
 
     def call(self, call: api.Call) -> None:
-        """A caller's set-up arrives."""
+        """Process the set-up of a caller."""
         self._handle(call)
 
     def _handle(self, event: api.Event) -> None:
@@ -165,9 +167,8 @@
         def on_answer(accepted: bool) -> None:
             if not accepted:
                 self._on_attempt_ended(call_id, attempt, api.Outcome.FULL)
-            elif (
-                self._open_attempts.pop(call_id, None) == attempt
-            ):  # an answer to an attempt that was given up is dropped
+            # An answer to an attempt that was given up is dropped.
+            elif self._open_attempts.pop(call_id, None) == attempt:
                 self._fleet.end_call(call_id, SERVED)
                 self._handle(api.Established(call_id, attempt, server_id, self._clock.now_ms - sent_ms))
                 self._clock.call_later(
@@ -177,10 +178,10 @@
                     ),
                 )
 
-        self._clock.call_later(ONE_WAY_DELAY_MS, lambda: server.set_up(on_answer))
+        self._clock.call_later(ONE_WAY_DELAY_MS, lambda: server.enqueue_set_up(on_answer))
 
     def _on_attempt_ended(self, call_id: str, attempt: int, outcome: api.Outcome) -> None:
-        """Notify the controller, once, of an attempt that failed."""
+        """Pass a failed attempt to the controller unless the attempt has ended already."""
         if self._open_attempts.get(call_id) == attempt:
             del self._open_attempts[call_id]
             self._handle(
--- a/tests/test_experiments.py
+++ b/tests/test_experiments.py
@@ -1,4 +1,4 @@
-"""The experiment tool: its file, its figures, and small runs of it, on processes and simulated."""
+"""Tests of the experiment tool: experiment files, figures, and small runs on processes and simulated."""
 
 from __future__ import annotations
 
@@ -17,8 +17,8 @@
 from experiments.plan import load_experiment
 from verification.spending import Trace
 
-MAX_RUNS, MAX_LOOP_LAG_MS = 5, 1500.0  # usually 0.2 to 0.7 s as two dozen processes start
-SMALL = """
+MAX_RUNS, MAX_LOOP_LAG_MS = 5, 1500.0  # the lag is 0.2 to 0.7 s as a rule while 24 processes start
+SMALL_EXPERIMENT = """
 name = "small"
 sizes = [3]
 simulated_sizes = [30]
@@ -43,7 +43,7 @@
 
 
 def run_experiment(tmp_path, text: str) -> list[dict]:
-    """Run this experiment; the rows of its table of figures, written to the folder ``to``."""
+    """Run this experiment with its output in the folder ``to``; return the rows of its table of figures."""
     ran = CliRunner().invoke(cli, ["run", write_experiment(tmp_path, text), "--to", str(tmp_path / "to")])
     assert ran.exit_code == 0, ran.output
     return pyarrow.parquet.read_table(tmp_path / "to" / "figures.parquet").to_pylist()
@@ -55,7 +55,7 @@
 
 
 class TestPlan:
-    """The file."""
+    """Experiment files."""
 
     @pytest.mark.parametrize("name", ["budget-storm", "cold-start", "cold-start-simulated"])
     def test_the_experiments_of_the_project_load(self, name):
@@ -64,68 +64,72 @@
     @pytest.mark.parametrize(
         ("more", "message"),
         [
-            ('[[variant]]\nname = "paced"', "two variants have one name"),
+            ('[[variant]]\nname = "paced"', "two variants have the same name"),
             ('[[fault]]\nwhat = "board-closes"\nat_s = 3.0\nfor_s = 2.0', "does not end within 4 s"),
             ('[[fault]]\nwhat = "proxies-frozen"\nfor_s = 1.0', "cannot be simulated: proxies-frozen"),
-            ('[[fault]]\nwhat = "store-stalls"', "store-stalls is for fleets on postgresql"),
+            (
+                '[[fault]]\nwhat = "store-stalls"',
+                "store-stalls requires that every fleet uses the postgresql backend",
+            ),
             ('[[fault]]\nwhat = "rain"', "Invalid enum value"),
             ('[[fault]]\nwhat = "board-closes"\npart = 0.0', "Expected `float` > 0"),
             ("[servers]", "Cannot declare"),
         ],
     )
-    def test_an_unusable_file_is_one_line(self, tmp_path, more, message):
+    def test_an_unusable_file_is_reported_in_one_line(self, tmp_path, more, message):
         with pytest.raises(ConfigurationError, match=message) as error:
-            load_experiment(write_experiment(tmp_path, f"{SMALL}\n{more}"))
+            load_experiment(write_experiment(tmp_path, f"{SMALL_EXPERIMENT}\n{more}"))
         assert "\n" not in str(error.value)
 
 
 class TestMeasures:
-    """Figures from observations."""
+    """Figures computed from observations."""
 
-    def test_a_budget_that_holds_and_one_that_is_broken(self):
-        def ratios(second_from_ms: float) -> list[float | None]:
+    def test_budget_figures_of_a_budget_that_holds_and_of_one_that_is_violated(self):
+        def ratios(second_start_ms: float) -> list[float | None]:
             first = Trace("a", 0.5, [(0.0, 1000.0, 8.0)], [100.0 * n for n in range(10)])
-            second = Trace("b", 0.5, [(second_from_ms, 2000.0, 8.0)], [900.0 + 100.0 * n for n in range(10)])
+            second = Trace("b", 0.5, [(second_start_ms, 2000.0, 8.0)], [900.0 + 100.0 * n for n in range(10)])
             traces = [first, second]
-            seen = Observations(2, 10.0, budgets={"all": BudgetTrace(10.0, 9.0, 100.0, traces, 0.0)})
+            observations = Observations(2, 10.0, budgets={"all": BudgetTrace(10.0, 9.0, 100.0, traces, 0.0)})
             return [
                 figure.value
-                for figure in measures.compute_figures(seen, 2.0, None)
+                for figure in measures.compute_figures(observations, 2.0, None)
                 if figure.name.startswith("budget all: s")
             ]
 
-        held, broken = ratios(1000.0), ratios(900.0)
-        assert held[0] == pytest.approx(8 / 9) and broken[0] == pytest.approx(16 / 9)
-        assert held[1] <= 1.0 and held[2] == 1.0
+        within, violated = ratios(1000.0), ratios(900.0)
+        assert within[0] == pytest.approx(8 / 9) and violated[0] == pytest.approx(16 / 9)
+        assert within[1] <= 1.0 and within[2] == 1.0
 
     def test_polls_during_a_fault_count_from_when_first_polls_have_ended(self):
-        seen = Observations(
+        observations = Observations(
             2,
             10.0,
             started_at_s=[0.0, 1.0],
             polled_at_s=[1.0, 4.9, 5.0, 6.0, 7.0, 8.0, 9.9, 10.0, 10.05],
             listed_at_s=[0.5, 10.5, 14.0],
         )
-        found = measures.compute_figures(seen, 20.0, recovered_s=10.0)
-        assert value(found, "polls a second while the board is in trouble") == 5 / 5.0
-        assert value(found, "100% have the list after its return") == 4.0
-        assert value(found, "50% have the list after its return") == 0.5
-        assert value(found, "polls after its return, most in 0.1 s") == 2
+        figures = measures.compute_figures(observations, 20.0, recovered_s=10.0)
+        assert value(figures, "polls a second while the board is in trouble") == 5 / 5.0
+        assert value(figures, "100% have the list after its return") == 4.0
+        assert value(figures, "50% have the list after its return") == 0.5
+        assert value(figures, "polls after its return, most in 0.1 s") == 2
 
     def test_a_list_that_never_reaches_all_has_no_figure(self):
-        seen = Observations(3, 10.0, polled_at_s=[1.0], listed_at_s=[11.0, 12.0])
+        observations = Observations(3, 10.0, polled_at_s=[1.0], listed_at_s=[11.0, 12.0])
         assert (
-            value(measures.compute_figures(seen, 20.0, 10.0), "100% have the list after its return") is None
+            value(measures.compute_figures(observations, 20.0, 10.0), "100% have the list after its return")
+            is None
         )
 
     @pytest.mark.parametrize(
         ("lost", "since_s"),
         [
             ([], 0.0),
-            ([50], 0.0),  # one in the twenty of two seconds is borne
+            ([50], 0.0),  # one of the 20 calls of a 2 s window may fail
             ([0, 1, 2], 0.2),
             ([50, 51], 5.1),
-            ([85, 86], None),  # the last whole window is bad
+            ([85, 86], None),  # the last complete window is bad
             (range(100), None),
         ],
     )
@@ -134,7 +138,7 @@
         assert measures.steady_since_s(calls, 10.0) == since_s
 
     def test_set_up_time_counts_from_when_the_call_was_due(self):
-        seen = Observations(
+        observations = Observations(
             1,
             10.0,
             calls=[
@@ -143,9 +147,9 @@
                 CallResult(2.0, "lost", 9.0),
             ],
         )
-        found = measures.compute_figures(seen, 5.0, None)
-        assert value(found, "served of all calls") == pytest.approx(2 / 3)
-        assert value(found, "set-up time, 99 %") == pytest.approx(2000.0, rel=0.01)
+        figures = measures.compute_figures(observations, 5.0, None)
+        assert value(figures, "served of all calls") == pytest.approx(2 / 3)
+        assert value(figures, "set-up time, 99 %") == pytest.approx(2000.0, rel=0.01)
 
     def test_load_of_a_cold_server_is_over_its_capacity_at_that_time(self):
         cold = ColdServer(
@@ -165,21 +169,21 @@
 
 
 class TestSimulation:
-    """Simulated runs of the program's own decision modules."""
+    """Simulated runs."""
 
     def test_the_simulation_agrees_with_processes_without_cold_start(self, simulated_runs):
-        """Measured on 300 processes: 372 polls a second for as long as service discovery has a fault."""
-        found = measures.compute_figures(simulated_runs["as it is"], 55.0, 25.0)
-        assert value(found, "polls a second while the board is in trouble") == pytest.approx(375, rel=0.05)
-        assert value(found, "connections at a server, most in 1 s") == 300
+        """300 processes sent 372 polls a second while service discovery had a fault."""
+        figures = measures.compute_figures(simulated_runs["as it is"], 55.0, 25.0)
+        assert value(figures, "polls a second while the board is in trouble") == pytest.approx(375, rel=0.05)
+        assert value(figures, "connections at a server, most in 1 s") == 300
 
     def test_backoff_and_subset_bound_the_load_of_discovery_and_servers(self, simulated_runs):
-        found = measures.compute_figures(simulated_runs["paced, subset, ramp"], 55.0, 25.0)
-        assert value(found, "polls a second while the board is in trouble") <= 38
-        assert value(found, "polls, most in 0.1 s") <= 15
-        assert value(found, "connections at a server, most in 1 s") <= 40
-        assert value(found, "connections at a server at the end, most") <= 150
-        assert value(found, "load of a cold server, over what it bears, worst") < 1.0
+        figures = measures.compute_figures(simulated_runs["paced, subset, ramp"], 55.0, 25.0)
+        assert value(figures, "polls a second while the board is in trouble") <= 38
+        assert value(figures, "polls, most in 0.1 s") <= 15
+        assert value(figures, "connections at a server, most in 1 s") <= 40
+        assert value(figures, "connections at a server at the end, most") <= 150
+        assert value(figures, "load of a cold server, over what it bears, worst") < 1.0
 
     def test_the_same_seed_gives_the_same_run(self, simulated_runs):
         experiment = load_experiment("experiments/cold-start-simulated.toml")
@@ -189,7 +193,7 @@
 
 
 def test_a_small_experiment_writes_tables_charts_and_a_summary(tmp_path):
-    table = run_experiment(tmp_path, SMALL)
+    table = run_experiment(tmp_path, SMALL_EXPERIMENT)
     assert {(row["way"], row["size"], row["variant"]) for row in table} == {
         (way, size, variant)
         for way, size in (("processes", 3), ("simulated", 30))
@@ -206,7 +210,7 @@
 
 
 def test_a_settings_file_is_not_written_again_while_a_process_may_read_it(tmp_path):
-    """Written anew for each of 300 starts it was read while empty, which switches the extension off."""
+    """Rewritten for each of 300 starts, the file was read while empty, which disables the extension."""
     processes = proxy_processes.ProxyProcesses.__new__(proxy_processes.ProxyProcesses)
     processes._fleet = SimpleNamespace(folder=tmp_path)
     path = Path(processes._settings_file("starting", {"polls_per_s": 30.0}))
@@ -216,23 +220,23 @@
     assert path.stat().st_mtime_ns == written.st_mtime_ns
 
 
-def figures_in_time(tmp_path: Path, text: str) -> dict[str, float]:
-    """The figures of the first run in which the measuring loop was in time.
+def figures_of_timely_run(tmp_path: Path, text: str) -> dict[str, float]:
+    """Return the figures of the first run in which the measuring event loop was not stalled.
 
-    What is sent while that loop is stalled arrives at once: with stalls of 3.2 to 3.7 s a load of 0.36 was
+    Messages sent during a stall are received all at once: with stalls of 3.2 to 3.7 s a load of 0.36 was
     measured as 0.8 to 1.1.
     """
     for number in range(MAX_RUNS):
         folder = tmp_path / str(number)
         folder.mkdir()
-        found = {row["what"]: row["value"] for row in run_experiment(folder, text)}
-        if found["the rig's own loop was late, most"] < MAX_LOOP_LAG_MS:
-            return found
+        figures = {row["what"]: row["value"] for row in run_experiment(folder, text)}
+        if figures["the rig's own loop was late, most"] < MAX_LOOP_LAG_MS:
+            return figures
     pytest.fail(f"the measuring loop was stalled in each of {MAX_RUNS} runs: no result")
 
 
 def test_twenty_four_processes_that_start_at_once_do_not_overload_cold_servers(tmp_path):
-    """Service discovery rejects polls, then lists the servers, with callers waiting and every server cold."""
+    """Service discovery rejects polls, then sends the list while calls arrive and every server is cold."""
     rush = """
 name = "rush"
 sizes = [24]
@@ -254,14 +258,14 @@
 begin_per_s = 10.0
 servers_per_proxy = 2
 """
-    found = figures_in_time(tmp_path, rush)
-    assert 0.0 < found["load of a cold server, over what it bears, worst"] < 1.0
-    assert found["connections at a server at the end, most"] < 24, "a subset"
-    assert found["polls, most in 0.1 s"] <= 12
+    figures = figures_of_timely_run(tmp_path, rush)
+    assert 0.0 < figures["load of a cold server, over what it bears, worst"] < 1.0
+    assert figures["connections at a server at the end, most"] < 24, "a subset"
+    assert figures["polls, most in 0.1 s"] <= 12
 
 
 def test_a_budget_holds_through_faults_of_proxies_and_store(tmp_path):
-    """Six processes; a third of them cut off in one direction, one killed, the store stalled past a lease."""
+    """Of six processes a third get no store responses and one is killed; the store stalls past a lease."""
     storm = """
 name = "storm"
 sizes = [6]
