--- a/experiments/soak/__init__.py
+++ b/experiments/soak/__init__.py
@@ -1,1 +1,1 @@
-"""A seeded soak: a deployment of processes on loopback, disturbed at random and checked from outside."""
+"""Seeded soak test: disturbs a deployment of processes on loopback at random and checks it from outside."""
--- a/experiments/soak/__main__.py
+++ b/experiments/soak/__main__.py
@@ -1,4 +1,4 @@
-"""``python -m experiments.soak --seed 7``, or ``--from 1 --to 50``: plays seeds and prints what broke."""
+"""The command ``python -m experiments.soak --seed 7``, or ``--from 1 --to 50``: runs seeds of the soak."""
 
 from __future__ import annotations
 
@@ -7,30 +7,30 @@
 import click
 
 from experiments.soak import deployment
-from experiments.soak.report import describe_failure, verdict
-from experiments.soak.scenario import draw
+from experiments.soak.report import describe_failure, evaluate
+from experiments.soak.scenario import generate_scenario
 
 
 @click.command()
-@click.option("--seed", "seeds", type=int, multiple=True, help="Play this seed; may be repeated.")
-@click.option("--from", "first", type=int, help="Play all seeds from this one.")
-@click.option("--to", "last", type=int, help="The last of them.")
+@click.option("--seed", "seeds", type=int, multiple=True, help="Run this seed; may be repeated.")
+@click.option("--from", "first", type=int, help="Run all seeds from this one.")
+@click.option("--to", "last", type=int, help="The last seed of the range; by default the first.")
 def main(seeds: tuple[int, ...], first: int | None, last: int | None) -> None:
-    """Play seeds one after another; the exit status is 1 where a rule broke on any."""
+    """Run seeds in turn and print the violated rules; the exit status is 1 if any seed violated one."""
     chosen = [*seeds, *range(first, (last or first) + 1)] if first is not None else list(seeds)
-    broken = []
+    failed = []
     for seed in chosen:
-        scenario = draw(seed)
+        scenario = generate_scenario(seed)
         trace = deployment.run(scenario)
-        line, violations = verdict(scenario, trace)
+        line, violations = evaluate(scenario, trace)
         click.echo(line)
         if violations:
-            broken.append(seed)
+            failed.append(seed)
             click.echo(describe_failure(scenario, trace, violations))
     click.echo(
-        f"{len(chosen)} seeds, {len(broken)} broken: {broken}" if broken else f"{len(chosen)} seeds held"
+        f"{len(chosen)} seeds, {len(failed)} failed: {failed}" if failed else f"{len(chosen)} seeds passed"
     )
-    sys.exit(bool(broken))
+    sys.exit(bool(failed))
 
 
 if __name__ == "__main__":
--- a/experiments/soak/observed_link.py
+++ b/experiments/soak/observed_link.py
@@ -1,4 +1,4 @@
-"""A link to a call server that notes what passes on the proxies' side of it."""
+"""A link to a call server that records the messages on the proxies' side of it."""
 
 from __future__ import annotations
 
@@ -11,22 +11,22 @@
 from verification.call_trace import CallTrace, End, ServerAttempt, ServerCall
 
 OK, MULTIPLE_CHOICES = 200, 300  # RFC 3261 21
-VERSION = b"SIP/2.0"  # in the start line of every message, and in no body
+VERSION = b"SIP/2.0"  # every message has it in its start line, and no body contains it
 
 
 class ObservedConnection:
-    """One connection of a proxy: the set-ups on it that have not ended."""
+    """One connection of a proxy, with its open set-ups and unconfirmed releases."""
 
     def __init__(self, observer: ServerObserver) -> None:
         self._observer = observer
         self._parsers = {"there": sip.Parser(), "back": sip.Parser()}
-        self.open: dict[str, ServerAttempt] = {}
-        self.unconfirmed: dict[str, float] = {}  # releases that have passed to the proxy, and when
-        self._unreadable_ways: set[str] = set()  # where a bad message has passed: no message follows it
+        self.open_set_ups: dict[str, ServerAttempt] = {}
+        self.unconfirmed_releases_s: dict[str, float] = {}  # when each passed to the proxy, by call
+        self._unreadable_directions: set[str] = set()  # no message counts after an unreadable one
 
     def on_data(self, way: str, data: bytes) -> None:
-        """Bytes have left the proxy, or are about to reach it."""
-        if way in self._unreadable_ways:
+        """Parse bytes that the proxy has sent, or that are about to be written to it."""
+        if way in self._unreadable_directions:
             return
         try:
             for message in self._parsers[way].feed(data):
@@ -37,28 +37,28 @@
                     self._observer.on_response(self, message)
         except BadMessageError as error:
             self._observer.bad_messages.append(str(error))
-            self._unreadable_ways.add(way)
+            self._unreadable_directions.add(way)
 
     def on_client_ended(self) -> None:
-        """The proxy has ended it, and given up the set-ups on it, however late the server notices."""
-        for attempt in self.open.values():
+        """End the open set-ups: the proxy has ended the connection, even if the server notices it later."""
+        for attempt in self.open_set_ups.values():
             attempt.ended_s, attempt.end = time.time(), End.DISCONNECTED
-        self.open.clear()
+        self.open_set_ups.clear()
 
     def on_closed(self) -> None:
-        """It has ended, and with it the set-ups on it."""
+        """End the open set-ups and drop the unconfirmed releases: the connection has ended."""
         self.on_client_ended()
-        self.unconfirmed.clear()
+        self.unconfirmed_releases_s.clear()
 
 
 def _check_body(message: sip.Message) -> None:
-    """Raise ``BadMessageError`` for a message that stops short and is filled up with what came after it."""
+    """Raise ``BadMessageError`` if the message is incomplete and the next one was read into its body."""
     if VERSION in message.body:
-        raise BadMessageError("a message stops short")
+        raise BadMessageError("a message is incomplete: its body contains SIP/2.0")
 
 
 class ServerObserver:
-    """Notes attempts and established calls of one call server in the trace."""
+    """Records the attempts and established calls of one call server in the trace."""
 
     def __init__(self, server: str, trace: CallTrace) -> None:
         self.server = server
@@ -67,15 +67,15 @@
         self._calls: dict[str, ServerCall] = {}
 
     def on_request(self, connection: ObservedConnection, message: sip.Message) -> None:
-        """A message from a proxy."""
+        """Record a message from a proxy."""
         now_s = time.time()
         match message.method, message.status:
             case "INVITE", 0:
                 attempt = ServerAttempt(message.call_id, self.server, now_s)
                 self._trace.attempts.append(attempt)
-                connection.open[message.call_id] = attempt
+                connection.open_set_ups[message.call_id] = attempt
             case "CANCEL", 0:
-                attempt_or_none = connection.open.pop(message.call_id, None)
+                attempt_or_none = connection.open_set_ups.pop(message.call_id, None)
                 if attempt_or_none is not None:
                     attempt_or_none.ended_s, attempt_or_none.end = now_s, End.CANCELLED
             case "BYE", 0:
@@ -83,13 +83,15 @@
                 if call is not None and call.released_by_proxy_s is None:
                     call.released_by_proxy_s = now_s
             case "BYE", 200:
-                self._on_released(message.call_id, connection.unconfirmed.pop(message.call_id, None))
+                self._on_released(
+                    message.call_id, connection.unconfirmed_releases_s.pop(message.call_id, None)
+                )
 
     def on_response(self, connection: ObservedConnection, message: sip.Message) -> None:
-        """A message to a proxy."""
+        """Record a message to a proxy."""
         now_s = time.time()
         if message.method == "INVITE" and message.status >= OK:
-            attempt = connection.open.pop(message.call_id, None)
+            attempt = connection.open_set_ups.pop(message.call_id, None)
             answered = message.status < MULTIPLE_CHOICES
             if attempt is not None:
                 attempt.ended_s, attempt.end = now_s, End.ANSWERED if answered else End.REJECTED
@@ -98,43 +100,44 @@
                 self._calls[message.call_id] = call
                 self._trace.established.append(call)
         elif message.method == "BYE" and not message.status:
-            connection.unconfirmed[message.call_id] = now_s
+            connection.unconfirmed_releases_s[message.call_id] = now_s
 
     def _on_released(self, call_id: str, passed_s: float | None) -> None:
-        """A release that has passed to the proxy was read there."""
+        """Record that the proxy has read a release; ``passed_s`` is when the release passed to it."""
         call = self._calls.get(call_id)
         if call is not None and call.released_by_server_s is None:
             call.released_by_server_s = passed_s
 
-    def close(self, connections: Iterable[ObservedConnection]) -> None:
-        """At the end of a run: releases on connections that are open count as read, confirmed or not."""
+    def finish(self, connections: Iterable[ObservedConnection]) -> None:
+        """Count the unconfirmed releases on open connections as read, at the end of the run or the server."""
         for connection in connections:
-            for call_id, passed_s in connection.unconfirmed.items():
+            for call_id, passed_s in connection.unconfirmed_releases_s.items():
                 self._on_released(call_id, passed_s)
 
-    def note_written_releases(
+    def record_written_releases(
         self, written_s: Mapping[str, float], is_disturbed: Callable[[float], bool]
     ) -> None:
-        """At the end of a run: when the server wrote each release first, unless the link was disturbed then.
+        """Record when the server first wrote each release, unless the link was disturbed at that time.
 
-        Behind a message that cannot be read, or on a connection that the proxy has ended, none is seen here.
+        It is called at the end of the run or the server, with the server's own times: ``on_response`` sees no
+        release after an unreadable message or on a connection that the proxy has ended.
         """
         for call_id, at_s in written_s.items():
             call = self._calls.get(call_id)
             if call is not None and at_s >= call.established_s and not is_disturbed(at_s):
                 call.release_written_s = at_s
 
-    def on_server_gone(self) -> None:
-        """Its process has ended, and with it the calls that it held."""
+    def on_server_stopped(self) -> None:
+        """Record that the server has stopped, which cuts the calls that it has not released."""
         for call in self._calls.values():
             if call.released_by_server_s is None:
                 call.cut_s = time.time()
 
 
 class ObservedLink(Link):
-    """A link whose connections are observed at the end towards the proxies, also while it is cut."""
+    """A link whose connections are observed on the proxies' side, also while the link is cut."""
 
-    max_reads_ahead = 0
+    max_reads_ahead = 0  # no limit: what a proxy sends is read, and so observed, while the link is cut
 
     def __init__(self, target: str, observer: ServerObserver) -> None:
         super().__init__(target)
--- a/experiments/soak/report.py
+++ b/experiments/soak/report.py
@@ -1,4 +1,4 @@
-"""What a run of the soak prints: its verdict, and for a failure all that is needed to look into it."""
+"""Formats the result of a soak run: a summary line and, for a failure, the details to diagnose it."""
 
 from __future__ import annotations
 
@@ -8,56 +8,61 @@
 from verification.call_rules import Violation, check, count_answers
 from verification.call_trace import CallTrace, ServerCall
 
-MAX_VIOLATIONS = 8  # printed of one run
-EVENTS_BEFORE_S, EVENTS_AFTER_S = 1.0, 1.2  # around a call's release, of its server's connections
-LOG_LINE = re.compile(r"\d{4}-\d\d-\d\d ")  # a line of the log begins with its date; a counter does not
+MAX_VIOLATIONS = 8  # printed per run
+EVENTS_BEFORE_S, EVENTS_AFTER_S = (
+    1.0,
+    1.2,
+)  # server events are printed from and until so long around a release
+LOG_LINE = re.compile(r"\d{4}-\d\d-\d\d ")  # a log line begins with its date, a counter line does not
 
 
-def verdict(scenario: Scenario, trace: CallTrace) -> tuple[str, list[Violation]]:
-    """A line on the run, and the violations of the rules."""
+def evaluate(scenario: Scenario, trace: CallTrace) -> tuple[str, list[Violation]]:
+    """Check the rules; return a summary line and the violations."""
     violations = check(trace)
     answers = ", ".join(f"{count} {answer.value}" for answer, count in count_answers(trace).items())
-    state = f"{len(violations)} violations" if violations else "no rule broken"
+    state = f"{len(violations)} violations" if violations else "no violations"
     lateness_ms = 1000 * trace.max_lateness_s
     line = f"seed {scenario.seed}: {state}; {len(trace.calls)} calls: {answers}; {scenario.describe()}"
-    return f"{line}; the rig late by {lateness_ms:.0f} ms at most", violations
+    return f"{line}; event loop lag at most {lateness_ms:.0f} ms", violations
 
 
 def describe_failure(scenario: Scenario, trace: CallTrace, violations: list[Violation]) -> str:
-    """The rules broken, the command that plays the run again, one call's way, and the logs' last lines."""
+    """Return the violations, the command to repeat the run, the timeline of one call, and the logs."""
     lines = [f"  {violation.rule}: {violation.text}" for violation in violations[:MAX_VIOLATIONS]]
-    lines.append(f"  again: python -m experiments.soak --seed {scenario.seed}")
+    lines.append(f"  to repeat: python -m experiments.soak --seed {scenario.seed}")
     call_id = next((v.call_id for v in violations if v.call_id is not None), None)
     if call_id is not None:
-        lines += [f"  call {call_id}:", *(f"    {line}" for line in way_of_call(trace, call_id))]
+        lines += [f"  call {call_id}:", *(f"    {line}" for line in call_timeline(trace, call_id))]
     for process in trace.processes:
         lines.append(f"  log of {process.name}:")
-        lines += [f"    {line}" for line in process.log.splitlines() if _is_of_interest(line, call_id)]
+        lines += [f"    {line}" for line in process.log.splitlines() if _is_relevant(line, call_id)]
     return "\n".join(lines)
 
 
-def way_of_call(trace: CallTrace, call_id: str) -> list[str]:
-    """All that the peers saw of one call, in the order of time."""
+def call_timeline(trace: CallTrace, call_id: str) -> list[str]:
+    """Return the events of one call at all its peers, in order of time."""
     events: list[tuple[float, str]] = []
     if (call := trace.calls.get(call_id)) is not None:
-        events.append((call.sent_s, "its caller sends it" + (", again" if call.resent else "")))
-        events.append((call.deadline_s, "its caller's deadline"))
-        events += [(at_s, f"its caller gets: {answer.value}") for at_s, answer in call.answers]
-        events += [(at_s, "its caller gets a release") for at_s in call.releases_s]
+        events.append((call.sent_s, "caller sends the set-up" + (", again" if call.resent else "")))
+        events.append((call.deadline_s, "caller's deadline"))
+        events += [
+            (at_s, f"caller receives the final answer: {answer.value}") for at_s, answer in call.answers
+        ]
+        events += [(at_s, "caller receives a release") for at_s in call.releases_s]
         events += call.exchanges
-        events += [(at_s, text) for at_s, text in _ends_at_caller(trace, call_id) if at_s is not None]
+        events += [(at_s, text) for at_s, text in _caller_end_events(trace, call_id) if at_s is not None]
     for attempt in trace.attempts:
         if attempt.call_id == call_id:
-            events.append((attempt.received_s, f"{attempt.server} gets its set-up"))
+            events.append((attempt.received_s, f"{attempt.server} receives the set-up"))
             if attempt.ended_s is not None and attempt.end is not None:
                 events.append((attempt.ended_s, f"{attempt.server}: {attempt.end.value}"))
     for established in trace.established:
         if established.call_id == call_id:
             server = established.server
             ends = [
-                (established.released_by_server_s, f"{server} releases it"),
-                (established.released_by_proxy_s, f"{server} gets a release"),
-                (established.cut_s, f"{server} goes away with it"),
+                (established.released_by_server_s, f"{server} releases the call"),
+                (established.released_by_proxy_s, f"{server} receives a release"),
+                (established.cut_s, f"{server} stops and cuts the call"),
             ]
             events += [(at_s, text) for at_s, text in ends if at_s is not None]
             events += _connection_events(trace, established)
@@ -66,7 +71,7 @@
 
 
 def _connection_events(trace: CallTrace, established: ServerCall) -> list[tuple[float, str]]:
-    """What the server saw on its connections around its release of the call."""
+    """Return the events on the server's connections around its release of the call."""
     released_s = established.release_written_s
     if released_s is None:
         return []
@@ -79,11 +84,11 @@
     ]
 
 
-def _ends_at_caller(trace: CallTrace, call_id: str) -> list[tuple[float | None, str]]:
+def _caller_end_events(trace: CallTrace, call_id: str) -> list[tuple[float | None, str]]:
     call = trace.calls[call_id]
-    return [(call.abandoned_s, "its caller ends it"), (call.lost_s, "its caller's connection ends")]
+    return [(call.abandoned_s, "caller ends the call"), (call.lost_s, "caller's connection ends")]
 
 
-def _is_of_interest(line: str, call_id: str | None) -> bool:
-    """Counters at the end of a log are left out."""
+def _is_relevant(line: str, call_id: str | None) -> bool:
+    """Return whether a line is a log line or names the call; the counters at the end of a log are not."""
     return (call_id is not None and call_id in line) or LOG_LINE.match(line) is not None
--- a/experiments/soak/silent_callers.py
+++ b/experiments/soak/silent_callers.py
@@ -12,23 +12,23 @@
 from canvasplank.codecs.q850 import ReleaseCause
 from canvasplank.config.addresses import parse_address
 
-WAVE_INTERVAL_S = 0.25  # new processes get their share of them, too
+WAVE_INTERVAL_S = 0.25  # so that processes started during the run get connections, too
 
 
 class SilentCallers:
-    """A crowd of them, in waves, at every address that is admitted."""
+    """Opens silent connections in waves to every admitted address."""
 
-    def __init__(self, seed: int, admitted: Callable[[], list[str]]) -> None:
-        self._random = random.Random(seed)
-        self._admitted = admitted
+    def __init__(self, seed: int, admitted_addresses: Callable[[], list[str]]) -> None:
+        self._rng = random.Random(seed)
+        self._admitted_addresses = admitted_addresses
         self._writers: list[asyncio.StreamWriter] = []
 
-    async def come(self, connections_a_wave: int, for_s: float) -> None:
-        """Come for so long, so many at each address at a time."""
-        until_s = time.time() + for_s
+    async def connect_in_waves(self, connections_per_wave: int, duration_s: float) -> None:
+        """Open this many connections to each address per wave, for ``duration_s``."""
+        until_s = time.time() + duration_s
         while time.time() < until_s:
-            for address in self._admitted():
-                for _ in range(connections_a_wave):
+            for address in self._admitted_addresses():
+                for _ in range(connections_per_wave):
                     await self._connect(address)
             await asyncio.sleep(WAVE_INTERVAL_S)
 
@@ -39,10 +39,10 @@
         self._writers.clear()
 
     async def _connect(self, address: str) -> None:
-        """A call that no server knows is released: this marks a connection that carries calls."""
+        """Open a connection and release an unknown call on it, which marks it as one that carries calls."""
         with contextlib.suppress(OSError):
             _, writer = await asyncio.open_connection(*parse_address(address))
             writer.transport.pause_reading()  # type: ignore[attr-defined]
-            call_id = f"{self._random.getrandbits(64):016x}"
+            call_id = f"{self._rng.getrandbits(64):016x}"
             writer.write(isup.release(call_id, ReleaseCause.NORMAL_CLEARING))
             self._writers.append(writer)
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,4 +1,4 @@
-"""A short soak: a deployment of processes on loopback, disturbed as each seed draws it."""
+"""A short soak: deployments of processes on loopback with the disturbances of a few seeds."""
 
 from __future__ import annotations
 
@@ -12,62 +12,62 @@
 import pytest
 
 from experiments.soak import deployment
-from experiments.soak.report import describe_failure, verdict
-from experiments.soak.scenario import PROCESS_KINDS, SERVER_KINDS, Kind, draw
+from experiments.soak.report import describe_failure, evaluate
+from experiments.soak.scenario import PROCESS_KINDS, SERVER_KINDS, DisturbanceKind, generate_scenario
 
-# Together they draw every kind of disturbance, and both kinds of crowd.
+# Together these have every kind of disturbance and both kinds of crowd.
 SEEDS = [2, 5, 7, 10, 20, 22, 23, 56]
-# So many deployments are played at once, each from a process, and so on a loopback address, of its own.
-MAX_AT_ONCE = 3
+# Deployments that run in parallel, each started by its own process, which gives it its own loopback address.
+MAX_PARALLEL = 3
 CORES_PER_DEPLOYMENT = 2
-WAIT_S = 300.0
+RESULT_TIMEOUT_S = 300.0
 
 
-class PlayedSeed(NamedTuple):
-    """What became of one seed."""
+class SeedResult(NamedTuple):
+    """The result of one seed; ``description`` has the summary line and the details of a failure."""
 
     violations: int
     description: str
     calls: int
 
 
-def play(seed: int) -> PlayedSeed:
-    """Play a seed in this process."""
-    scenario = draw(seed)
+def run_seed(seed: int) -> SeedResult:
+    """Run the soak of a seed in this process."""
+    scenario = generate_scenario(seed)
     trace = deployment.run(scenario)
-    line, violations = verdict(scenario, trace)
+    line, violations = evaluate(scenario, trace)
     failure = describe_failure(scenario, trace, violations) if violations else ""
-    return PlayedSeed(len(violations), f"{line}\n{failure}", len(trace.calls))
+    return SeedResult(len(violations), f"{line}\n{failure}", len(trace.calls))
 
 
 @pytest.fixture(scope="module")
-def played(request: pytest.FixtureRequest) -> Iterator[dict[int, Future[PlayedSeed]]]:
-    """The seeds whose tests are run, as many at once as the machine has cores for."""
+def results(request: pytest.FixtureRequest) -> Iterator[dict[int, Future[SeedResult]]]:
+    """Start the seeds of the selected tests, in parallel as far as the machine has cores for them."""
     cores = os.cpu_count() or 1
-    at_once = max(1, min(MAX_AT_ONCE, cores // CORES_PER_DEPLOYMENT))
+    workers = max(1, min(MAX_PARALLEL, cores // CORES_PER_DEPLOYMENT))
     tests = [item for item in request.session.items if item.module is request.module]
     seeds = [item.callspec.params["seed"] for item in tests if hasattr(item, "callspec")]
-    with ProcessPoolExecutor(at_once, multiprocessing.get_context("spawn")) as pool:
-        yield {seed: pool.submit(play, seed) for seed in seeds}
+    with ProcessPoolExecutor(workers, multiprocessing.get_context("spawn")) as pool:
+        yield {seed: pool.submit(run_seed, seed) for seed in seeds}
         pool.shutdown(cancel_futures=True)
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_no_rule_of_the_service_breaks(seed, played):
-    result = played[seed].result(WAIT_S)
+def test_no_rule_of_the_service_is_violated(seed, results):
+    result = results[seed].result(RESULT_TIMEOUT_S)
     assert not result.violations, result.description
     assert result.calls > 100
 
 
-def test_the_seeds_draw_every_kind_of_disturbance():
-    scenarios = [draw(seed) for seed in SEEDS]
-    assert {each.kind for scenario in scenarios for each in scenario.disturbances} == set(Kind)
+def test_the_seeds_have_every_kind_of_disturbance():
+    scenarios = [generate_scenario(seed) for seed in SEEDS]
+    assert {each.kind for scenario in scenarios for each in scenario.disturbances} == set(DisturbanceKind)
     assert any(scenario.crowd_at_s is not None for scenario in scenarios)
     assert any(scenario.silent_crowd_at_s is not None for scenario in scenarios)
 
 
 @pytest.mark.parametrize(
-    ("seed", "drawn"),
+    ("seed", "others_described"),
     [
         (
             20,
@@ -81,17 +81,19 @@
         ),
     ],
 )
-def test_a_seed_draws_beside_spoiled_connections_what_it_drew_before_there_were_any(seed, drawn):
-    scenario = draw(seed)
-    others = tuple(each for each in scenario.disturbances if each.kind is not Kind.CONNECTIONS_SPOILED)
+def test_unreadable_messages_leave_the_other_disturbances_of_a_seed_unchanged(seed, others_described):
+    scenario = generate_scenario(seed)
+    others = tuple(
+        each for each in scenario.disturbances if each.kind is not DisturbanceKind.CONNECTIONS_SPOILED
+    )
     assert len(others) < len(scenario.disturbances)
-    assert replace(scenario, disturbances=others).describe() == drawn
+    assert replace(scenario, disturbances=others).describe() == others_described
 
 
-def test_a_seed_draws_the_same_scenario_each_time_and_disturbs_nothing_twice():
+def test_a_seed_has_the_same_scenario_each_time_and_disturbs_nothing_twice():
     for seed in range(200):
-        scenario = draw(seed)
-        assert scenario == draw(seed)
+        scenario = generate_scenario(seed)
+        assert scenario == generate_scenario(seed)
         for kinds in (PROCESS_KINDS, SERVER_KINDS):
             targets = [each.target for each in scenario.disturbances if each.kind in kinds]
             assert len(targets) == len(set(targets))
--- a/tests/test_soak_observation.py
+++ b/tests/test_soak_observation.py
@@ -1,4 +1,4 @@
-"""What the soak's link notes of a connection on which messages cannot be read, or whose end comes late."""
+"""Tests of the soak's observed link: unreadable messages, ends noticed late, and muted servers."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 from canvasplank.codecs import sip
 from canvasplank.config.addresses import parse_address
 from emulators.unreadable_messages import UnreadableKind, unreadable_message
-from experiments.soak.deployment import Server
+from experiments.soak.deployment import ObservedServer
 from experiments.soak.observed_link import ObservedConnection, ObservedLink, ServerObserver
 from verification.call_trace import CallTrace, End
 
 CALL_ID, OTHER_ID = "0123456789abcdef", "fedcba9876543210"
-WITHIN_S = 10.0  # for what is due at once
-MUTED_S = 0.3
+TIMEOUT_S = 10.0
+MUTE_DURATION_S = 0.3
 
 
 def invite(call_id: str) -> bytes:
@@ -24,7 +24,7 @@
 
 
 def answer(call_id: str) -> bytes:
-    """The answer to ``invite``."""
+    """Return the answer to ``invite``."""
     [message] = sip.Parser().feed(invite(call_id))
     return sip.response(200, "OK", message)
 
@@ -45,12 +45,12 @@
 
 
 @pytest.mark.parametrize("kind", UnreadableKind)
-def test_behind_a_message_that_cannot_be_read_no_answer_counts_and_requests_are_still_noted(
+def test_after_an_unreadable_message_no_answer_counts_and_requests_are_still_recorded(
     kind, trace, connection
 ):
     connection.on_data("there", invite(CALL_ID) + invite(OTHER_ID))
     connection.on_data("back", unreadable_message(kind, CALL_ID))
-    for _ in range(10):  # the first ones fill up what stops short
+    for _ in range(10):  # the first ones complete an incomplete message
         connection.on_data("back", answer(OTHER_ID))
     assert not trace.established
     assert [attempt.end for attempt in trace.attempts] == [None, None]
@@ -58,7 +58,7 @@
     assert [attempt.end for attempt in trace.attempts] == [None, End.CANCELLED]
 
 
-def test_the_releases_of_a_proxy_are_noted_behind_a_message_that_it_cannot_read(trace, connection):
+def test_the_releases_of_a_proxy_are_recorded_after_a_message_that_it_cannot_read(trace, connection):
     connection.on_data("there", invite(CALL_ID))
     connection.on_data("back", answer(CALL_ID) + unreadable_message(UnreadableKind.RANDOM, OTHER_ID))
     connection.on_data("there", sip.request("BYE", "call", CALL_ID, 1))
@@ -73,20 +73,20 @@
         connection.on_data("back", answer(call_id))
     first, second = trace.established
     written_s = {CALL_ID: first.established_s + 1.0, OTHER_ID: second.established_s - 0.1, "f" * 16: 1.0}
-    observer.note_written_releases(written_s, lambda at_s: True)
+    observer.record_written_releases(written_s, lambda at_s: True)
     assert first.release_written_s is None
-    observer.note_written_releases(written_s, lambda at_s: False)
+    observer.record_written_releases(written_s, lambda at_s: False)
     assert first.release_written_s == written_s[CALL_ID]
     assert second.release_written_s is None
 
 
 @pytest.mark.parametrize("reset", [False, True])
-def test_a_set_up_ends_as_the_proxy_ends_its_connection_though_the_server_keeps_its_own_open(reset, trace):
+def test_a_set_up_ends_when_the_proxy_ends_its_connection_though_the_server_keeps_its_own_open(reset, trace):
     async def run():
         released = asyncio.Event()
 
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            writer.write(b"x" * 100)  # unread as the proxy ends its connection: a reset
+            writer.write(b"x" * 100)  # the proxy closes with this unread, which resets the connection
             await released.wait()
             writer.close()
 
@@ -94,7 +94,7 @@
         port = server.sockets[0].getsockname()[1]
         link = ObservedLink(f"127.0.0.1:{port}", ServerObserver("s", trace))
         await link.start()
-        async with asyncio.timeout(WITHIN_S):
+        async with asyncio.timeout(TIMEOUT_S):
             reader, writer = await asyncio.open_connection(*parse_address(link.address))
             writer.write(invite(CALL_ID))
             await reader.readexactly(1)
@@ -116,26 +116,26 @@
     asyncio.run(run())
 
 
-def test_what_a_muted_server_writes_passes_later_and_its_releases_meanwhile_do_not_count_as_written(trace):
+def test_output_of_a_muted_server_passes_later_and_its_releases_meanwhile_do_not_count_as_written(trace):
     async def run():
-        server = Server("s", 0, trace)
+        server = ObservedServer("s", 0, trace)
         await server.start()
-        async with asyncio.timeout(WITHIN_S):
+        async with asyncio.timeout(TIMEOUT_S):
             reader, writer = await asyncio.open_connection(*parse_address(server.links[0].address))
             while not server.emulator.connections:
                 await asyncio.sleep(0.002)
             from_s = time.time()
-            muting = asyncio.create_task(server.mute(MUTED_S))
+            muting = asyncio.create_task(server.mute(MUTE_DURATION_S))
             await asyncio.sleep(0)
             writer.write(invite(CALL_ID))
             await muting
             until_s = time.time()
             while not trace.established:
                 await reader.read(16_384)
-        assert trace.established[0].established_s >= from_s + MUTED_S
+        assert trace.established[0].established_s >= from_s + MUTE_DURATION_S
         trace.established[0].established_s = from_s - 1.0
         for written_s, counts in [(from_s - 0.5, True), (from_s + 0.1, False), (until_s + 0.5, True)]:
-            server.observer.note_written_releases({CALL_ID: written_s}, server.is_disturbed)
+            server.observer.record_written_releases({CALL_ID: written_s}, server.is_disturbed)
             assert (trace.established[0].release_written_s == written_s) is counts
         await server.stop()
 
--- a/tests/test_soak_proxies.py
+++ b/tests/test_soak_proxies.py
@@ -1,4 +1,4 @@
-"""The soak's processes: one that ends though nobody told it to must not pass for one that runs."""
+"""Tests of the soak's processes: one that ends unexpectedly must be reported, not taken for a running one."""
 
 from __future__ import annotations
 
@@ -7,23 +7,23 @@
 import subprocess
 import sys
 
-from experiments.soak.proxies import ProxyProcess, holds_signal
+from experiments.soak.proxies import ProxyProcess, blocks_or_handles
 from verification.call_rules import check
 from verification.call_trace import CallTrace
 
-WITHIN_S = 20.0
+TIMEOUT_S = 20.0
 STATUS = "Name:\tpython\nSigBlk:\t{blocked}\nSigIgn:\t0000000001001000\nSigCgt:\t{handled}\n"
 NONE, HANGUP = "0" * 16, "0000000000000001"
 
 
-def test_a_signal_is_held_where_it_is_blocked_or_handled():
-    assert holds_signal(STATUS.format(blocked=HANGUP, handled=NONE), signal.SIGHUP)
-    assert holds_signal(STATUS.format(blocked=NONE, handled=HANGUP), signal.SIGHUP)
-    assert not holds_signal(STATUS.format(blocked=NONE, handled=NONE), signal.SIGHUP)
-    assert not holds_signal(STATUS.format(blocked=HANGUP, handled=HANGUP), signal.SIGTERM)
+def test_a_signal_is_recognised_as_blocked_or_handled():
+    assert blocks_or_handles(STATUS.format(blocked=HANGUP, handled=NONE), signal.SIGHUP)
+    assert blocks_or_handles(STATUS.format(blocked=NONE, handled=HANGUP), signal.SIGHUP)
+    assert not blocks_or_handles(STATUS.format(blocked=NONE, handled=NONE), signal.SIGHUP)
+    assert not blocks_or_handles(STATUS.format(blocked=HANGUP, handled=HANGUP), signal.SIGTERM)
 
 
-def test_a_process_that_ended_untold_breaks_the_rule_on_exits(tmp_path, monkeypatch):
+def test_a_process_that_ends_without_sigterm_violates_the_rule_on_exits(tmp_path, monkeypatch):
     async def start(configuration, log):
         log.touch()
         return await asyncio.create_subprocess_exec(sys.executable, "-c", "input()", stdin=subprocess.PIPE)
@@ -33,13 +33,13 @@
         trace = CallTrace(release_wait_s=0.2, drain_grace_s=0.25)
         process = ProxyProcess("p", "127.0.0.1:1", tmp_path, trace)
         await process.start()
-        process.read_end()
+        process.collect_end()
         assert check(trace) == []
         process.signal(signal.SIGHUP)
-        async with asyncio.timeout(WITHIN_S):
+        async with asyncio.timeout(TIMEOUT_S):
             while process.running:
                 await asyncio.sleep(0.01)
-        process.read_end()
+        process.collect_end()
         assert [violation.text for violation in check(trace)] == [f"p ended with {-signal.SIGHUP}"]
 
     asyncio.run(run())
