--- a/experiments/soak/callers.py
+++ b/experiments/soak/callers.py
@@ -97,7 +97,7 @@
     # ------------------------------------------------------------------------------------ connections
 
     async def _connect(self, address: str = "") -> Connection | None:
-        """Connect to this address, or to any admitted one; return None if that fails."""
+        """Connect to this address, or to a random admitted one; return None if that fails."""
         address = address or self._rng.choice(self._admitted_addresses() or [""])
         if not address:
             return None
--- a/experiments/soak/deployment.py
+++ b/experiments/soak/deployment.py
@@ -52,17 +52,17 @@
 UNREADABLE_SOON_PROBABILITY, UNREADABLE_SOON_INTERVAL_S = 0.25, (0.02, 0.3)
 UNREADABLE_ANSWER_PROBABILITY = 0.3  # an unreadable message replaces an answer
 OLDEST_CONNECTION_PROBABILITY = 0.3  # any other goes to the server's oldest connection, not to its newest
-MUTE_PROBABILITY = (
-    0.4  # the server is muted first: proxies replace its connections and keep the old ones open
-)
+# The server is muted first: proxies replace its connections and keep the old ones open.
+MUTE_PROBABILITY = 0.4
 MUTE_DURATION_S = (0.7, 1.0)  # longer than a proxy waits before it replaces a hung connection
 END_NOTICE_DELAY_S = (0.0, 0.3)  # from the end of a connection until a disturbed server notices it
-LAST_WRITES_S = 0.1  # data written this shortly before an end may be lost in a connection reset
+# Data written this shortly before a server's end may be lost as its connections are reset.
+LAST_WRITES_S = 0.1
 CLOSING_DELAY_S = 0.6  # for connections to end after the callers have closed theirs
 
 
 class ObservedServer:
-    """A call server with an observed link for each proxy; the links tell it the proxies apart."""
+    """A call server with an observed link for each proxy; it identifies a proxy by that link."""
 
     def __init__(self, name: str, cell: int, trace: CallTrace) -> None:
         self.name, self.cell = name, cell
@@ -368,7 +368,7 @@
         self._discovery_disturbed_until_s = time.time() + MAX_DISCOVERY_DELAY_S
 
     async def _disturb_discovery(self, switch: str, duration_s: float) -> None:
-        """Set this fault of ``Discovery`` for ``duration_s``, and reset its connections."""
+        """Reset the connections to service discovery, and enable this fault of it for ``duration_s``."""
         self._discovery_disturbed_until_s = time.time() + duration_s + MAX_DISCOVERY_DELAY_S
         for discovery in self._discoveries:
             setattr(discovery, switch, True)
--- a/experiments/soak/proxies.py
+++ b/experiments/soak/proxies.py
@@ -49,7 +49,7 @@
         self.admin = f"{loopback_host()}:{free_port()}"
         self.life = ProcessLife(name, time.time())
         self.ready = False
-        self.not_ready_since_s: float | None = None  # its first "not ready" after it was ready last
+        self.not_ready_since_s: float | None = None  # the first "not ready" since it was last ready
         self.drain_started_s: float | None = None
         self._trace = trace
         self._configuration, self._log = folder / f"{name}.json", folder / f"{name}.log"
--- a/experiments/soak/report.py
+++ b/experiments/soak/report.py
@@ -9,10 +9,8 @@
 from verification.call_trace import CallTrace, ServerCall
 
 MAX_VIOLATIONS = 8  # printed per run
-EVENTS_BEFORE_S, EVENTS_AFTER_S = (
-    1.0,
-    1.2,
-)  # server events are printed from and until so long around a release
+# Server events are printed from this long before a release until this long after it.
+EVENTS_BEFORE_S, EVENTS_AFTER_S = 1.0, 1.2
 LOG_LINE = re.compile(r"\d{4}-\d\d-\d\d ")  # a log line begins with its date, a counter line does not
 
 
--- a/experiments/soak/scenario.py
+++ b/experiments/soak/scenario.py
@@ -58,9 +58,8 @@
         DisturbanceKind.CONNECTIONS_SPOILED,
     }
 )
-SAMPLED_KINDS = [
-    kind for kind in DisturbanceKind if kind is not DisturbanceKind.CONNECTIONS_SPOILED
-]  # see ``_generate_spoiled``
+# ``_generate_spoiled`` samples the remaining kind.
+SAMPLED_KINDS = [kind for kind in DisturbanceKind if kind is not DisturbanceKind.CONNECTIONS_SPOILED]
 
 
 @dataclass(frozen=True, slots=True)
