--- a/benchmarks/ownership.py
+++ b/benchmarks/ownership.py
@@ -22,7 +22,7 @@
 import time
 from pathlib import Path
 
-from canvasplank.database.errors import StoreUnavailableError
+from canvasplank.database.errors import DatabaseUnavailableError
 from canvasplank.fleet.postgresql import Postgresql as FleetPostgresql
 from canvasplank.store.postgresql import Postgresql
 from canvasplank.store.records import CallOutcome
@@ -226,7 +226,7 @@
     while True:
         try:
             await cluster.records.write(batch)
-        except StoreUnavailableError:
+        except DatabaseUnavailableError:
             await cluster.records.open()
         else:
             return
@@ -246,7 +246,7 @@
 
 
 async def _has_unexported(cluster: Cluster) -> bool:
-    with contextlib.suppress(StoreUnavailableError):
+    with contextlib.suppress(DatabaseUnavailableError):
         return bool(await cluster.fleet.read(usage_ledger.SELECT_UNEXPORTED))
     await cluster.fleet.open()
     return True
--- a/canvasplank/database/errors.py
+++ b/canvasplank/database/errors.py
@@ -7,7 +7,7 @@
     """Base class of all errors that the database layer raises."""
 
 
-class StoreUnavailableError(DatabaseError):
+class DatabaseUnavailableError(DatabaseError):
     """The database is unreachable, or the outcome of a request is unknown; the request may be retried."""
 
 
--- a/canvasplank/database/postgresql.py
+++ b/canvasplank/database/postgresql.py
@@ -8,7 +8,7 @@
 
 import asyncpg
 
-from canvasplank.database.errors import NewerSchemaError, StoreRefusedError, StoreUnavailableError
+from canvasplank.database.errors import DatabaseUnavailableError, NewerSchemaError, StoreRefusedError
 from canvasplank.database.migrations import Schema
 
 # Raised for invalid data: SQLSTATE classes 22 and 23, or a value that cannot be encoded.
@@ -28,7 +28,7 @@
 class PostgresqlEngine:
     """One connection to a database with the tables of one subsystem.
 
-    All methods translate the driver's errors to ``StoreUnavailableError`` or ``StoreRefusedError``.
+    All methods translate the driver's errors to ``DatabaseUnavailableError`` or ``StoreRefusedError``.
     """
 
     def __init__(
@@ -63,12 +63,12 @@
         except DATA_ERRORS as error:
             raise StoreRefusedError(f"PostgreSQL: {error}") from error
         except UNAVAILABLE_ERRORS as error:
-            raise StoreUnavailableError(f"PostgreSQL: {error or type(error).__name__}") from error
+            raise DatabaseUnavailableError(f"PostgreSQL: {error or type(error).__name__}") from error
 
     @property
     def _active_connection(self) -> asyncpg.Connection:
         if self._connection is None or self._connection.is_closed():
-            raise StoreUnavailableError("PostgreSQL: not connected")
+            raise DatabaseUnavailableError("PostgreSQL: not connected")
         return self._connection
 
     async def _open(self) -> None:
--- a/canvasplank/database/sqlite.py
+++ b/canvasplank/database/sqlite.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable, Iterator
 from typing import TypeVar
 
-from canvasplank.database.errors import NewerSchemaError, StoreRefusedError, StoreUnavailableError
+from canvasplank.database.errors import DatabaseUnavailableError, NewerSchemaError, StoreRefusedError
 from canvasplank.database.migrations import Schema
 from canvasplank.runtime.worker_thread import WorkerThread, WorkerThreadBusyError
 
@@ -20,7 +20,7 @@
 class SqliteEngine:
     """One database file with the tables of one subsystem.
 
-    All methods translate the library's errors to ``StoreUnavailableError`` or ``StoreRefusedError``.
+    All methods translate the library's errors to ``DatabaseUnavailableError`` or ``StoreRefusedError``.
     """
 
     def __init__(self, path: str, schema: Schema, thread_name: str) -> None:
@@ -42,7 +42,7 @@
 
     async def close(self) -> None:
         """Close the connection; the engine may be opened again."""
-        with contextlib.suppress(StoreUnavailableError, StoreRefusedError):
+        with contextlib.suppress(DatabaseUnavailableError, StoreRefusedError):
             await self._run_on_thread(self._close)
 
     async def _run_on_thread(self, operation: Callable[[], Result]) -> Result:
@@ -50,16 +50,16 @@
         try:
             return await self._thread.run(operation)
         except WorkerThreadBusyError as error:
-            raise StoreUnavailableError(f"SQLite {self._path}: {error}") from error
+            raise DatabaseUnavailableError(f"SQLite {self._path}: {error}") from error
         except DATA_ERRORS as error:
             raise StoreRefusedError(f"SQLite: {error}") from error
         except (sqlite3.Error, NewerSchemaError) as error:
-            raise StoreUnavailableError(f"SQLite {self._path}: {error}") from error
+            raise DatabaseUnavailableError(f"SQLite {self._path}: {error}") from error
 
     @property
     def _active_connection(self) -> sqlite3.Connection:
         if self._connection is None:
-            raise StoreUnavailableError("SQLite: not open")
+            raise DatabaseUnavailableError("SQLite: not open")
         return self._connection
 
     def _open(self) -> None:
--- a/canvasplank/store/writer.py
+++ b/canvasplank/store/writer.py
@@ -14,7 +14,7 @@
 
 from canvasplank import interface as api
 from canvasplank.counters import Counters
-from canvasplank.database.errors import StoreRefusedError, StoreUnavailableError
+from canvasplank.database.errors import DatabaseUnavailableError, StoreRefusedError
 from canvasplank.database.location import close_within
 from canvasplank.exchange.call_records import CallRecord
 from canvasplank.store.backend import Backend
@@ -143,7 +143,7 @@
                     f"record of call {rejected.call_id} ({rejected.class_name}, {rejected.final}) "
                     f"rejected by the database and left out: {error}",
                 )
-        except (StoreUnavailableError, TimeoutError) as error:
+        except (DatabaseUnavailableError, TimeoutError) as error:
             await self._on_write_failed(str(error) or f"no answer within {self._write_timeout_s:g} s")
         except Exception as error:  # a bug must not end the task
             LOG.exception("store: unexpected error while writing")
--- a/canvasplank/worker/task_runner.py
+++ b/canvasplank/worker/task_runner.py
@@ -18,7 +18,7 @@
 from pathlib import Path
 
 from canvasplank.counters import Counters
-from canvasplank.database.errors import StoreRefusedError, StoreUnavailableError
+from canvasplank.database.errors import DatabaseUnavailableError, StoreRefusedError
 from canvasplank.database.migrations import Schema
 from canvasplank.database.statements import Statement
 from canvasplank.fleet.backend import Backend, FencingToken, StaleTermError
@@ -89,7 +89,7 @@
         except StaleTermError as error:
             leadership.on_stale(token)
             log_event(LOG, "worker.refused", text=f"rejected: {error}", task=token.task, term=token.term)
-        except (StoreUnavailableError, TimeoutError) as error:
+        except (DatabaseUnavailableError, TimeoutError) as error:
             # The task is not given up, since another worker could not reach the store either.
             self._connected = False
             log_event(
--- a/tests/test_fleet_store.py
+++ b/tests/test_fleet_store.py
@@ -12,7 +12,7 @@
 
 from canvasplank.cli import cli
 from canvasplank.counters import Counters
-from canvasplank.database.errors import StoreUnavailableError
+from canvasplank.database.errors import DatabaseUnavailableError
 from canvasplank.fleet.budget_limiter import BudgetKind
 from canvasplank.fleet.config import Budget, FleetSettings
 from canvasplank.fleet.lease_holder import LeaseHolder
@@ -120,7 +120,7 @@
                 response = await other.transact(holder("b").next_request(0.0, {}))
                 waited_s = asyncio.get_running_loop().time() - start_s
             assert response.incarnation and waited_s >= 0.9 * IDLE_IN_TRANSACTION_TIMEOUT_MS / 1000
-            with pytest.raises(StoreUnavailableError):
+            with pytest.raises(DatabaseUnavailableError):
                 await one.transact(holder("a").next_request(0.0, {}))
 
     asyncio.run(run())
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -13,7 +13,7 @@
 from canvasplank import interface as api
 from canvasplank.config.configuration import ConfigurationError
 from canvasplank.counters import Counters
-from canvasplank.database.errors import StoreUnavailableError
+from canvasplank.database.errors import DatabaseUnavailableError
 from canvasplank.exchange.call_records import CallRecord
 from canvasplank.store import schema
 from canvasplank.store.__main__ import cli
@@ -151,7 +151,7 @@
             with contextlib.closing(sqlite3.connect(path)) as database:
                 database.execute("INSERT INTO schema_version VALUES (99)")
                 database.commit()
-            with pytest.raises(StoreUnavailableError, match="version 99, newer"):
+            with pytest.raises(DatabaseUnavailableError, match="version 99, newer"):
                 await store.backend.open()
 
     asyncio.run(run())
