--- a/canvasplank/cli.py
+++ b/canvasplank/cli.py
@@ -13,7 +13,7 @@
 import click
 
 from canvasplank.config.configuration import ConfigurationError
-from canvasplank.database.errors import DatabaseUnavailableError, StoreRefusedError
+from canvasplank.database.errors import DatabaseUnavailableError, DataRejectedError
 from canvasplank.fleet.backend import Backend
 from canvasplank.fleet.config import FleetSettings, load_fleet_settings
 from canvasplank.fleet.lease_transaction import leasable_total
@@ -53,7 +53,7 @@
 
     try:
         return asyncio.run(run())
-    except (ConfigurationError, DatabaseUnavailableError, StoreRefusedError, TimeoutError) as error:
+    except (ConfigurationError, DatabaseUnavailableError, DataRejectedError, TimeoutError) as error:
         raise click.ClickException(str(error) or "the store gave no answer in time") from None
 
 
--- a/canvasplank/database/errors.py
+++ b/canvasplank/database/errors.py
@@ -11,7 +11,7 @@
     """The database is unreachable, or the outcome of a request is unknown; the request may be retried."""
 
 
-class StoreRefusedError(DatabaseError):
+class DataRejectedError(DatabaseError):
     """The database rejected the data (constraint, type or encoding); retrying the request cannot succeed."""
 
 
--- a/canvasplank/database/location.py
+++ b/canvasplank/database/location.py
@@ -7,7 +7,7 @@
 from typing import Protocol
 from urllib.parse import urlsplit
 
-from canvasplank.database.errors import DatabaseUnavailableError, StoreRefusedError
+from canvasplank.database.errors import DatabaseUnavailableError, DataRejectedError
 
 POSTGRESQL_SCHEMES = ("postgresql", "postgres")
 
@@ -32,6 +32,6 @@
 
 async def close_within(backend: Closeable, timeout_s: float) -> None:
     """Close the backend, ignoring database errors; give up after ``timeout_s`` seconds."""
-    with contextlib.suppress(TimeoutError, DatabaseUnavailableError, StoreRefusedError):
+    with contextlib.suppress(TimeoutError, DatabaseUnavailableError, DataRejectedError):
         async with asyncio.timeout(timeout_s):
             await backend.close()
--- a/canvasplank/database/postgresql.py
+++ b/canvasplank/database/postgresql.py
@@ -8,7 +8,7 @@
 
 import asyncpg
 
-from canvasplank.database.errors import DatabaseUnavailableError, NewerSchemaError, StoreRefusedError
+from canvasplank.database.errors import DatabaseUnavailableError, DataRejectedError, NewerSchemaError
 from canvasplank.database.migrations import Schema
 
 # Raised for invalid data: SQLSTATE classes 22 and 23, or a value that cannot be encoded.
@@ -28,7 +28,7 @@
 class PostgresqlEngine:
     """One connection to a database with the tables of one subsystem.
 
-    All methods translate the driver's errors to ``DatabaseUnavailableError`` or ``StoreRefusedError``.
+    All methods translate the driver's errors to ``DatabaseUnavailableError`` or ``DataRejectedError``.
     """
 
     def __init__(
@@ -61,7 +61,7 @@
         try:
             return await operation
         except DATA_ERRORS as error:
-            raise StoreRefusedError(f"PostgreSQL: {error}") from error
+            raise DataRejectedError(f"PostgreSQL: {error}") from error
         except UNAVAILABLE_ERRORS as error:
             raise DatabaseUnavailableError(f"PostgreSQL: {error or type(error).__name__}") from error
 
--- a/canvasplank/database/sqlite.py
+++ b/canvasplank/database/sqlite.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable, Iterator
 from typing import TypeVar
 
-from canvasplank.database.errors import DatabaseUnavailableError, NewerSchemaError, StoreRefusedError
+from canvasplank.database.errors import DatabaseUnavailableError, DataRejectedError, NewerSchemaError
 from canvasplank.database.migrations import Schema
 from canvasplank.runtime.worker_thread import WorkerThread, WorkerThreadBusyError
 
@@ -20,7 +20,7 @@
 class SqliteEngine:
     """One database file with the tables of one subsystem.
 
-    All methods translate the library's errors to ``DatabaseUnavailableError`` or ``StoreRefusedError``.
+    All methods translate the library's errors to ``DatabaseUnavailableError`` or ``DataRejectedError``.
     """
 
     def __init__(self, path: str, schema: Schema, thread_name: str) -> None:
@@ -42,7 +42,7 @@
 
     async def close(self) -> None:
         """Close the connection; the engine may be opened again."""
-        with contextlib.suppress(DatabaseUnavailableError, StoreRefusedError):
+        with contextlib.suppress(DatabaseUnavailableError, DataRejectedError):
             await self._run_on_thread(self._close)
 
     async def _run_on_thread(self, operation: Callable[[], Result]) -> Result:
@@ -52,7 +52,7 @@
         except WorkerThreadBusyError as error:
             raise DatabaseUnavailableError(f"SQLite {self._path}: {error}") from error
         except DATA_ERRORS as error:
-            raise StoreRefusedError(f"SQLite: {error}") from error
+            raise DataRejectedError(f"SQLite: {error}") from error
         except (sqlite3.Error, NewerSchemaError) as error:
             raise DatabaseUnavailableError(f"SQLite {self._path}: {error}") from error
 
--- a/canvasplank/fleet/backend.py
+++ b/canvasplank/fleet/backend.py
@@ -33,7 +33,7 @@
 class Backend(Protocol):
     """The fleet's state in a database, which serializes all transactions on it.
 
-    All methods may raise ``DatabaseUnavailableError`` or ``StoreRefusedError``.
+    All methods may raise ``DatabaseUnavailableError`` or ``DataRejectedError``.
     """
 
     async def open(self) -> None:
--- a/canvasplank/fleet/lease_renewer.py
+++ b/canvasplank/fleet/lease_renewer.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from canvasplank.counters import Counters
-from canvasplank.database.errors import DatabaseUnavailableError, StoreRefusedError
+from canvasplank.database.errors import DatabaseUnavailableError, DataRejectedError
 from canvasplank.database.location import close_within
 from canvasplank.fleet.backend import Backend
 from canvasplank.fleet.budget_limiter import BudgetKind, BudgetLimiter
@@ -183,7 +183,7 @@
                     await self._backend.open()
                     self._connected = True
                 response = await self._backend.transact(request)
-        except (DatabaseUnavailableError, StoreRefusedError, TimeoutError) as error:
+        except (DatabaseUnavailableError, DataRejectedError, TimeoutError) as error:
             await self._on_failure(str(error) or f"no answer within {within_s:g} s")
             return None
         except Exception as error:  # a software defect must not end the loop, or the leases would expire
--- a/canvasplank/store/__main__.py
+++ b/canvasplank/store/__main__.py
@@ -12,7 +12,7 @@
 import click
 
 from canvasplank.config.configuration import ConfigurationError
-from canvasplank.database.errors import DatabaseUnavailableError, StoreRefusedError
+from canvasplank.database.errors import DatabaseUnavailableError, DataRejectedError
 from canvasplank.store.backend import CallCount
 from canvasplank.store.config import load_store
 from canvasplank.store.records import Final
@@ -48,7 +48,7 @@
     """Return the store's call counts; raises ``ClickException`` (one line, exit status 1) on failure."""
     try:
         return asyncio.run(_count_calls(path, since, instance))
-    except (ConfigurationError, DatabaseUnavailableError, StoreRefusedError, TimeoutError) as error:
+    except (ConfigurationError, DatabaseUnavailableError, DataRejectedError, TimeoutError) as error:
         raise click.ClickException(str(error) or "the store gave no answer in time") from None
 
 
--- a/canvasplank/store/backend.py
+++ b/canvasplank/store/backend.py
@@ -18,7 +18,7 @@
 
 
 class Backend(Protocol):
-    """A database of call records; methods may raise ``DatabaseUnavailableError`` or ``StoreRefusedError``."""
+    """A database of call records; methods may raise ``DatabaseUnavailableError`` or ``DataRejectedError``."""
 
     async def open(self) -> None:
         """Connect and apply the pending migrations."""
--- a/canvasplank/store/writer.py
+++ b/canvasplank/store/writer.py
@@ -14,7 +14,7 @@
 
 from canvasplank import interface as api
 from canvasplank.counters import Counters
-from canvasplank.database.errors import DatabaseUnavailableError, StoreRefusedError
+from canvasplank.database.errors import DatabaseUnavailableError, DataRejectedError
 from canvasplank.database.location import close_within
 from canvasplank.exchange.call_records import CallRecord
 from canvasplank.store.backend import Backend
@@ -136,7 +136,7 @@
                     await self._backend.open()
                     self._connected = True
                 await self._backend.write(batch)
-        except StoreRefusedError as error:
+        except DataRejectedError as error:
             if (rejected := self._outbox.on_rejected(self._now_ms())) is not None:
                 self._log_limited(
                     "refused",
--- a/canvasplank/worker/task_runner.py
+++ b/canvasplank/worker/task_runner.py
@@ -18,7 +18,7 @@
 from pathlib import Path
 
 from canvasplank.counters import Counters
-from canvasplank.database.errors import DatabaseUnavailableError, StoreRefusedError
+from canvasplank.database.errors import DatabaseUnavailableError, DataRejectedError
 from canvasplank.database.migrations import Schema
 from canvasplank.database.statements import Statement
 from canvasplank.fleet.backend import Backend, FencingToken, StaleTermError
@@ -98,7 +98,7 @@
                 text=f"{token.task}: the store is unavailable: {error}",
                 task=token.task,
             )
-        except (StoreRefusedError, ExportError, WorkerThreadBusyError, OSError) as error:
+        except (DataRejectedError, ExportError, WorkerThreadBusyError, OSError) as error:
             leadership.failed(token)
             log_event(
                 LOG,
--- a/tests/test_usage_ledger.py
+++ b/tests/test_usage_ledger.py
@@ -8,7 +8,7 @@
 import pytest
 from worker_fixtures import database, lead_closing, sums
 
-from canvasplank.database.errors import StoreRefusedError
+from canvasplank.database.errors import DataRejectedError
 from canvasplank.fleet.backend import StaleTermError
 from canvasplank.store.records import CallOutcome
 from canvasplank.worker import usage_ledger
@@ -54,7 +54,7 @@
                     UsageSum(0, "", "low", "served", 1, 1),
                     UsageSum(1, "acme", "low", "refused", 0, 1),
                 ]
-                with pytest.raises(StoreRefusedError):
+                with pytest.raises(DataRejectedError):
                     await fleet.execute_fenced(
                         token, usage_ledger.closing_statements(Closing(1, 2000), 1000, 300, 0, token.term)
                     )
