--- a/canvasplank/store/__main__.py
+++ b/canvasplank/store/__main__.py
@@ -14,7 +14,7 @@
 from canvasplank.config.configuration import ConfigurationError
 from canvasplank.database.errors import DatabaseUnavailableError, DataRejectedError
 from canvasplank.store.backend import CallCount
-from canvasplank.store.config import load_store
+from canvasplank.store.config import load_store_settings
 from canvasplank.store.records import Final
 
 COUNTER_LINE = re.compile(r'edge_(served|refused|failed)\{class="((?:[^"\\]|\\.)*)"\} (\d+)')
@@ -33,7 +33,7 @@
 
 
 async def _count_calls(path: str, since: datetime | None, instance: str) -> list[CallCount]:
-    store = load_store(path)
+    store = load_store_settings(path)
     backend = store.create_backend()
     async with asyncio.timeout(store.write_timeout_ms / 1000):
         await backend.open()
--- a/canvasplank/store/config.py
+++ b/canvasplank/store/config.py
@@ -45,7 +45,7 @@
         return Postgresql(self.dsn, self.write_timeout_ms / 1000)
 
 
-def load_store(path: str) -> StoreSettings:
+def load_store_settings(path: str) -> StoreSettings:
     """Read and validate the settings file; raises ``ConfigurationError``."""
     return load_extension_settings(path, "store", StoreSettings, _check)
 
--- a/canvasplank/store/extension.py
+++ b/canvasplank/store/extension.py
@@ -3,14 +3,14 @@
 from __future__ import annotations
 
 from canvasplank.extensions.extension import Extension, ExtensionContext, ExtensionFactory
-from canvasplank.store.config import StoreSettings, load_store
+from canvasplank.store.config import StoreSettings, load_store_settings
 from canvasplank.store.outbox import Outbox
 from canvasplank.store.writer import Writer
 
 
 def load(path: str) -> ExtensionFactory:
     """Return a factory of the extension with the settings in a file; raises ``ConfigurationError``."""
-    settings = load_store(path)
+    settings = load_store_settings(path)
     return lambda context: StoreExtension(context, settings)
 
 
--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -13,7 +13,7 @@
 from canvasplank.endpoint_cache.config import load_endpoint_cache_settings
 from canvasplank.extensions.registry import REGISTRY, load_enabled_extensions
 from canvasplank.fleet.config import load_fleet_settings
-from canvasplank.store.config import load_store
+from canvasplank.store.config import load_store_settings
 from canvasplank.warm_start.config import load_warm_start_settings
 from canvasplank.worker.config import load_worker_settings
 
@@ -22,7 +22,7 @@
     "fleet": load_fleet_settings,
     "learning": load_warm_start_settings,
     "membership": load_endpoint_cache_settings,
-    "store": load_store,
+    "store": load_store_settings,
     "work": load_worker_settings,
     "starting": lambda path: load_extension_settings(path, "starting", ColdStartSettings, lambda _: None),
 }
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -18,7 +18,7 @@
 from canvasplank.store import schema
 from canvasplank.store.__main__ import cli
 from canvasplank.store.backend import CallCount
-from canvasplank.store.config import load_store
+from canvasplank.store.config import load_store_settings
 from canvasplank.store.outbox import Outbox
 from canvasplank.store.postgresql import Postgresql
 from canvasplank.store.records import ANSWERED, ENDED, CallOutcome
@@ -266,7 +266,7 @@
 def test_invalid_settings_give_an_error_of_one_line(tmp_path, text, message):
     (tmp_path / "store.toml").write_text(text)
     with pytest.raises(ConfigurationError, match=message) as error:
-        load_store(str(tmp_path / "store.toml"))
+        load_store_settings(str(tmp_path / "store.toml"))
     assert "\n" not in str(error.value)
 
 
