--- a/canvasplank/extensions/extension.py
+++ b/canvasplank/extensions/extension.py
@@ -40,7 +40,7 @@
     discovery: Discovery
     controller: Controller
 
-    def use_fleet_view(self, fleet_view: FleetView) -> None:
+    def set_fleet_view(self, fleet_view: FleetView) -> None:
         """Set the source of knowledge about the fleet for the program and its other extensions."""
 
     def fleet_size(self) -> int:
--- a/canvasplank/fleet/extension.py
+++ b/canvasplank/fleet/extension.py
@@ -27,7 +27,7 @@
             sees_discovery=lambda: context.discovery.last_received_ms is not None,
             on_others_see_discovery=self._on_others_see_discovery,
         )
-        context.use_fleet_view(self)
+        context.set_fleet_view(self)
         self._context = context
 
     def size(self) -> int:
--- a/canvasplank/program.py
+++ b/canvasplank/program.py
@@ -146,7 +146,7 @@
 
     # -------------------------------------------------------------------------------- ExtensionContext
 
-    def use_fleet_view(self, fleet_view: FleetView) -> None:
+    def set_fleet_view(self, fleet_view: FleetView) -> None:
         """See ``ExtensionContext``."""
         self._fleet_view = fleet_view
 
