--- a/emulators/discovery.py
+++ b/emulators/discovery.py
@@ -39,7 +39,7 @@
         """The ``host:port`` for clients."""
         return f"127.0.0.1:{self._port}"
 
-    async def tell(self, pool: dict[str, Any]) -> None:
+    async def publish(self, pool: dict[str, Any]) -> None:
         """Publish a new event with this ``pool`` object of the discovery protocol."""
         async with self._changed:
             self._events.append({"rev": len(self._events) + 1, "pool": pool})
--- a/emulators/fleet.py
+++ b/emulators/fleet.py
@@ -158,7 +158,7 @@
             }
             for cell, server in enumerate(servers)
         ]
-        await self.discovery.tell({"generation": 1, "reset": True, "instances": entries})
+        await self.discovery.publish({"generation": 1, "reset": True, "instances": entries})
 
     @property
     def settings(self) -> dict[str, Any]:
--- a/experiments/soak/deployment.py
+++ b/experiments/soak/deployment.py
@@ -450,7 +450,7 @@
     async def _publish(self, servers: list[ObservedServer], *, complete: bool = False) -> None:
         for proxy, discovery in enumerate(self._discoveries):
             entries = [server.list_entry(proxy) for server in servers]
-            await discovery.tell({"generation": 1, "reset": complete, "instances": entries})
+            await discovery.publish({"generation": 1, "reset": complete, "instances": entries})
 
     async def _measure_lateness(self) -> None:
         """Record the lag of this process's event loop, which bounds the accuracy of every recorded time."""
