--- a/emulators/discovery.py
+++ b/emulators/discovery.py
@@ -45,7 +45,7 @@
             self._events.append({"rev": len(self._events) + 1, "pool": pool})
             self._changed.notify_all()
 
-    def anew(self) -> None:
+    def clear_events(self) -> None:
         """Drop all events, so that the next event has revision 1 again."""
         self._events.clear()
 
--- a/tests/test_endpoint_cache.py
+++ b/tests/test_endpoint_cache.py
@@ -243,7 +243,7 @@
 
             await new.start()
             started.servers.append(new)
-            started.discovery.anew()
+            started.discovery.clear_events()
             await started.list(a, b, new)
             await started.discovery.start()
             set_ups_before = new.set_ups
