--- a/emulators/discovery.py
+++ b/emulators/discovery.py
@@ -13,7 +13,7 @@
 class Discovery:
     """Sends numbered events: on each request those after its ``Last-Event-ID``, then each new one.
 
-    ``in_trouble``, ``busy_s`` and ``stalled`` inject faults and may be changed at any time.
+    ``closes_connections``, ``busy_s`` and ``stalled`` inject faults and may be changed at any time.
     """
 
     def __init__(self) -> None:
@@ -22,7 +22,7 @@
         self._changed = asyncio.Condition()
         self._server: asyncio.Server | None = None
         self._tasks: set[asyncio.Task[Any]] = set()  # connection handlers
-        self.in_trouble = False  # connections are accepted and closed at once
+        self.closes_connections = False  # connections are accepted and closed at once
         self.busy_s: int | None = None  # requests are rejected with this Retry-After, in seconds
         self.stalled = False  # connections are accepted, and nothing is sent
         # In seconds of the event loop's clock.
@@ -67,7 +67,7 @@
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
         self.polls.append(asyncio.get_running_loop().time())
-        if self.in_trouble:
+        if self.closes_connections:
             writer.close()
             return
         # Keeps asyncio from logging an error where ``stop`` cancels this handler.
--- a/experiments/fault_injection.py
+++ b/experiments/fault_injection.py
@@ -68,7 +68,8 @@
         match fault.kind:
             case FaultKind.DISCOVERY_CLOSES:
                 return FaultActions(
-                    _setter(discovery, "in_trouble", True), _setter(discovery, "in_trouble", False)
+                    _setter(discovery, "closes_connections", True),
+                    _setter(discovery, "closes_connections", False),
                 )
             case FaultKind.DISCOVERY_STALLS:
                 return FaultActions(_setter(discovery, "stalled", True), _setter(discovery, "stalled", False))
--- a/experiments/soak/deployment.py
+++ b/experiments/soak/deployment.py
@@ -332,7 +332,9 @@
             DisturbanceKind.DRAIN_TWICE: lambda: self._drain(index, twice=True),
             DisturbanceKind.RELOAD: self._reload,
             DisturbanceKind.DISCOVERY_STALLS: lambda: self._disturb_discovery("stalled", duration_s),
-            DisturbanceKind.DISCOVERY_CLOSES: lambda: self._disturb_discovery("in_trouble", duration_s),
+            DisturbanceKind.DISCOVERY_CLOSES: lambda: self._disturb_discovery(
+                "closes_connections", duration_s
+            ),
             DisturbanceKind.SERVER_HANGS: lambda: self._hang_server(self._servers[index], duration_s),
             DisturbanceKind.CONNECTIONS_RESET: lambda: self._reset_connections(self._servers[index]),
             DisturbanceKind.SERVER_DRAINS: lambda: self._drain_server(self._servers[index]),
--- a/tests/test_cold_start.py
+++ b/tests/test_cold_start.py
@@ -223,7 +223,7 @@
 
     async def run():
         async with simultaneous_start(tmp_path, count, polls_per_s, with_fleet_store) as processes:
-            processes.discovery.in_trouble = True
+            processes.discovery.closes_connections = True
             await processes.start([f"n{n}" for n in range(count)])
             for round_number in range(3):  # a crash loop adds only its first polls
                 killed = [p for p in processes.started.proxies if p.process.returncode is None][:6]
@@ -234,7 +234,7 @@
             # 24 processes send 8 polls per second; with exponential backoff alone they would send 30.
             assert len(processes.polls_since(started)) / 5.0 <= 1.75 * polls_per_s
             assert most_in(sorted(processes.discovery.polls), 0.1) <= 12
-            processes.discovery.in_trouble = False
+            processes.discovery.closes_connections = False
             recovered_s = now_s()
             recovery_s = await processes.wait_for_connections(count)
             assert most_in(processes.polls_since(recovered_s), 0.1) <= 12, (
