--- a/benchmarks/budgets.py
+++ b/benchmarks/budgets.py
@@ -214,7 +214,7 @@
     await deployment.start(killed)
     await asyncio.sleep(5.0)
     for name in frozen:
-        deployment.proxies[name].wake()
+        deployment.proxies[name].unfreeze()
     for link in deployment.links.values():
         link.heal()
     deployment.store.faults.stalled = True
--- a/emulators/fleet.py
+++ b/emulators/fleet.py
@@ -110,7 +110,7 @@
         """Suspend the process (SIGSTOP)."""
         self.process.send_signal(signal.SIGSTOP)
 
-    def wake(self) -> None:
+    def unfreeze(self) -> None:
         """Continue the process (SIGCONT)."""
         self.process.send_signal(signal.SIGCONT)
 
--- a/experiments/fault_injection.py
+++ b/experiments/fault_injection.py
@@ -114,7 +114,7 @@
         names = self._sample(processes.names, fault.fraction)
         if fault.kind is FaultKind.PROXIES_FROZEN:
             return FaultActions(
-                _as_action(lambda: processes.freeze(names)), _as_action(lambda: processes.wake(names))
+                _as_action(lambda: processes.freeze(names)), _as_action(lambda: processes.unfreeze(names))
             )
         return FaultActions(lambda: processes.kill(names), _as_action(lambda: self._restart_killed(names)))
 
--- a/experiments/proxy_processes.py
+++ b/experiments/proxy_processes.py
@@ -88,9 +88,9 @@
         """Suspend the running proxies among these with SIGSTOP."""
         self._signal_each(names, Proxy.freeze)
 
-    def wake(self, names: set[str]) -> None:
+    def unfreeze(self, names: set[str]) -> None:
         """Resume the running proxies among these with SIGCONT."""
-        self._signal_each(names, Proxy.wake)
+        self._signal_each(names, Proxy.unfreeze)
 
     def _signal_each(self, names: set[str], send: Callable[[Proxy], None]) -> None:
         for name in names & self.proxies.keys():
--- a/tests/test_budgets_processes.py
+++ b/tests/test_budgets_processes.py
@@ -109,7 +109,7 @@
     frozen.freeze()
     others = [name for name in NAMES if name != "n1"]
     await wait_for_shares(all_have(SEVENTH_PER_S, *others), shared, "a seventh each")
-    frozen.wake()
+    frozen.unfreeze()
     await wait_for_shares(
         lambda now: 4.0 <= now["n1"] <= 8.2 and frozen.text().count("fleet.in") >= 2, shared, "again"
     )
