--- a/benchmarks/learning_join.py
+++ b/benchmarks/learning_join.py
@@ -20,7 +20,7 @@
 
 import click
 
-from emulators.callers import Callers, Try, service
+from emulators.callers import Callers, PlacedCall, service
 from emulators.fleet import Fleet, fleet, free_port
 from emulators.server import CallServer
 
@@ -45,13 +45,13 @@
     steady_after_s: float  # until the new instance was steady, see ``_steady_after_s``
 
     @staticmethod
-    def from_calls(tries: list[Try], joined_s: float, new: str) -> JoinResult:
+    def from_calls(tries: list[PlacedCall], joined_s: float, new: str) -> JoinResult:
         """The result of the calls due after the join; ``new`` is the address of the new instance."""
         since = [t for t in tries if t.due_s >= joined_s]
         first = [t for t in since if t.due_s < joined_s + FIRST_PERIOD_S]
         later = [t for t in since if t.due_s >= joined_s + FIRST_PERIOD_S]
 
-        def level(period: list[Try], *, of_new: bool) -> float:
+        def level(period: list[PlacedCall], *, of_new: bool) -> float:
             return service([t for t in period if (t.proxy == new) is of_new])
 
         at_new = [t for t in since if t.proxy == new]
@@ -70,7 +70,7 @@
 STEADY_TOLERANCE = 0.15
 
 
-def _steady_after_s(since: list[Try], joined_s: float, new: str) -> float:
+def _steady_after_s(since: list[PlacedCall], joined_s: float, new: str) -> float:
     """Seconds from the join to the start of the first window in which the new instance is steady.
 
     It is steady if its service level is at most ``STEADY_TOLERANCE`` below that of the others.
--- a/benchmarks/store_latency.py
+++ b/benchmarks/store_latency.py
@@ -21,7 +21,7 @@
 
 import click
 
-from emulators.callers import Callers, Try
+from emulators.callers import Callers, PlacedCall
 from emulators.fleet import ROOT, fleet
 from emulators.postgresql.shared_data import DATA_FILE
 from emulators.server import CallServer
@@ -149,7 +149,7 @@
     environment: dict[str, str],
     schedule: FaultSchedule | None,
     database: EmulatorProcess,
-) -> list[Try]:
+) -> list[PlacedCall]:
     servers = [CallServer(f"s-{n}", load.capacity_per_s, hold_ms=1000.0, lines=2000) for n in range(3)]
     async with fleet(folder, servers, 1) as proxies:
         proxy = await proxies.proxy("n0", seed, **environment)
@@ -165,7 +165,7 @@
         return list(callers.tries.values())
 
 
-def _compare(calls: list[Try], rows: list[Record]) -> Measurement:
+def _compare(calls: list[PlacedCall], rows: list[Record]) -> Measurement:
     recorded = {call_id: (class_name, final) for call_id, class_name, final in rows}
     times_ms = sorted(1000 * t.took_s for t in calls if t.outcome == "served")
     wrong = sum(recorded.get(t.id) != (t.kind.name, t.outcome) for t in calls) if rows else 0
--- a/emulators/callers.py
+++ b/emulators/callers.py
@@ -38,7 +38,7 @@
 
 
 @dataclass(slots=True)
-class Try:
+class PlacedCall:
     """One call and its outcome. Times are in Unix seconds; ``due_s`` is when the set-up was to be sent."""
 
     id: str
@@ -63,7 +63,7 @@
         self.random = random.Random(seed)
         self.classes = classes
         self.pools = pools
-        self.tries: dict[str, Try] = {}
+        self.tries: dict[str, PlacedCall] = {}
         self.proxies: list[str] = []
         self._streams: dict[str, asyncio.StreamWriter] = {}
         self._tasks = Tasks()
@@ -92,11 +92,11 @@
         if (delay_s := start_s + for_s - time.time()) > 0:
             await asyncio.sleep(delay_s)
 
-    def place(self, due_s: float) -> Try:
+    def place(self, due_s: float) -> PlacedCall:
         """Place a call through a random proxy. Without any proxy, the outcome is ``lost``."""
         kind = self.random.choices(self.classes, [c.share for c in self.classes])[0]
         proxy = self.random.choice(self.proxies) if self.proxies else ""
-        call = Try(f"{self.random.getrandbits(64) | 1:016x}", kind, proxy, due_s)
+        call = PlacedCall(f"{self.random.getrandbits(64) | 1:016x}", kind, proxy, due_s)
         self.tries[call.id] = call
         if not proxy:
             call.outcome, call.answered_s = "lost", time.time()
@@ -112,7 +112,7 @@
         asyncio.get_running_loop().call_later(kind.wait_s + 0.1, self._on_deadline, call)
         return call
 
-    def _on_deadline(self, call: Try) -> None:
+    def _on_deadline(self, call: PlacedCall) -> None:
         if call.outcome == "open":
             call.outcome, call.answered_s = "given_up", time.time()
             self._write(call.proxy, isup.release(call.id, ReleaseCause.NORMAL_CLEARING))
@@ -169,7 +169,7 @@
         await self._tasks.end()
 
 
-def service(tries: list[Try]) -> float:
+def service(tries: list[PlacedCall]) -> float:
     """Return the weight of the served calls divided by the weight of all calls, or 1 without calls.
 
     A call that is answered after ``aim_s`` counts a tenth of its weight.
