--- a/benchmarks/budgets.py
+++ b/benchmarks/budgets.py
@@ -187,12 +187,12 @@
         deployment.store.faults.stalled = variant == "store stalled"
         await callers.offer(200.0, 8.0)
         await callers.settled(4.0)
-        times_ms = sorted(1000 * t.took_s for t in callers.tries.values() if t.outcome == "served")
+        times_ms = sorted(1000 * t.took_s for t in callers.calls.values() if t.outcome == "served")
         deployment.store.faults.stalled = False
         return [
             Measurement("set-up time: median", variant, "ms", statistics.median(times_ms)),
             Measurement("set-up time: 99 %", variant, "ms", times_ms[int(0.99 * len(times_ms))]),
-            Measurement("set-ups served", variant, "of all", len(times_ms) / len(callers.tries)),
+            Measurement("set-ups served", variant, "of all", len(times_ms) / len(callers.calls)),
         ]
 
 
--- a/benchmarks/learning_join.py
+++ b/benchmarks/learning_join.py
@@ -45,9 +45,9 @@
     steady_after_s: float  # until the new instance was steady, see ``_steady_after_s``
 
     @staticmethod
-    def from_calls(tries: list[PlacedCall], joined_s: float, new: str) -> JoinResult:
+    def from_calls(calls: list[PlacedCall], joined_s: float, new: str) -> JoinResult:
         """The result of the calls due after the join; ``new`` is the address of the new instance."""
-        since = [t for t in tries if t.due_s >= joined_s]
+        since = [t for t in calls if t.due_s >= joined_s]
         first = [t for t in since if t.due_s < joined_s + FIRST_PERIOD_S]
         later = [t for t in since if t.due_s >= joined_s + FIRST_PERIOD_S]
 
@@ -121,7 +121,7 @@
             await load
             await callers.settled(5.0)
             result = JoinResult.from_calls(
-                [t for t in callers.tries.values() if t.due_s < joined_s + MEASURED_S], joined_s, new.address
+                [t for t in callers.calls.values() if t.due_s < joined_s + MEASURED_S], joined_s, new.address
             )
             await callers.stop()
             return result
--- a/benchmarks/ownership.py
+++ b/benchmarks/ownership.py
@@ -208,7 +208,7 @@
                 await cluster.start_worker("w0")
             await callers.offer(100.0, 10.0)
             await callers.settled(4.0)
-            times_ms = sorted(1000 * t.took_s for t in callers.tries.values() if t.outcome == "served")
+            times_ms = sorted(1000 * t.took_s for t in callers.calls.values() if t.outcome == "served")
             exported_calls = count_exported(cluster.export_folder)
             await callers.stop()
         await cluster.stop()
@@ -218,7 +218,7 @@
         return [
             ("set-up time: median", variant, "ms", statistics.median(times_ms)),
             ("set-up time: 99 %", variant, "ms", times_ms[int(0.99 * len(times_ms))]),
-            ("set-ups served", variant, "of all", len(times_ms) / len(callers.tries)),
+            ("set-ups served", variant, "of all", len(times_ms) / len(callers.calls)),
         ]
 
 
--- a/benchmarks/store_latency.py
+++ b/benchmarks/store_latency.py
@@ -162,7 +162,7 @@
         await callers.settled(ANSWER_TIMEOUT_S)
         await callers.stop()
         await proxy.stop()
-        return list(callers.tries.values())
+        return list(callers.calls.values())
 
 
 def _compare(calls: list[PlacedCall], rows: list[Record]) -> Measurement:
--- a/emulators/callers.py
+++ b/emulators/callers.py
@@ -57,13 +57,13 @@
 
 
 class Callers:
-    """All callers, with one connection to each proxy. ``tries`` maps call ids to all calls so far."""
+    """All callers, with one connection to each proxy. ``calls`` maps call ids to all calls so far."""
 
     def __init__(self, seed: int, classes: tuple[CallerClass, ...] = CLASSES, pools: int = 1) -> None:
         self.random = random.Random(seed)
         self.classes = classes
         self.pools = pools
-        self.tries: dict[str, PlacedCall] = {}
+        self.calls: dict[str, PlacedCall] = {}
         self.proxies: list[str] = []
         self._streams: dict[str, asyncio.StreamWriter] = {}
         self._tasks = Tasks()
@@ -97,7 +97,7 @@
         kind = self.random.choices(self.classes, [c.share for c in self.classes])[0]
         proxy = self.random.choice(self.proxies) if self.proxies else ""
         call = PlacedCall(f"{self.random.getrandbits(64) | 1:016x}", kind, proxy, due_s)
-        self.tries[call.id] = call
+        self.calls[call.id] = call
         if not proxy:
             call.outcome, call.answered_s = "lost", time.time()
             return call
@@ -129,7 +129,7 @@
             while data := await reader.read(16_384):
                 for message in parser.feed(data):
                     self._on_message(address, message)
-        for call in self.tries.values():
+        for call in self.calls.values():
             if call.proxy == address and call.outcome == "open":
                 call.outcome, call.answered_s = "lost", time.time()
         if address in self.proxies:  # proxies close idle connections
@@ -138,7 +138,7 @@
                 self._tasks.keep(self._read(address, reader))
 
     def _on_message(self, address: str, message: isup.Message) -> None:
-        call = self.tries.get(message.call_id)
+        call = self.calls.get(message.call_id)
         if call is None or message.kind not in (isup.Kind.ANSWER, isup.Kind.RELEASE):
             return
         if message.kind == isup.Kind.RELEASE:
@@ -158,7 +158,7 @@
     async def settled(self, within_s: float) -> None:
         """Wait until no call is open, at most ``within_s`` seconds."""
         deadline_s = time.time() + within_s
-        while time.time() < deadline_s and any(t.outcome == "open" for t in self.tries.values()):
+        while time.time() < deadline_s and any(t.outcome == "open" for t in self.calls.values()):
             await asyncio.sleep(0.02)
 
     async def stop(self) -> None:
@@ -169,12 +169,12 @@
         await self._tasks.end()
 
 
-def service(tries: list[PlacedCall]) -> float:
+def service(calls: list[PlacedCall]) -> float:
     """Return the weight of the served calls divided by the weight of all calls, or 1 without calls.
 
     A call that is answered after ``aim_s`` counts a tenth of its weight.
     """
-    offered = sum(t.kind.weight for t in tries)
-    served = [t for t in tries if t.outcome == "served"]
+    offered = sum(t.kind.weight for t in calls)
+    served = [t for t in calls if t.outcome == "served"]
     earned = sum(t.kind.weight * (1.0 if t.took_s <= t.kind.aim_s else 0.1) for t in served)
     return earned / offered if offered else 1.0
--- a/experiments/experiment_run.py
+++ b/experiments/experiment_run.py
@@ -111,7 +111,7 @@
             observations.set_ups_at_s[server.name] = self._since_start(server.set_ups_at_s)
         observations.calls = [
             CallResult(each.due_s - start_unix_s, each.outcome, each.took_s)
-            for each in self._callers.tries.values()
+            for each in self._callers.calls.values()
         ]
         if (self._variant.fleet or {}).get("trace"):
             self._collect_budgets(load_fleet_settings(str(next(self._fleet.folder.glob("fleet-*.toml")))))
--- a/tests/test_emulators.py
+++ b/tests/test_emulators.py
@@ -46,8 +46,8 @@
     async def run():
         callers = Callers(seed=1)
         await callers.offer(200.0, 0.3)
-        assert len(callers.tries) > 20
-        assert {call.outcome for call in callers.tries.values()} == {"lost"}
+        assert len(callers.calls) > 20
+        assert {call.outcome for call in callers.calls.values()} == {"lost"}
 
     asyncio.run(run())
 
--- a/tests/test_endpoint_cache.py
+++ b/tests/test_endpoint_cache.py
@@ -206,7 +206,7 @@
 
 
 def outcomes(callers: Callers, address: str | None = None) -> set[str]:
-    return {attempt.outcome for attempt in callers.tries.values() if address in (None, attempt.proxy)}
+    return {attempt.outcome for attempt in callers.calls.values() if address in (None, attempt.proxy)}
 
 
 @pytest.mark.parametrize("age_ms", [0.0, HOUR_MS])
@@ -253,12 +253,12 @@
             async with asyncio.timeout(WAIT_S):  # calls established before then must end as usual
                 while any(
                     t.outcome == "open" or (t.outcome == "served" and t.released_s is None)
-                    for t in callers.tries.values()
+                    for t in callers.calls.values()
                 ):
                     await asyncio.sleep(0.05)
             assert outcomes(callers) == {"served"}, proxy.text()
-            assert all(attempt.answers == 1 for attempt in callers.tries.values())
-            ended_early = [t for t in callers.tries.values() if t.released_s - t.answered_s < 2.5]
+            assert all(attempt.answers == 1 for attempt in callers.calls.values())
+            ended_early = [t for t in callers.calls.values() if t.released_s - t.answered_s < 2.5]
             await callers.stop()
             assert await proxy.stop() == 0
             assert not ended_early, (
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -307,11 +307,11 @@
         await load
         await callers.settled(WAIT_S)
         async with asyncio.timeout(WAIT_S):
-            while any(t.outcome == "served" and t.released_s is None for t in callers.tries.values()):
+            while any(t.outcome == "served" and t.released_s is None for t in callers.calls.values()):
                 await asyncio.sleep(0.02)
         await callers.stop()
         assert await proxy.stop() == 0, proxy.text()
-        return callers.tries, proxy.text()
+        return callers.calls, proxy.text()
 
 
 def check_records(attempts, rows) -> None:
