--- a/benchmarks/budgets.py
+++ b/benchmarks/budgets.py
@@ -186,7 +186,7 @@
         await asyncio.sleep(2.0)
         deployment.store.faults.stalled = variant == "store stalled"
         await callers.offer(200.0, 8.0)
-        await callers.settled(4.0)
+        await callers.wait_until_answered(4.0)
         times_ms = sorted(1000 * t.took_s for t in callers.calls.values() if t.outcome == "served")
         deployment.store.faults.stalled = False
         return [
--- a/benchmarks/learning_join.py
+++ b/benchmarks/learning_join.py
@@ -119,7 +119,7 @@
             await callers.add_proxy(new.address)
             joined_s = time.time()
             await load
-            await callers.settled(5.0)
+            await callers.wait_until_answered(5.0)
             result = JoinResult.from_calls(
                 [t for t in callers.calls.values() if t.due_s < joined_s + MEASURED_S], joined_s, new.address
             )
--- a/benchmarks/ownership.py
+++ b/benchmarks/ownership.py
@@ -207,7 +207,7 @@
             if exporting:
                 await cluster.start_worker("w0")
             await callers.offer(100.0, 10.0)
-            await callers.settled(4.0)
+            await callers.wait_until_answered(4.0)
             times_ms = sorted(1000 * t.took_s for t in callers.calls.values() if t.outcome == "served")
             exported_calls = count_exported(cluster.export_folder)
             await callers.stop()
--- a/benchmarks/store_latency.py
+++ b/benchmarks/store_latency.py
@@ -159,7 +159,7 @@
         await callers.offer(load.rate_per_s, LOAD_S)
         if fault_task is not None:
             await fault_task
-        await callers.settled(ANSWER_TIMEOUT_S)
+        await callers.wait_until_answered(ANSWER_TIMEOUT_S)
         await callers.stop()
         await proxy.stop()
         return list(callers.calls.values())
--- a/emulators/callers.py
+++ b/emulators/callers.py
@@ -155,7 +155,7 @@
         else:
             call.outcome = "refused" if message.cause in REFUSAL_CAUSES else "failed"
 
-    async def settled(self, within_s: float) -> None:
+    async def wait_until_answered(self, within_s: float) -> None:
         """Wait until no call is open, at most ``within_s`` seconds."""
         deadline_s = time.time() + within_s
         while time.time() < deadline_s and any(t.outcome == "open" for t in self.calls.values()):
--- a/experiments/experiment_run.py
+++ b/experiments/experiment_run.py
@@ -72,7 +72,7 @@
             self._start_proxy(name)
         await asyncio.sleep(max(0.0, duration_s - self._now_s()))
         await load
-        await self._callers.settled(LAST_ANSWERS_TIMEOUT_S)
+        await self._callers.wait_until_answered(LAST_ANSWERS_TIMEOUT_S)
         self._collect()
         await self._tasks.end()
         await self._callers.stop()
--- a/tests/test_cold_start.py
+++ b/tests/test_cold_start.py
@@ -150,7 +150,7 @@
             callers = Callers(seed=1)
             await callers.add_proxy(started.proxies[0].address)
             made = callers.place(time.time())
-            await callers.settled(WAIT_S)
+            await callers.wait_until_answered(WAIT_S)
             assert made.outcome == "served" and made.took_s < 1.0
             async with asyncio.timeout(WAIT_S):
                 while server.connections < count:
--- a/tests/test_endpoint_cache.py
+++ b/tests/test_endpoint_cache.py
@@ -238,7 +238,7 @@
             callers = Callers(1, pools=3)
             await callers.add_proxy(proxy.address)
             await callers.offer(15.0, 1.5)
-            await callers.settled(WAIT_S)
+            await callers.wait_until_answered(WAIT_S)
             assert outcomes(callers) == {"served"}, proxy.text()
 
             await new.start()
--- a/tests/test_rendezvous_subset.py
+++ b/tests/test_rendezvous_subset.py
@@ -337,7 +337,7 @@
 
             await connected_to_subsets(instances(10))
             made = [callers.place(time.time()) for _ in range(120)]
-            await callers.settled(WAIT_S)
+            await callers.wait_until_answered(WAIT_S)
             assert sum(t.outcome == "served" for t in made) >= 0.95 * len(made)
             established = [t for t in made if t.outcome == "served"]
             # Two servers are added and enter some subsets while the servers that they replace have calls.
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -305,7 +305,7 @@
         if inject_faults is not None:
             await inject_faults()
         await load
-        await callers.settled(WAIT_S)
+        await callers.wait_until_answered(WAIT_S)
         async with asyncio.timeout(WAIT_S):
             while any(t.outcome == "served" and t.released_s is None for t in callers.calls.values()):
                 await asyncio.sleep(0.02)
