--- a/benchmarks/learning_join.py
+++ b/benchmarks/learning_join.py
@@ -20,7 +20,7 @@
 
 import click
 
-from emulators.callers import Callers, PlacedCall, service
+from emulators.callers import Callers, PlacedCall, service_level
 from emulators.fleet import Fleet, fleet, free_port
 from emulators.server import CallServer
 
@@ -52,7 +52,7 @@
         later = [t for t in since if t.due_s >= joined_s + FIRST_PERIOD_S]
 
         def level(period: list[PlacedCall], *, of_new: bool) -> float:
-            return service([t for t in period if (t.proxy == new) is of_new])
+            return service_level([t for t in period if (t.proxy == new) is of_new])
 
         at_new = [t for t in since if t.proxy == new]
         return JoinResult(
@@ -79,7 +79,7 @@
         start_s = joined_s + number
         window = [t for t in since if start_s <= t.due_s < start_s + STEADY_WINDOW_S]
         own, others = ([t for t in window if (t.proxy == new) is of_new] for of_new in (True, False))
-        if not own or not others or service(own) >= service(others) - STEADY_TOLERANCE:
+        if not own or not others or service_level(own) >= service_level(others) - STEADY_TOLERANCE:
             return float(number)
     return MEASURED_S
 
--- a/emulators/callers.py
+++ b/emulators/callers.py
@@ -169,7 +169,7 @@
         await self._tasks.end()
 
 
-def service(calls: list[PlacedCall]) -> float:
+def service_level(calls: list[PlacedCall]) -> float:
     """Return the weight of the served calls divided by the weight of all calls, or 1 without calls.
 
     A call that is answered after ``aim_s`` counts a tenth of its weight.
