--- a/emulators/front.py
+++ b/emulators/front.py
@@ -28,7 +28,7 @@
     return bool(messages) and messages[0].cause == READY_CAUSE
 
 
-async def until_passed(address: str, every_s: float = 0.25) -> None:
+async def wait_until_healthy(address: str, every_s: float = 0.25) -> None:
     """Test a proxy every ``every_s`` seconds until it passes."""
     while not await passes_test(address):
         await asyncio.sleep(every_s)
--- a/experiments/proxy_processes.py
+++ b/experiments/proxy_processes.py
@@ -13,7 +13,7 @@
 
 from emulators.callers import Callers
 from emulators.fleet import Fleet, Proxy
-from emulators.front import until_passed
+from emulators.front import wait_until_healthy
 from emulators.link import Link
 from emulators.postgresql import PostgresqlEmulator
 from experiments.plan import Variant
@@ -74,7 +74,7 @@
         proxy = await self._fleet.proxy(tag, int(name[1:]), EDGE_NAME=name, **environment)
         self.proxies[name] = proxy
         on_listening()
-        await until_passed(proxy.address, len(self.names) / HEALTH_TESTS_PER_S)
+        await wait_until_healthy(proxy.address, len(self.names) / HEALTH_TESTS_PER_S)
         await self._callers.add_proxy(proxy.address)
 
     async def kill(self, names: set[str]) -> None:
