--- a/emulators/front.py
+++ b/emulators/front.py
@@ -12,7 +12,7 @@
 READY_CAUSE = 1
 
 
-async def passes_test(address: str) -> bool:
+async def passes_health_test(address: str) -> bool:
     """Whether the proxy at this address answers within ``TEST_TIMEOUT_S`` that it is ready for callers."""
     writer = None
     try:
@@ -30,5 +30,5 @@
 
 async def wait_until_healthy(address: str, every_s: float = 0.25) -> None:
     """Test a proxy every ``every_s`` seconds until it passes."""
-    while not await passes_test(address):
+    while not await passes_health_test(address):
         await asyncio.sleep(every_s)
--- a/tests/test_cold_start.py
+++ b/tests/test_cold_start.py
@@ -17,7 +17,7 @@
 from canvasplank.config.configuration import ConfigurationError
 from emulators.callers import Callers
 from emulators.fleet import fleet
-from emulators.front import passes_test
+from emulators.front import passes_health_test
 from emulators.link import Link
 from emulators.server import CallServer
 from verification.spending import most_in
@@ -267,7 +267,7 @@
             assert len(processes.polls_since(started)) <= 2, "a connected proxy does not poll"
             assert (cut_link.connections - connections_before) / 4.0 <= 1.75 * polls_per_s
             assert {
-                proxy.name: await passes_test(proxy.address) for proxy in processes.started.proxies[:8]
+                proxy.name: await passes_health_test(proxy.address) for proxy in processes.started.proxies[:8]
             } == {proxy.name: proxy.name[0] == "n" for proxy in processes.started.proxies[:8]}
             cut_link.heal()
             assert await processes.wait_for_connections(count) <= 2 * count / polls_per_s + 2.0
