--- a/emulators/link.py
+++ b/emulators/link.py
@@ -76,13 +76,13 @@
         self.reset()
         await self._tasks.end()
 
-    def observe(self) -> LinkObserver | None:
+    def new_observer(self) -> LinkObserver | None:
         """Return the observer of a new connection, or None for a connection that is not observed."""
         return None
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.connections += 1
-        observer = self.observe()
+        observer = self.new_observer()
         requests = self._start_reading("there", reader, observer)
         self._writers.add(writer)
         try:
--- a/experiments/soak/observed_link.py
+++ b/experiments/soak/observed_link.py
@@ -144,7 +144,7 @@
         self.observer = observer
         self.observed: list[ObservedConnection] = []
 
-    def observe(self) -> ObservedConnection:
+    def new_observer(self) -> ObservedConnection:
         """See ``Link``."""
         connection = ObservedConnection(self.observer)
         self.observed.append(connection)
