--- a/emulators/fleet.py
+++ b/emulators/fleet.py
@@ -124,13 +124,14 @@
 class Fleet:
     """Emulated call servers and service discovery, and the proxies that were started.
 
-    ``in_configuration``, ``nice`` and ``discovery_for`` apply to the proxies that are started after a change.
+    ``endpoints_in_configuration``, ``nice`` and ``discovery_for`` apply to the proxies that are started after
+    a change.
     """
 
     def __init__(self, folder: Path, servers: list[CallServer], instances: int) -> None:
         self.folder, self.servers, self.instances = folder, servers, instances
         self.discovery = Discovery()
-        self.in_configuration = True  # whether a proxy's configuration contains the endpoint list
+        self.endpoints_in_configuration = True  # whether a proxy's configuration contains the endpoint list
         self.nice = 0  # of the proxies; above 0, this process has priority over them
         # The address of service discovery for a proxy, by the proxy's name.
         self.discovery_for: Callable[[str], str] = lambda _: self.discovery.address
@@ -167,7 +168,7 @@
         return service_settings(self.instances, len(hold_times_ms), sum(hold_times_ms) / len(hold_times_ms))
 
     def _configuration(self, name: str, address: str, seed: int) -> dict[str, Any]:
-        known = self.discovery.known() if self.in_configuration else {"rev": 0, "notices": []}
+        known = self.discovery.known() if self.endpoints_in_configuration else {"rev": 0, "notices": []}
         return example_configuration() | {
             "name": name,
             "listen": address,
--- a/experiments/experiment_run.py
+++ b/experiments/experiment_run.py
@@ -139,5 +139,5 @@
     ]
     with tempfile.TemporaryDirectory() as folder:
         async with fleet(Path(folder), servers, instances=size) as running_fleet:
-            running_fleet.in_configuration = False  # the proxies start without an endpoint list
+            running_fleet.endpoints_in_configuration = False  # the proxies start without an endpoint list
             return await ExperimentRun(experiment, variant, size, seed, running_fleet).run()
--- a/tests/test_cold_start.py
+++ b/tests/test_cold_start.py
@@ -174,7 +174,7 @@
     def __init__(self, folder, started, environment) -> None:
         self.folder, self.started, self.environment = folder, started, environment
         self.discovery = started.discovery
-        started.in_configuration = False  # only discovery names the servers
+        started.endpoints_in_configuration = False  # only discovery names the servers
 
     async def start(self, names) -> None:
         await asyncio.gather(
--- a/tests/test_endpoint_cache.py
+++ b/tests/test_endpoint_cache.py
@@ -220,7 +220,7 @@
         path, file = tmp_path / "servers.json", tmp_path / "membership.toml"
         file.write_text(f'path = "{path}"\n')
         async with fleet(tmp_path, [a, b, gone], 1) as started:
-            started.in_configuration = False
+            started.endpoints_in_configuration = False
             first = await started.proxy("n0", 1, CANVASPLANK_MEMBERSHIP=str(file))
             async with asyncio.timeout(WAIT_S):
                 while not path.exists():
--- a/tests/test_rendezvous_subset.py
+++ b/tests/test_rendezvous_subset.py
@@ -316,7 +316,7 @@
     async def run():
         servers = [CallServer(f"s-{n}", capacity_per_s=200.0, hold_ms=2500.0) for n in range(12)]
         async with fleet(tmp_path, servers, instances=count) as started:
-            started.in_configuration = False
+            started.endpoints_in_configuration = False
             await started.list(*servers[:-2])
             await asyncio.gather(
                 *(
