--- a/experiments/soak/deployment.py
+++ b/experiments/soak/deployment.py
@@ -31,7 +31,7 @@
     Scenario,
 )
 from experiments.soak.silent_callers import SilentCallers
-from verification.call_trace import CallTrace, Disturbed, ServerEvent, Told
+from verification.call_trace import CallTrace, Disturbed, DrainNotification, ServerEvent
 
 MS_PER_S = 1000.0
 LATENESS_INTERVAL_S = 0.01
@@ -447,7 +447,7 @@
         await self._publish([server])
         now_s = time.time()
         late_s = MAX_DISCOVERY_DELAY_S if now_s < self._discovery_disturbed_until_s else 0.0
-        self.trace.told.append(Told(server.name, now_s + late_s, now_s + duration_s))
+        self.trace.told.append(DrainNotification(server.name, now_s + late_s, now_s + duration_s))
 
     async def _publish(self, servers: list[ObservedServer], *, complete: bool = False) -> None:
         for proxy, discovery in enumerate(self._discoveries):
