--- a/experiments/soak/deployment.py
+++ b/experiments/soak/deployment.py
@@ -447,7 +447,9 @@
         await self._publish([server])
         now_s = time.time()
         late_s = MAX_DISCOVERY_DELAY_S if now_s < self._discovery_disturbed_until_s else 0.0
-        self.trace.told.append(DrainNotification(server.name, now_s + late_s, now_s + duration_s))
+        self.trace.drain_notifications.append(
+            DrainNotification(server.name, now_s + late_s, now_s + duration_s)
+        )
 
     async def _publish(self, servers: list[ObservedServer], *, complete: bool = False) -> None:
         for proxy, discovery in enumerate(self._discoveries):
--- a/tests/test_call_rules.py
+++ b/tests/test_call_rules.py
@@ -32,7 +32,7 @@
         ServerAttempt(ID, "b", 1.71, 1.99, End.ANSWERED),
     ]
     trace.established = [ServerCall(ID, "b", 1.99, released_by_server_s=5.0)]
-    trace.told = [DrainNotification("b", 1.5, 9.0)]
+    trace.drain_notifications = [DrainNotification("b", 1.5, 9.0)]
     trace.drains = [Drain("p", 10.0, 16.0, resumed=True)]
     trace.readiness = [Readiness("p", 15.0, False), Readiness("p", 17.0, True)]
     trace.held = [HeldConnection("p", 15.0, None, True, 13.0)]
@@ -83,7 +83,7 @@
 
 
 def sent_to_drained_server(t: CallTrace) -> None:
-    t.told = [DrainNotification("b", 1.4, 9.0)]
+    t.drain_notifications = [DrainNotification("b", 1.4, 9.0)]
 
 
 def no_release_to_caller(t: CallTrace) -> None:
--- a/verification/call_rules.py
+++ b/verification/call_rules.py
@@ -96,7 +96,7 @@
 def check_drained_servers(trace: CallTrace) -> Iterator[Violation]:
     """No server gets an attempt later than the grace period after the notification of its drain or end."""
     allowance_s = trace.drain_grace_s + SLACK_S + trace.max_lateness_s
-    for notification in trace.told:
+    for notification in trace.drain_notifications:
         for attempt in trace.attempts:
             if (
                 attempt.server == notification.server
--- a/verification/call_trace.py
+++ b/verification/call_trace.py
@@ -155,7 +155,7 @@
     calls: dict[str, CallerCall] = field(default_factory=dict)
     attempts: list[ServerAttempt] = field(default_factory=list)
     established: list[ServerCall] = field(default_factory=list)
-    told: list[DrainNotification] = field(default_factory=list)
+    drain_notifications: list[DrainNotification] = field(default_factory=list)
     drains: list[Drain] = field(default_factory=list)
     readiness: list[Readiness] = field(default_factory=list)
     held: list[HeldConnection] = field(default_factory=list)
