--- a/experiments/soak/deployment.py
+++ b/experiments/soak/deployment.py
@@ -31,7 +31,7 @@
     Scenario,
 )
 from experiments.soak.silent_callers import SilentCallers
-from verification.call_trace import CallTrace, Disturbed, DrainNotification, ServerEvent
+from verification.call_trace import CallTrace, DisturbedPeriod, DrainNotification, ServerEvent
 
 MS_PER_S = 1000.0
 LATENESS_INTERVAL_S = 0.01
@@ -420,7 +420,7 @@
 
     def _record_disturbance(self, server: ObservedServer, duration_s: float) -> None:
         now_s = time.time()
-        self.trace.disturbed.append(Disturbed(server.name, now_s, now_s + duration_s))
+        self.trace.disturbed.append(DisturbedPeriod(server.name, now_s, now_s + duration_s))
 
     async def _drain_server(self, server: ObservedServer) -> None:
         await self._publish_drain(server, "draining", SERVER_DRAIN_S)
--- a/tests/test_call_rules.py
+++ b/tests/test_call_rules.py
@@ -9,7 +9,7 @@
     Answer,
     CallerCall,
     CallTrace,
-    Disturbed,
+    DisturbedPeriod,
     Drain,
     DrainNotification,
     End,
@@ -223,7 +223,7 @@
 def test_a_release_to_an_unreachable_server_has_more_time():
     cut_off = valid_trace()
     no_release_to_server(cut_off)
-    cut_off.disturbed = [Disturbed("b", 2.5, 5.0)]
+    cut_off.disturbed = [DisturbedPeriod("b", 2.5, 5.0)]
     cut_off.established[0].released_by_proxy_s = 5.5
     assert check(cut_off) == []
 
--- a/verification/call_trace.py
+++ b/verification/call_trace.py
@@ -114,7 +114,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Disturbed:
+class DisturbedPeriod:
     """A period in which messages from and to a call server may have been held back or lost."""
 
     server: str
@@ -159,7 +159,7 @@
     drains: list[Drain] = field(default_factory=list)
     readiness: list[Readiness] = field(default_factory=list)
     held: list[HeldConnection] = field(default_factory=list)
-    disturbed: list[Disturbed] = field(default_factory=list)
+    disturbed: list[DisturbedPeriod] = field(default_factory=list)
     server_events: list[ServerEvent] = field(default_factory=list)
     # Times at which a process may have had no connection of a caller.
     unconnected_s: list[float] = field(default_factory=list)
