--- a/experiments/soak/observed_link.py
+++ b/experiments/soak/observed_link.py
@@ -131,7 +131,7 @@
         """Record that the server has stopped, which cuts the calls that it has not released."""
         for call in self._calls.values():
             if call.released_by_server_s is None:
-                call.cut_s = time.time()
+                call.server_gone_s = time.time()
 
 
 class ObservedLink(Link):
--- a/experiments/soak/report.py
+++ b/experiments/soak/report.py
@@ -60,7 +60,7 @@
             ends = [
                 (established.released_by_server_s, f"{server} releases the call"),
                 (established.released_by_proxy_s, f"{server} receives a release"),
-                (established.cut_s, f"{server} stops and cuts the call"),
+                (established.server_gone_s, f"{server} stops and cuts the call"),
             ]
             events += [(at_s, text) for at_s, text in ends if at_s is not None]
             events += _connection_events(trace, established)
--- a/verification/call_rules.py
+++ b/verification/call_rules.py
@@ -125,7 +125,7 @@
                 yield Violation("release to caller", text, call.call_id)
         caller_ended_s = call.abandoned_s
         limit_s = _limit_to_server_s(trace, served.server, caller_ended_s)
-        if caller_ended_s is not None and served.cut_s is None:
+        if caller_ended_s is not None and served.server_gone_s is None:
             due_s = max(caller_ended_s, served.established_s) + limit_s
             ended_s = min(served.released_by_server_s or trace.ended_s, trace.ended_s)
             if due_s < ended_s and (served.released_by_proxy_s or float("inf")) > due_s:
--- a/verification/call_trace.py
+++ b/verification/call_trace.py
@@ -71,7 +71,7 @@
     )
     released_by_server_s: float | None = None  # when a release that the proxy read passed the link
     released_by_proxy_s: float | None = None
-    cut_s: float | None = None  # when the server ended, and the call with it
+    server_gone_s: float | None = None  # when the server ended, and the call with it
 
 
 @dataclass(frozen=True, slots=True)
