--- a/experiments/soak/callers.py
+++ b/experiments/soak/callers.py
@@ -171,7 +171,7 @@
     async def _resend_set_up(self, call: CallerCall) -> None:
         connection = await self._connect() or await self._choose_connection()
         if connection is None:
-            call.abandoned_s = time.time()  # no process accepts connections, and none has to
+            call.ended_by_caller_s = time.time()  # no process accepts connections, and none has to
             return
         self._write_set_up(connection, call, CLASSES[0])
 
@@ -192,7 +192,7 @@
         connection = self._find_connection(call.call_id)
         if connection is None or call.call_id not in connection.open_set_ups:
             return
-        call.abandoned_s = time.time()
+        call.ended_by_caller_s = time.time()
         connection.remove_set_up(call.call_id)
         connection.writer.write(isup.release(call.call_id, ReleaseCause.NORMAL_CLEARING))
 
@@ -207,7 +207,7 @@
         if connection is None and self.connections:
             connection = self._rng.choice(self.connections)
         if connection is not None and not call.releases_s:
-            call.abandoned_s = time.time()
+            call.ended_by_caller_s = time.time()
             self._write_release(connection, call.call_id)
 
     def _write_release(self, connection: Connection, call_id: str) -> None:
@@ -240,13 +240,13 @@
             connection.established.discard(call.call_id)
             if call.served_s is not None:
                 call.releases_s.append(now_s)
-            elif call.abandoned_s is None or call.answers:
+            elif call.ended_by_caller_s is None or call.answers:
                 refused = message.cause in REFUSAL_CAUSES
                 self._on_final_answer(connection, call, Answer.REFUSED if refused else Answer.FAILED)
 
     def _on_final_answer(self, connection: Connection, call: CallerCall, answer: Answer) -> None:
         connection.remove_set_up(call.call_id)
-        if call.abandoned_s is None:
+        if call.ended_by_caller_s is None:
             call.answers.append((time.time(), answer))
 
     def held_connections(self, address: str, process: str, now_s: float) -> list[HeldConnection]:
--- a/experiments/soak/report.py
+++ b/experiments/soak/report.py
@@ -84,7 +84,7 @@
 
 def _caller_end_events(trace: CallTrace, call_id: str) -> list[tuple[float | None, str]]:
     call = trace.calls[call_id]
-    return [(call.abandoned_s, "caller ends the call"), (call.lost_s, "caller's connection ends")]
+    return [(call.ended_by_caller_s, "caller ends the call"), (call.lost_s, "caller's connection ends")]
 
 
 def _is_relevant(line: str, call_id: str | None) -> bool:
--- a/tests/test_call_rules.py
+++ b/tests/test_call_rules.py
@@ -55,7 +55,7 @@
 
 
 def given_up_after_the_deadline(t: CallTrace) -> None:
-    t.calls[ID].answers, t.calls[ID].abandoned_s, t.calls[ID].deadline_s = [], 4.3, 4.0
+    t.calls[ID].answers, t.calls[ID].ended_by_caller_s, t.calls[ID].deadline_s = [], 4.3, 4.0
 
 
 def connection_lost(t: CallTrace) -> None:
@@ -110,7 +110,7 @@
 
 
 def no_release_to_server(t: CallTrace) -> None:
-    t.calls[ID].abandoned_s, t.calls[ID].releases_s = 3.0, []
+    t.calls[ID].ended_by_caller_s, t.calls[ID].releases_s = 3.0, []
     t.established[0].released_by_server_s = None
 
 
--- a/verification/call_rules.py
+++ b/verification/call_rules.py
@@ -53,7 +53,7 @@
 
 def _waited_past_deadline(call: CallerCall, allowance_s: float, trace_ended_s: float) -> bool:
     """Whether the caller waited until past its deadline, instead of ending the call earlier."""
-    waited_until_s = trace_ended_s if call.abandoned_s is None else call.abandoned_s
+    waited_until_s = trace_ended_s if call.ended_by_caller_s is None else call.ended_by_caller_s
     return waited_until_s > call.deadline_s + allowance_s
 
 
@@ -123,7 +123,7 @@
             if released_s is None or released_s > ended_s + limit_s:
                 text = f"call {call.call_id}: its caller got no release in time from {served.server}"
                 yield Violation("release to caller", text, call.call_id)
-        caller_ended_s = call.abandoned_s
+        caller_ended_s = call.ended_by_caller_s
         limit_s = _limit_to_server_s(trace, served.server, caller_ended_s)
         if caller_ended_s is not None and served.server_gone_s is None:
             due_s = max(caller_ended_s, served.established_s) + limit_s
@@ -160,7 +160,7 @@
 
 def _is_established(call: CallerCall, at_s: float) -> bool:
     """Whether the call is established for its caller at this time."""
-    ended_s = min([*call.releases_s, call.abandoned_s or float("inf")], default=float("inf"))
+    ended_s = min([*call.releases_s, call.ended_by_caller_s or float("inf")], default=float("inf"))
     return call.served_s is not None and call.served_s <= at_s < ended_s
 
 
--- a/verification/call_trace.py
+++ b/verification/call_trace.py
@@ -36,7 +36,7 @@
     deadline_s: float  # until when the caller waits for an answer
     answers: list[tuple[float, Answer]] = field(default_factory=list)
     releases_s: list[float] = field(default_factory=list)  # received after the call was established
-    abandoned_s: float | None = None  # when the caller gave the call up or released it
+    ended_by_caller_s: float | None = None  # when the caller gave the call up or released it
     lost_s: float | None = None  # when its connection ended unanswered, and the set-up was not sent again
     resent: bool = False  # the end of its connection crossed the set-up, which was sent once more
     # Messages of the call, each with its time and the address of the proxy.
