--- a/experiments/soak/deployment.py
+++ b/experiments/soak/deployment.py
@@ -260,7 +260,7 @@
                 running = len([process for process in processes if process.running])
                 connected = any(connection.address == address for connection in self._callers.connections)
                 if running > 1 or (running and not connected):
-                    self.trace.unconnected_s.append(now_s)
+                    self.trace.no_connection_times_s.append(now_s)
                 if draining and running == 1:
                     self.trace.held += self._callers.held_connections(address, draining[0].name, now_s)
             self._callers.close_idle()
--- a/verification/call_rules.py
+++ b/verification/call_rules.py
@@ -136,7 +136,7 @@
 def _limit_to_caller_s(trace: CallTrace, ended_s: float | None) -> float:
     """The time limit for a release by the server at ``ended_s`` to reach the caller."""
     due_s = (ended_s or 0.0) + RELEASE_LIMIT_S
-    unsendable = any(ended_s is not None and ended_s <= at_s <= due_s for at_s in trace.unconnected_s)
+    unsendable = any(ended_s is not None and ended_s <= at_s <= due_s for at_s in trace.no_connection_times_s)
     limit_s = UNSENDABLE_RELEASE_LIMIT_S if unsendable else RELEASE_LIMIT_S
     return limit_s + SLACK_S + trace.max_lateness_s
 
--- a/verification/call_trace.py
+++ b/verification/call_trace.py
@@ -162,7 +162,7 @@
     disturbed: list[DisturbedPeriod] = field(default_factory=list)
     server_events: list[ServerEvent] = field(default_factory=list)
     # Times at which a process may have had no connection of a caller.
-    unconnected_s: list[float] = field(default_factory=list)
+    no_connection_times_s: list[float] = field(default_factory=list)
     refused_connections_s: list[float] = field(default_factory=list)  # while a process was ready
     processes: list[ProcessLife] = field(default_factory=list)
     max_lateness_s: float = 0.0  # of the peers' event loop
