--- a/verification/call_rules.py
+++ b/verification/call_rules.py
@@ -187,7 +187,7 @@
         during = held.process == drain.process and due_s < held.at_s < drain.until_s
         idle = held.request_age_s is None and not held.established
         # A set-up is answered on its connection: one with an open set-up at every moment had to stay open.
-        closable = due_s < held.free_s < held.at_s - allowance_s
+        closable = due_s < held.last_all_answered_s < held.at_s - allowance_s
         young = held.request_age_s is not None and held.request_age_s < MIN_DRAIN_SET_UP_AGE_S and closable
         if during and (idle or young):
             state = "an idle connection" if idle else "a connection with a new set-up"
--- a/verification/call_trace.py
+++ b/verification/call_trace.py
@@ -110,7 +110,9 @@
     at_s: float
     request_age_s: float | None  # age of its newest unanswered set-up; None if it has none
     established: bool  # whether it carries an established call
-    free_s: float  # when the number of its open set-ups last fell to 0; otherwise when it was opened
+    last_all_answered_s: (
+        float  # when the number of its open set-ups last fell to 0; otherwise when it was opened
+    )
 
 
 @dataclass(frozen=True, slots=True)
