--- a/experiments/observations.py
+++ b/experiments/observations.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-from verification.spending import Trace
+from verification.spending import ProcessTrace
 
 MS_PER_S = 1000.0
 
@@ -34,7 +34,7 @@
     total_per_s: float
     leased_per_s: float
     burst_ms: float
-    traces: list[Trace]
+    traces: list[ProcessTrace]
     start_ms: float  # start of the run on the clock of the traces
 
     def spent_at_s(self) -> list[float]:
--- a/tests/test_budgets_processes.py
+++ b/tests/test_budgets_processes.py
@@ -16,7 +16,7 @@
 from emulators.server import CallServer
 from emulators.tasks import Tasks
 from verification.memberships import read_history
-from verification.spending import Trace, most_shared, read_trace, used_per_s, worst_window
+from verification.spending import ProcessTrace, most_shared, read_trace, used_per_s, worst_window
 
 NAMES = [f"n{number}" for number in range(8)]
 PLAN = Plan()
@@ -62,7 +62,7 @@
         pytest.fail(f"{what}: {shares(shared)}")
 
 
-def traces_of(shared) -> list[Trace]:
+def traces_of(shared) -> list[ProcessTrace]:
     """Return the budget's traces of all processes, including those that have ended."""
     return [read_trace(path, "all") for path in shared.logs()]
 
--- a/tests/test_experiments.py
+++ b/tests/test_experiments.py
@@ -15,7 +15,7 @@
 from experiments.measures import Figure
 from experiments.observations import BudgetTrace, CallResult, ColdServer, Observations
 from experiments.plan import load_experiment
-from verification.spending import Trace
+from verification.spending import ProcessTrace
 
 MAX_RUNS, MAX_LOOP_LAG_MS = 5, 1500.0  # the lag is 0.2 to 0.7 s as a rule while 24 processes start
 SMALL_EXPERIMENT = """
@@ -87,8 +87,10 @@
 
     def test_budget_figures_of_a_budget_that_holds_and_of_one_that_is_violated(self):
         def ratios(second_start_ms: float) -> list[float | None]:
-            first = Trace("a", 0.5, [(0.0, 1000.0, 8.0)], [100.0 * n for n in range(10)])
-            second = Trace("b", 0.5, [(second_start_ms, 2000.0, 8.0)], [900.0 + 100.0 * n for n in range(10)])
+            first = ProcessTrace("a", 0.5, [(0.0, 1000.0, 8.0)], [100.0 * n for n in range(10)])
+            second = ProcessTrace(
+                "b", 0.5, [(second_start_ms, 2000.0, 8.0)], [900.0 + 100.0 * n for n in range(10)]
+            )
             traces = [first, second]
             observations = Observations(2, 10.0, budgets={"all": BudgetTrace(10.0, 9.0, 100.0, traces, 0.0)})
             return [
--- a/tests/test_lease_verification.py
+++ b/tests/test_lease_verification.py
@@ -12,7 +12,7 @@
 from canvasplank.fleet.lease_messages import Grant
 from canvasplank.fleet.state import FleetState, Member
 from verification.leases import TOTAL, Bounds, Explorer
-from verification.spending import Trace, most_shared, worst_window
+from verification.spending import ProcessTrace, most_shared, worst_window
 
 
 def apply_without_checks(state, request, *, dropped=()):
@@ -109,11 +109,11 @@
     """Traces that violate an invariant are detected."""
 
     def test_overlapping_shares_are_found(self):
-        one = Trace("a", shares=[(0.0, 100.0, 30.0)])
-        assert most_shared([one, Trace("b", shares=[(100.0, 200.0, 30.0)])]) == 30.0
-        assert most_shared([one, Trace("b", shares=[(99.0, 200.0, 30.0)])]) == 60.0
+        one = ProcessTrace("a", shares=[(0.0, 100.0, 30.0)])
+        assert most_shared([one, ProcessTrace("b", shares=[(100.0, 200.0, 30.0)])]) == 30.0
+        assert most_shared([one, ProcessTrace("b", shares=[(99.0, 200.0, 30.0)])]) == 60.0
 
     def test_a_window_above_the_total_is_found(self):
-        even = [Trace("a", spent=[100.0 * n for n in range(50)])]
+        even = [ProcessTrace("a", spent=[100.0 * n for n in range(50)])]
         assert worst_window(even, 10.0, 250.0) <= 1
-        assert worst_window([*even, Trace("b", spent=[2000.0 + n for n in range(5)])], 10.0, 250.0) > 2
+        assert worst_window([*even, ProcessTrace("b", spent=[2000.0 + n for n in range(5)])], 10.0, 250.0) > 2
--- a/verification/spending.py
+++ b/verification/spending.py
@@ -17,7 +17,7 @@
 
 
 @dataclass(slots=True)
-class Trace:
+class ProcessTrace:
     """The budget events of one process: times in ms of ``CLOCK_BOOTTIME``, rates in units a second."""
 
     process: str
@@ -26,12 +26,12 @@
     spent: list[float] = field(default_factory=list)  # the time of each unit
 
 
-def read_trace(path: Path, budget: str) -> Trace:
+def read_trace(path: Path, budget: str) -> ProcessTrace:
     """Read the events of one budget from a log of JSON lines.
 
     A line that is incomplete, for example after SIGKILL, is skipped.
     """
-    trace = Trace(path.stem)
+    trace = ProcessTrace(path.stem)
     for line in path.read_text().splitlines():
         try:
             event = json.loads(line)
@@ -48,7 +48,7 @@
     return trace
 
 
-def most_shared(traces: Iterable[Trace]) -> float:
+def most_shared(traces: Iterable[ProcessTrace]) -> float:
     """The maximum, over all instants, of the sum of the leased shares, in units a second."""
     changes: list[tuple[float, float]] = []
     for trace in traces:
@@ -62,7 +62,7 @@
     return maximum
 
 
-def worst_window(traces: Iterable[Trace], total_per_s: float, burst_ms: float) -> float:
+def worst_window(traces: Iterable[ProcessTrace], total_per_s: float, burst_ms: float) -> float:
     """The maximum, over all windows, of the units spent in excess of the total and the burst.
 
     The invariant allows an excess of one unit for each process, which it may have saved up.
@@ -79,7 +79,7 @@
     return worst - total_per_s * burst_ms / MILLI if spent_ms else 0.0
 
 
-def used_per_s(traces: Iterable[Trace], start_ms: float, end_ms: float) -> float:
+def used_per_s(traces: Iterable[ProcessTrace], start_ms: float, end_ms: float) -> float:
     """Units a second that all processes together spent from ``start_ms`` up to, but excluding, ``end_ms``."""
     count = sum(start_ms <= at_ms < end_ms for trace in traces for at_ms in trace.spent)
     return count * MILLI / (end_ms - start_ms)
