--- a/benchmarks/budgets.py
+++ b/benchmarks/budgets.py
@@ -37,7 +37,7 @@
 from emulators.fleet import fleet
 from emulators.postgresql import PostgresqlEmulator
 from emulators.server import CallServer
-from verification.spending import most_shared, read_trace, used_per_s, worst_window
+from verification.spending import max_leased_per_s, read_trace, used_per_s, worst_window
 
 PLAN = Plan(total_per_s=160.0, reserve_fraction=0.1, max_members=128, lease_ms=3000.0, renew_ms=1000.0)
 REACHED_FRACTION = 0.8  # a share counts as reached from this fraction of the share that is due
@@ -241,7 +241,7 @@
                 "faults: most that shares summed to",
                 size,
                 f"of {PLAN.total_per_s * 0.9:g} a second",
-                most_shared(traces),
+                max_leased_per_s(traces),
             ),
             Measurement(
                 "faults: worst window over the whole",
--- a/experiments/measures.py
+++ b/experiments/measures.py
@@ -8,7 +8,7 @@
 from hdrh.histogram import HdrHistogram
 
 from experiments.observations import BudgetTrace, CallResult, ColdServer, Observations
-from verification.spending import most_in, most_shared, worst_window
+from verification.spending import max_leased_per_s, most_in, worst_window
 
 HISTOGRAM_MAX_MS, HISTOGRAM_DIGITS = 60_000, 3
 US_PER_MS = 1000
@@ -170,7 +170,7 @@
         Figure(
             f"budget {name}: shares at any instant, most, over what may be leased",
             "",
-            most_shared(budget.traces) / budget.leased_per_s if budget.leased_per_s else 0.0,
+            max_leased_per_s(budget.traces) / budget.leased_per_s if budget.leased_per_s else 0.0,
         ),
         Figure(
             f"budget {name}: spent past the whole in any window, over one unit a process",
--- a/tests/test_budgets_processes.py
+++ b/tests/test_budgets_processes.py
@@ -16,7 +16,7 @@
 from emulators.server import CallServer
 from emulators.tasks import Tasks
 from verification.memberships import read_history
-from verification.spending import ProcessTrace, most_shared, read_trace, used_per_s, worst_window
+from verification.spending import ProcessTrace, max_leased_per_s, read_trace, used_per_s, worst_window
 
 NAMES = [f"n{number}" for number in range(8)]
 PLAN = Plan()
@@ -83,7 +83,7 @@
         while sum(len(trace.spent) for trace in traces_of(shared)) <= MIN_UNITS_SPENT:
             await asyncio.sleep(0.05)
     traces = traces_of(shared)
-    assert most_shared(traces) <= LEASED_PER_S + 1e-6
+    assert max_leased_per_s(traces) <= LEASED_PER_S + 1e-6
     unleased_per_s = sum(trace.own for trace in traces if trace.spent or trace.shares)
     assert unleased_per_s <= PLAN.total_per_s * PLAN.reserve_fraction + 1e-6
     assert worst_window(traces, PLAN.total_per_s, PLAN.burst_ms) <= len(traces)
--- a/tests/test_lease_verification.py
+++ b/tests/test_lease_verification.py
@@ -12,7 +12,7 @@
 from canvasplank.fleet.lease_messages import Grant
 from canvasplank.fleet.state import FleetState, Member
 from verification.leases import TOTAL, Bounds, Explorer
-from verification.spending import ProcessTrace, most_shared, worst_window
+from verification.spending import ProcessTrace, max_leased_per_s, worst_window
 
 
 def apply_without_checks(state, request, *, dropped=()):
@@ -110,8 +110,8 @@
 
     def test_overlapping_shares_are_found(self):
         one = ProcessTrace("a", shares=[(0.0, 100.0, 30.0)])
-        assert most_shared([one, ProcessTrace("b", shares=[(100.0, 200.0, 30.0)])]) == 30.0
-        assert most_shared([one, ProcessTrace("b", shares=[(99.0, 200.0, 30.0)])]) == 60.0
+        assert max_leased_per_s([one, ProcessTrace("b", shares=[(100.0, 200.0, 30.0)])]) == 30.0
+        assert max_leased_per_s([one, ProcessTrace("b", shares=[(99.0, 200.0, 30.0)])]) == 60.0
 
     def test_a_window_above_the_total_is_found(self):
         even = [ProcessTrace("a", spent=[100.0 * n for n in range(50)])]
--- a/verification/spending.py
+++ b/verification/spending.py
@@ -48,7 +48,7 @@
     return trace
 
 
-def most_shared(traces: Iterable[ProcessTrace]) -> float:
+def max_leased_per_s(traces: Iterable[ProcessTrace]) -> float:
     """The maximum, over all instants, of the sum of the leased shares, in units a second."""
     changes: list[tuple[float, float]] = []
     for trace in traces:
