--- a/experiments/measures.py
+++ b/experiments/measures.py
@@ -8,7 +8,7 @@
 from hdrh.histogram import HdrHistogram
 
 from experiments.observations import BudgetTrace, CallResult, ColdServer, Observations
-from verification.spending import max_leased_per_s, most_in, worst_window
+from verification.spending import max_count_in_window, max_leased_per_s, worst_window
 
 HISTOGRAM_MAX_MS, HISTOGRAM_DIGITS = 60_000, 3
 US_PER_MS = 1000
@@ -107,8 +107,12 @@
 
 def _server_figures(observations: Observations) -> list[Figure]:
     open_connections = observations.open_connections.values()
-    accepted = max((most_in(sorted(times), 1.0) for times in observations.connected_at_s.values()), default=0)
-    set_ups = max((most_in(sorted(times), 0.1) for times in observations.set_ups_at_s.values()), default=0)
+    accepted = max(
+        (max_count_in_window(sorted(times), 1.0) for times in observations.connected_at_s.values()), default=0
+    )
+    set_ups = max(
+        (max_count_in_window(sorted(times), 0.1) for times in observations.set_ups_at_s.values()), default=0
+    )
     figures = [
         Figure("connections at a server, most in 1 s", "", accepted),
         Figure("connections at a server at the end, most", "", max(open_connections, default=0)),
@@ -145,8 +149,8 @@
     """Return the poll rates and, after a fault of service discovery, when the proxies had a list again."""
     polls = sorted(observations.polled_at_s)
     figures = [
-        Figure("polls, most in 0.1 s", "", most_in(polls, 0.1)),
-        Figure("polls, most in 1 s", "", most_in(polls, 1.0)),
+        Figure("polls, most in 0.1 s", "", max_count_in_window(polls, 0.1)),
+        Figure("polls, most in 1 s", "", max_count_in_window(polls, 1.0)),
     ]
     if recovered_s is None:
         return figures
@@ -160,7 +164,7 @@
         needed = max(1, round(fraction * observations.proxies))
         delay_s = listed[needed - 1] - recovered_s if len(listed) >= needed else None
         figures.append(Figure(f"{fraction:.0%} have the list after its return", "s", delay_s))
-    return [*figures, Figure("polls after its return, most in 0.1 s", "", most_in(after, 0.1))]
+    return [*figures, Figure("polls after its return, most in 0.1 s", "", max_count_in_window(after, 0.1))]
 
 
 def _budget_figures(name: str, budget: BudgetTrace, duration_s: float) -> list[Figure]:
--- a/tests/test_cold_start.py
+++ b/tests/test_cold_start.py
@@ -20,7 +20,7 @@
 from emulators.front import passes_health_test
 from emulators.link import Link
 from emulators.server import CallServer
-from verification.spending import most_in
+from verification.spending import max_count_in_window
 
 FLEET_FILE = """backend = "sqlite"
 path = "{path}"
@@ -61,9 +61,11 @@
         times = poll_times(create_backoffs(count), settling_ms + measured_ms)
         measured = [at for at in times if at > settling_ms]
         assert 0.85 * 30 <= 1000 * len(measured) / measured_ms <= 1.15 * 30
-        assert most_in(times, 100.0) <= 26 and most_in(times, 1000.0) <= 140  # 75 first polls and 30 others
+        assert (
+            max_count_in_window(times, 100.0) <= 26 and max_count_in_window(times, 1000.0) <= 140
+        )  # 75 first polls and 30 others
         after_the_first = [at for at in times if at > 1000 * count / 75]
-        assert most_in(after_the_first, 1000.0) <= 60
+        assert max_count_in_window(after_the_first, 1000.0) <= 60
 
     @pytest.mark.parametrize("count", [100, 300, 5000])
     def test_no_delay_is_much_longer_than_the_poll_period(self, count):
@@ -81,7 +83,7 @@
             backoff.retry_delay()
             backoff.reset()
         waits = sorted(backoff.retry_delay() for backoff in backoffs)
-        assert most_in(waits, 1000.0) <= 45 and waits[-1] <= 10_000.0
+        assert max_count_in_window(waits, 1000.0) <= 45 and waits[-1] <= 10_000.0
 
     def test_a_small_fleet_uses_exponential_backoff_with_jitter(self):
         [backoff] = create_backoffs(1)
@@ -97,7 +99,7 @@
 
     def test_retry_after_is_honoured_and_the_polls_after_it_are_spread(self):
         waits = sorted(backoff.retry_delay(0.0, retry_after_ms=4000.0) for backoff in create_backoffs(300))
-        assert waits[0] >= 4000.0 and most_in(waits, 100.0) <= 24
+        assert waits[0] >= 4000.0 and max_count_in_window(waits, 100.0) <= 24
         assert (
             create_backoffs(300)[0].retry_delay(0.0, retry_after_ms=1e9) <= MAX_RETRY_AFTER_MS + 20_000.0
         ), "a long Retry-After is limited"
@@ -233,11 +235,11 @@
             await asyncio.sleep(5.0)
             # 24 processes send 8 polls per second; with exponential backoff alone they would send 30.
             assert len(processes.polls_since(started)) / 5.0 <= 1.75 * polls_per_s
-            assert most_in(sorted(processes.discovery.polls), 0.1) <= 12
+            assert max_count_in_window(sorted(processes.discovery.polls), 0.1) <= 12
             processes.discovery.closes_connections = False
             recovered_s = now_s()
             recovery_s = await processes.wait_for_connections(count)
-            assert most_in(processes.polls_since(recovered_s), 0.1) <= 12, (
+            assert max_count_in_window(processes.polls_since(recovered_s), 0.1) <= 12, (
                 "the recovery causes no burst of polls"
             )
             assert recovery_s <= (5.0 if with_fleet_store else 2 * count / polls_per_s + 2.0)
--- a/verification/spending.py
+++ b/verification/spending.py
@@ -85,7 +85,7 @@
     return count * MILLI / (end_ms - start_ms)
 
 
-def most_in(times: Sequence[float], window: float) -> int:
+def max_count_in_window(times: Sequence[float], window: float) -> int:
     """The maximum number of ``times``, which are sorted, in any window of the length ``window``."""
     maximum = first = 0
     for last, at in enumerate(times):
