--- a/benchmarks/budgets.py
+++ b/benchmarks/budgets.py
@@ -37,7 +37,7 @@
 from emulators.fleet import fleet
 from emulators.postgresql import PostgresqlEmulator
 from emulators.server import CallServer
-from verification.spending import max_leased_per_s, read_trace, used_per_s, worst_window
+from verification.spending import max_leased_per_s, max_window_excess, read_trace, used_per_s
 
 PLAN = Plan(total_per_s=160.0, reserve_fraction=0.1, max_members=128, lease_ms=3000.0, renew_ms=1000.0)
 REACHED_FRACTION = 0.8  # a share counts as reached from this fraction of the share that is due
@@ -247,7 +247,7 @@
                 "faults: worst window over the whole",
                 size,
                 f"units, {len(traces)} allowed",
-                worst_window(traces, PLAN.total_per_s, PLAN.burst_ms),
+                max_window_excess(traces, PLAN.total_per_s, PLAN.burst_ms),
             ),
             Measurement("faults: units spent", size, "", float(sum(len(trace.spent) for trace in traces))),
         ]
--- a/experiments/measures.py
+++ b/experiments/measures.py
@@ -8,7 +8,7 @@
 from hdrh.histogram import HdrHistogram
 
 from experiments.observations import BudgetTrace, CallResult, ColdServer, Observations
-from verification.spending import max_count_in_window, max_leased_per_s, worst_window
+from verification.spending import max_count_in_window, max_leased_per_s, max_window_excess
 
 HISTOGRAM_MAX_MS, HISTOGRAM_DIGITS = 60_000, 3
 US_PER_MS = 1000
@@ -179,7 +179,7 @@
         Figure(
             f"budget {name}: spent past the whole in any window, over one unit a process",
             "",
-            worst_window(budget.traces, budget.total_per_s, budget.burst_ms) / processes,
+            max_window_excess(budget.traces, budget.total_per_s, budget.burst_ms) / processes,
         ),
         Figure(
             f"budget {name}: spent of the whole",
--- a/tests/test_budgets_processes.py
+++ b/tests/test_budgets_processes.py
@@ -16,7 +16,7 @@
 from emulators.server import CallServer
 from emulators.tasks import Tasks
 from verification.memberships import read_history
-from verification.spending import ProcessTrace, max_leased_per_s, read_trace, used_per_s, worst_window
+from verification.spending import ProcessTrace, max_leased_per_s, max_window_excess, read_trace, used_per_s
 
 NAMES = [f"n{number}" for number in range(8)]
 PLAN = Plan()
@@ -86,7 +86,7 @@
     assert max_leased_per_s(traces) <= LEASED_PER_S + 1e-6
     unleased_per_s = sum(trace.own for trace in traces if trace.spent or trace.shares)
     assert unleased_per_s <= PLAN.total_per_s * PLAN.reserve_fraction + 1e-6
-    assert worst_window(traces, PLAN.total_per_s, PLAN.burst_ms) <= len(traces)
+    assert max_window_excess(traces, PLAN.total_per_s, PLAN.burst_ms) <= len(traces)
     assert not read_history(shared.logs()).removed_too_early()
 
 
--- a/tests/test_lease_verification.py
+++ b/tests/test_lease_verification.py
@@ -12,7 +12,7 @@
 from canvasplank.fleet.lease_messages import Grant
 from canvasplank.fleet.state import FleetState, Member
 from verification.leases import TOTAL, Bounds, Explorer
-from verification.spending import ProcessTrace, max_leased_per_s, worst_window
+from verification.spending import ProcessTrace, max_leased_per_s, max_window_excess
 
 
 def apply_without_checks(state, request, *, dropped=()):
@@ -115,5 +115,8 @@
 
     def test_a_window_above_the_total_is_found(self):
         even = [ProcessTrace("a", spent=[100.0 * n for n in range(50)])]
-        assert worst_window(even, 10.0, 250.0) <= 1
-        assert worst_window([*even, ProcessTrace("b", spent=[2000.0 + n for n in range(5)])], 10.0, 250.0) > 2
+        assert max_window_excess(even, 10.0, 250.0) <= 1
+        assert (
+            max_window_excess([*even, ProcessTrace("b", spent=[2000.0 + n for n in range(5)])], 10.0, 250.0)
+            > 2
+        )
--- a/verification/spending.py
+++ b/verification/spending.py
@@ -62,7 +62,7 @@
     return maximum
 
 
-def worst_window(traces: Iterable[ProcessTrace], total_per_s: float, burst_ms: float) -> float:
+def max_window_excess(traces: Iterable[ProcessTrace], total_per_s: float, burst_ms: float) -> float:
     """The maximum, over all windows, of the units spent in excess of the total and the burst.
 
     The invariant allows an excess of one unit for each process, which it may have saved up.
