--- a/tests/test_budgets_processes.py
+++ b/tests/test_budgets_processes.py
@@ -84,7 +84,7 @@
             await asyncio.sleep(0.05)
     traces = traces_of(shared)
     assert max_leased_per_s(traces) <= LEASED_PER_S + 1e-6
-    unleased_per_s = sum(trace.own for trace in traces if trace.spent or trace.shares)
+    unleased_per_s = sum(trace.unleased_per_s for trace in traces if trace.spent or trace.shares)
     assert unleased_per_s <= PLAN.total_per_s * PLAN.reserve_fraction + 1e-6
     assert max_window_excess(traces, PLAN.total_per_s, PLAN.burst_ms) <= len(traces)
     assert not read_history(shared.logs()).removed_too_early()
@@ -156,7 +156,7 @@
         ):
             await asyncio.sleep(0.05)
     now_ms, traces = boottime_ms(), traces_of(shared)
-    unleased_per_s, for_s = sum(trace.own for trace in traces), (now_ms - expired_ms) / 1000
+    unleased_per_s, for_s = sum(trace.unleased_per_s for trace in traces), (now_ms - expired_ms) / 1000
     assert used_per_s(traces, expired_ms, now_ms) * for_s <= unleased_per_s * for_s + len(traces), (
         "each proxy may use its unleased quota and one unit left in its token bucket"
     )
--- a/verification/spending.py
+++ b/verification/spending.py
@@ -21,7 +21,7 @@
     """The budget events of one process: times in ms of ``CLOCK_BOOTTIME``, rates in units a second."""
 
     process: str
-    own: float = 0.0  # the unleased quota
+    unleased_per_s: float = 0.0  # the unleased quota
     shares: list[tuple[float, float, float]] = field(default_factory=list)  # start, end and rate of each
     spent: list[float] = field(default_factory=list)  # the time of each unit
 
@@ -38,7 +38,7 @@
         except ValueError:
             continue
         if event.get("event") == "budget.share" and event["budget"] == budget:
-            trace.own = event["own"] / MILLI
+            trace.unleased_per_s = event["own"] / MILLI
             if trace.shares:  # the previous share ends at this event at the latest
                 start_ms, until_ms, share = trace.shares[-1]
                 trace.shares[-1] = start_ms, min(until_ms, event["at_ms"]), share
