--- a/canvasplank/interface.py
+++ b/canvasplank/interface.py
@@ -35,7 +35,7 @@
 
     ENDED = "ended"  # the call was established, and released normally
     ERROR = "error"  # the number is busy, or a signalling fault
-    FULL = "full"  # rejected: the processor (or the pool) was full
+    FULL = "full"  # rejected: the processor was full, or no circuit was free
     TIMED_OUT = "timed out"
     NO_CONNECTION = "no connection"
     RESET = "reset"  # the set-up or the established call was cut off
--- a/canvasplank/policy/call_queue.py
+++ b/canvasplank/policy/call_queue.py
@@ -7,7 +7,7 @@
 from canvasplank.policy.leaky_bucket import HIGHEST_THRESHOLD, LOWEST_THRESHOLD
 from canvasplank.policy.server import Server
 
-# A final answer is sent MARGIN_MS plus MARGIN_TICKS ticks before the caller's deadline.
+# A call that is still unserved fails MARGIN_MS plus MARGIN_TICKS ticks before its caller's deadline.
 MARGIN_MS = 25.0
 MARGIN_TICKS = 2
 MARGIN_FRACTION = 0.1  # of the caller's wait, where that is less than MARGIN_MS
@@ -20,7 +20,7 @@
 
 
 class CallRecord:
-    """One call and its attempts; it stays until its final answer, or its end where it is established."""
+    """One call and its attempts, kept until its final answer or, if it is established, until its end."""
 
     def __init__(self, call: api.Call, call_class: api.CallClass, context: DecisionContext) -> None:
         self.request = call
@@ -37,8 +37,8 @@
         self.failed_server_id: str | None = None  # server of its latest failed attempt
         self.server: Server | None = None  # server of its attempt in flight
 
-    def is_in_flight(self, event: api.Established | api.AttemptEnded) -> bool:
-        """Return whether the event is about the attempt in flight; a repeated event is not."""
+    def concerns_attempt_in_flight(self, event: api.Established | api.AttemptEnded) -> bool:
+        """Return whether the event concerns the attempt in flight; a repeated event does not."""
         return self.server is not None and event.attempt == self.attempts - 1
 
     def weight(self, now_ms: float) -> float:
@@ -48,15 +48,15 @@
 
 
 class CallQueue:
-    """The calls without a final answer, the bucket threshold of each, and what is remembered for retries."""
+    """The unanswered calls, their bucket thresholds, and the state for redials, busy numbers and quotas."""
 
     def __init__(self, context: DecisionContext) -> None:
         self._context = context
         settings = context.settings
         self.calls: dict[str, CallRecord] = {}  # all without a final answer
         self.waiting: dict[str, CallRecord] = {}  # those of ``calls`` without an attempt in flight
-        # Unserved calls, by number and class, oldest entry first: time of the first attempt, time of the
-        # entry, quota weight.
+        # Unserved calls that may be redialled, by number and class, oldest entry first: arrival of the first
+        # call, time of the entry, quota weight.
         self.redials: OrderedDict[tuple[str | None, str], tuple[float, float, float]] = OrderedDict()
         # Busy numbers: time of the next attempt, backoff (ms).
         self.busy_numbers: dict[str | None, tuple[float, float]] = {}
@@ -72,7 +72,11 @@
         self.trial_threshold = self._thresholds[min(c.weight for c in settings.classes)]
 
     def add(self, call: CallRecord) -> None:
-        """Exception (redials): a redial of the same number and class keeps its first target and quota."""
+        """Add a new call.
+
+        Exception (redials): a redial of the same number and class keeps the first call's target time and
+        quota weight.
+        """
         request = call.request
         key = (call.request.number, call.request.class_name)
         self.calls[request.id] = call
@@ -82,7 +86,11 @@
             call.first_ms, _, call.quota_weight = self.redials.pop(key)
 
     def _take_credit(self, tenant: str | None) -> float:
-        """Exception (tenants' quotas): a call credits all tenants their fractions and costs its own one."""
+        """Return the quota weight of a tenant's call.
+
+        Exception (tenants' quotas): each call adds to every tenant's credit its fraction of the quotas, and
+        takes 1 from its own tenant's credit if that is at least 1.
+        """
         if tenant is None or tenant not in self._fractions:
             return 1.0
         for name, fraction in self._fractions.items():
@@ -110,14 +118,15 @@
         return self._thresholds[call.weight(self._context.now_ms)]
 
     def rank(self, call: CallRecord) -> tuple[float, float]:
-        """Return the sort key of the queue: the weight, then the arrival; the newest has most time left."""
+        """Return the sort key: the weight, then the arrival, as the newest has most time to its target."""
         return call.weight(self._context.now_ms), call.arrived_ms
 
     def is_number_busy(self, number: str | None) -> bool:
+        """Return whether the backoff of a busy number is still running."""
         return self.busy_numbers.get(number, (0.0, 0.0))[0] > self._context.now_ms
 
     def on_number_busy(self, number: str | None) -> None:
-        """Exception (busy numbers): no server has a line to it, so attempts wait for a doubling backoff."""
+        """Exception (busy numbers): no server has a free line; calls are refused for a doubling backoff."""
         if number is not None:
             _, backoff_ms = self.busy_numbers.pop(number, (0.0, INITIAL_BUSY_MS))
             self.busy_numbers[number] = self._context.now_ms + backoff_ms, min(2 * backoff_ms, MAX_BUSY_MS)
--- a/canvasplank/policy/controller.py
+++ b/canvasplank/policy/controller.py
@@ -22,11 +22,11 @@
         self._established: dict[str, CallRecord] = {}  # calls, from their answer until their end
 
     def learned_servers(self) -> list[api.LearnedServer]:
-        """Return what a new instance may use for its start."""
+        """Return what was learned about each server, for the start of another instance."""
         return [server.learned() for server in self._servers.values()]
 
     def handle(self, now_ms: float, event: api.Event) -> list[api.Action]:
-        """Handle one event at a time in ms; return the actions to carry out, in this order."""
+        """Handle one event that occurs at ``now_ms``; return the actions, to be carried out in order."""
         self._context.start_event(now_ms)
         match event:
             case api.Call() if event.id not in self._calls and event.id not in self._established:
@@ -64,7 +64,7 @@
 
     def _on_established(self, event: api.Established) -> None:
         if (call := self._calls.get(event.call_id)) is not None:
-            if not call.is_in_flight(event):
+            if not call.concerns_attempt_in_flight(event):
                 return
             self._established[event.call_id] = self._calls.pop(event.call_id)
             self._queue.busy_numbers.pop(call.request.number, None)
@@ -74,13 +74,13 @@
             self._wake_for_queue()
 
     def _wake_for_queue(self) -> None:
-        """Request a check of the queue, as a server has room again; the rest of the batch is read first."""
+        """Check the queue in a tick, after the rest of the batch: a server may have room again."""
         if self._queue.waiting:
             self._context.wake_at(self._context.now_ms + self._context.tick_ms)
 
     def _on_ended(self, event: api.AttemptEnded) -> None:
         call = self._calls.get(event.call_id) or self._established.get(event.call_id)
-        if call is not None and not call.is_in_flight(event):
+        if call is not None and not call.concerns_attempt_in_flight(event):
             return
         established = self._established.pop(event.call_id, None) is not None
         if call is not None and established and not event.finished:  # a cancel crossed the answer
@@ -105,7 +105,7 @@
             self._offer(call)
 
     def _refuse(self, call: CallRecord) -> None:
-        """Refuse a call, with a random wait in the upper half, so that callers do not all retry at once."""
+        """Refuse a call with a random wait, half to all of the maximum, to spread the callers' retries."""
         self._queue.remove(call)
         wait_ms = self._settings.retry_after_max_ms
         spread_ms = wait_ms and wait_ms * self._context.rng.uniform(0.5, 1.0)
@@ -135,7 +135,7 @@
         self._context.wake_at(next_ms)
 
     def _check_attempt(self, call: CallRecord, server: Server) -> float:
-        """Cancel an attempt that will not be answered; return when to check again."""
+        """Fail a call at its deadline, or cancel an attempt that is lost; return when to check again."""
         now_ms = self._context.now_ms
         settings = self._settings
         if now_ms >= call.deadline_ms:
@@ -196,7 +196,7 @@
         if self._servers.get(entry.id) is not server or entry.state is not api.ServerState.READY:
             return False  # 3: only to a ready server of the list
         if server.slow_start.ready_at_ms() > now_ms or now_ms < call.not_before_ms:
-            return False  # 4: the budget of a cold server; 5: only after the release
+            return False  # 4: within a cold server's budget; 5: after the release
         if self._router.budget_at_ms(server, call, take=True) > now_ms:  # the fleet's budgets
             return False
         server.on_sent(call_id)
--- a/canvasplank/policy/decision_context.py
+++ b/canvasplank/policy/decision_context.py
@@ -6,7 +6,7 @@
 from canvasplank.policy.leaky_bucket import NEVER
 
 CONGESTION_FRACTION = 0.5  # of the harmful wait: a slower answer is a sign of congestion
-STALL_TICKS = 4  # a timer later than this shows that this gateway did not run meanwhile
+STALL_TICKS = 4  # a timer that fires later than this shows that this gateway did not run meanwhile
 
 
 class DecisionContext:
@@ -18,7 +18,7 @@
         self.now_ms = 0.0
         self.resumed_ms = -1.0  # when a standstill of this gateway was last noticed
         self.actions: list[api.Action] = []
-        # The last reported circuits and capacity (set-ups/s) of a server in each pool.
+        # By pool: the circuits and the capacity (set-ups/s) that one of its servers reported last.
         self.pool_reports: dict[int, tuple[float | None, float | None]] = {}
         self.tick_ms = max(settings.tick_ms, 1.0)
         target_ms = min(c.target_ms for c in settings.classes)
@@ -41,7 +41,7 @@
             self.wake_at(self.now_ms + self.tick_ms)
 
     def wake_at(self, at_ms: float) -> None:
-        """Request a check at this time at the latest; only one timer is current, the earliest."""
+        """Request a check at this time, or in a tick if that is later; only the earliest timer is current."""
         if at_ms < self._wakeup_ms:
             self._wakeup_ms = max(at_ms, self.now_ms + self.tick_ms)
             self._wakeups += 1
--- a/canvasplank/policy/rate_control.py
+++ b/canvasplank/policy/rate_control.py
@@ -7,8 +7,10 @@
 
 MIN_RATE_PER_S = 1.0  # lowest rate after a cut, and least growth per quiet second; times ``fleet_fraction()``
 GROWTH_FRACTION = 0.1  # growth per quiet second, as a fraction of the rate
-MAX_LEAK_SHARES = 1.5  # bound on the leak rate, as a multiple of the even share or the answered rate
-MAX_LEAK_MULTIPLE = 4.0  # the same of the answered rate, with MIN_ANSWERS in the window; the higher counts
+# The leak rate is at most MAX_LEAK_SHARES times the even share or the answered rate, whichever is higher.
+# With MIN_ANSWERS in the window it may reach MAX_LEAK_MULTIPLE times the answered rate.
+MAX_LEAK_SHARES = 1.5
+MAX_LEAK_MULTIPLE = 4.0
 # MIN_ANSWERS prompt answers in a row show that congestion has ended.
 PROMPT_FRACTION = 0.5  # of the congested wait: an answer within this is prompt
 RECOVERY_FACTOR = 1.5  # growth of the rate after each such row, up to the rate before the cut
@@ -55,16 +57,16 @@
         while bucket.rate < NEVER and now_ms - self.quiet_since_ms >= SECOND_MS:
             self.quiet_since_ms += SECOND_MS
             bucket.rate += max(GROWTH_FRACTION * bucket.rate, MIN_RATE_PER_S * server.fleet_fraction())
-            if bucket.rate * self._context.tick_ms > MAX_FILL * SECOND_MS:  # a full one empties in a tick
+            if bucket.rate * self._context.tick_ms > MAX_FILL * SECOND_MS:  # a full bucket empties in a tick
                 bucket.rate = NEVER
-        # Exception (fleet size): a gateway that suddenly gets most calls must wait until answers raise this.
+        # Exception (fleet size): a gateway that suddenly gets most calls waits until answers raise its bound.
         if (share := server.even_share_per_s()) is not None:
             answered = server.window_rate_per_s()
             by_answers = MAX_LEAK_MULTIPLE * answered * (len(server.answered_ms) >= MIN_ANSWERS)
             bucket.max_rate = max(MAX_LEAK_SHARES * max(share, answered), by_answers)
 
     def cut(self, reason: str, *, full: bool = False) -> None:
-        """Cut the rate to that of the answered calls, at most once a second or usual delay."""
+        """Cut the rate to that of the answered calls, at most once a second, or usual delay if longer."""
         now_ms = self._context.now_ms
         bucket = self.bucket
         server = self._server
--- a/canvasplank/policy/routing.py
+++ b/canvasplank/policy/routing.py
@@ -34,10 +34,11 @@
                 del self.servers[server_id]
 
     def candidates(self, call: CallRecord) -> Iterator[Server]:
-        """Yield servers that admit the call: the preferred pool, then two at random, then one that failed.
+        """Yield servers that admit the call, in the order in which they are to be tried.
 
-        Of the two at random the one with fewer pending set-ups comes first.  A call of the lowest weight is
-        offered to silent servers whose trial is due before all of these.
+        First come the servers of the preferred pool, then two others drawn at random, the one with fewer
+        pending set-ups first, and last the server where the call's latest attempt failed.  For a call of the
+        lowest weight, silent servers whose trial is due come before all of these.
         """
         serving = [s for s in self.servers.values() if self.serves(s, call)]
         if self._queue.threshold(call) <= self._queue.trial_threshold:  # Exception (silence): a trial
@@ -71,14 +72,14 @@
         return admits and self.budget_at_ms(server, call) <= self._context.now_ms
 
     def budget_at_ms(self, server: Server, call: CallRecord, *, take: bool = False) -> float:
-        """Return when the fleet's budgets allow the attempt; ``take`` uses up their units if that is now."""
+        """Return when the fleet's budgets allow the attempt; ``take`` takes their units if that is now."""
         budgets = self._budgets
         server_id = server.entry.id
         delay_ms = budgets(call.request, call.attempts, server_id, take) if budgets else 0.0
         return self._context.now_ms + delay_ms
 
     def next_offer_at_ms(self, call: CallRecord) -> float:
-        """Return when to offer a waiting call again: within a second, since rates grow meanwhile."""
+        """Return when to offer a waiting call again: within a second, as rates grow meanwhile."""
         at_ms = self._context.now_ms + SECOND_MS
         threshold = self._queue.threshold(call)
         for server in self.servers.values():
--- a/canvasplank/policy/server.py
+++ b/canvasplank/policy/server.py
@@ -8,25 +8,26 @@
 from canvasplank.policy.rate_control import MIN_RATE_PER_S, SILENCE_DELAYS, RateControl
 from canvasplank.policy.server_observations import ANSWER_WINDOW_MS, SMOOTHING_WEIGHT, ServerObservations
 
-# Fractions of the limit of rule 4 that a cold server's budget uses, by the source of its capacity.
-BY_CIRCUITS = 0.3  # its circuits; times the fraction that is warm by its age
-BY_POOL = 0.6  # an earlier report of it or its pool; times the warm fraction
-BY_REPORT = 0.8  # a fresh report of its own
-ANSWERS_MULTIPLE = 1.2  # of the answered rate: the budget is at least this
+# The fraction of the limit of rule 4 that a cold server's budget uses, by the source of its known capacity.
+# The first two are multiplied by the fraction of the capacity that is warm at the server's age.
+CIRCUITS_FRACTION = 0.3  # its circuits
+POOL_REPORT_FRACTION = 0.6  # an earlier report of the server or its pool
+FRESH_REPORT_FRACTION = 0.8  # a fresh report of the server itself
+ANSWERS_MULTIPLE = 1.2  # the budget is at least this multiple of the answered rate
 REPORT_FRESH_MS = 2000.0  # age up to which a report counts as current
 MASS_START_MS = 10_000.0  # duration of even spacing of set-ups where hundreds of gateways start at once
 
-# The time between two trials of a silent server, in harmful waits, doubles between these.
+# The time between two trials of a silent server, in harmful waits, doubles from the first to the second.
 INITIAL_TRIAL_BACKOFF = 2.0
 MAX_TRIAL_BACKOFF = 8.0
-# A server that answers again may have restarted; the server list shows that only seconds later.
+# Slow start after a silence: the server may have restarted, which the server list shows seconds later.
 RETURN_SLOW_START_MS = 5000.0
 
 
 class Server(ServerObservations):
     """Passes the events of one server to rate control, slow start and silence detection.
 
-    The order of the calls matters.
+    The order of these calls within a method matters.
     """
 
     def __init__(self, entry: api.Server, context: DecisionContext) -> None:
@@ -49,7 +50,8 @@
 
     def on_warm_start_hint(self, hint: api.WarmStartHint) -> None:
         """Apply a running peer's knowledge of the server to its start values."""
-        if not self.answered_ms and not self.pending:  # Exception (learned start): before any of its own
+        # Exception (learned start): only before this gateway's own observations.
+        if not self.answered_ms and not self.pending:
             if hint.rate_per_s is not None:
                 self.rate.limit(hint.rate_per_s)
             if hint.eject:
@@ -72,7 +74,7 @@
         self.answered_sent_ms = max(self.answered_sent_ms, sent_ms)
         self.established_sent_ms = max(self.established_sent_ms, sent_ms)
         oldest_ms = next(iter(self.pending.values()), NEVER)
-        if oldest_ms < self.established_sent_ms:  # overtaken: check it once its wait does harm
+        if oldest_ms < self.established_sent_ms:  # it was overtaken: check it once its wait is harmful
             self.context.wake_at(max(now_ms, oldest_ms + self.context.harmful_wait_ms))
             if now_ms > oldest_ms + self.overdue_after_ms():
                 self._last_loss_ms = now_ms
@@ -108,7 +110,7 @@
         return rate_ms if self.silence.silent else min(rate_ms, silent_ms)
 
     def learned(self) -> api.LearnedServer:
-        """Return what a new instance may use for its start."""
+        """Return what was learned about the server, for the start of another instance."""
         rate = self.rate.bucket.rate if self.rate.bucket.rate < NEVER else None
         slow = (self.usual_delay_ms or 0.0) >= self.context.harmful_wait_ms
         silent = self.silence.silent
@@ -139,7 +141,7 @@
         self.until_ms = max(self.until_ms, started_ms + span_ms)
         self._server.discard_before(started_ms)
         self.bucket.leak(self._context.now_ms)
-        self.bucket.fill = self._context.rng.random() * SPLASH  # all gateways learn of the start at once
+        self.bucket.fill = self._context.rng.random() * SPLASH  # random: all gateways learn of it at once
 
     def rate_per_s(self) -> float:
         """Return this gateway's set-ups a second to a cold server; all gateways together keep rule 4."""
@@ -150,8 +152,8 @@
         if server.entry.started_ms is not None and rules.warm_within_ms > 0:
             age = min(1.0, max(0.0, (now_ms - server.entry.started_ms) / rules.warm_within_ms))
             warm = rules.cold_share + (1 - rules.cold_share) * age
-        by_age = warm * (BY_CIRCUITS if server.capacity_per_s is None else BY_POOL)
-        fraction = BY_REPORT if now_ms < server.capacity_reported_ms + REPORT_FRESH_MS else by_age
+        by_age = warm * (CIRCUITS_FRACTION if server.capacity_per_s is None else POOL_REPORT_FRACTION)
+        fraction = FRESH_REPORT_FRACTION if now_ms < server.capacity_reported_ms + REPORT_FRESH_MS else by_age
         by_share = fraction * rules.overload_multiple * (server.even_share_per_s() or 0.0)
         # One answer fewer than counted, as a single one may be chance.
         answered = max(0.0, server.window_rate_per_s() - SECOND_MS / ANSWER_WINDOW_MS)
@@ -159,7 +161,10 @@
         return max(MIN_RATE_PER_S / server.senders(), by_share, by_answers)
 
     def ready_at_ms(self) -> float:
-        """Return when the next set-up may go: spaced at a cold server, and (Exception: mass start) at any."""
+        """Return when the next set-up may be sent.
+
+        Set-ups are spaced at a cold server and, for a time (Exception: mass start), at any server.
+        """
         now_ms = self._context.now_ms
         if max(self.until_ms, self._paced_until_ms) <= now_ms:
             return now_ms
@@ -192,7 +197,7 @@
         if self.silent:
             self.silent = False
             self._backoff = INITIAL_TRIAL_BACKOFF
-            if sent_ms >= self.since_ms + SECOND_MS:  # an answer to a trial: it may have restarted
+            if sent_ms >= self.since_ms + SECOND_MS:  # an answer to a trial: the server may have restarted
                 self._server.slow_start.start(self._context.now_ms, RETURN_SLOW_START_MS)
             self._context.log(f"server {self._server.entry.id}: responding again")
             self._context.wake_at(self._context.now_ms + self._context.tick_ms)  # other calls can move here
@@ -216,7 +221,7 @@
         self.next_trial_ms = self._context.now_ms + self._backoff * self._context.harmful_wait_ms * spread
 
     def check(self) -> float:
-        """Enter silence if nothing was received for too long; return when that is."""
+        """Enter silence if nothing was received for too long; return when the silence begins."""
         limit_ms = max(self._context.harmful_wait_ms, SILENCE_DELAYS * (self._server.usual_delay_ms or 0.0))
         silent_ms = max(self._server.oldest_unanswered_ms(), self._server.last_received_ms) + limit_ms
         if not self.silent and self._context.now_ms >= silent_ms:
--- a/canvasplank/policy/server_observations.py
+++ b/canvasplank/policy/server_observations.py
@@ -15,7 +15,7 @@
 IGNORED_OVERDUE = 1  # overdue set-ups ignored after an answer in time
 # Exception (fleet size): a gateway's minimum rate falls below one call a second where many share a server.
 MIN_RATE_SHARE = 0.25  # as a fraction of the even share, where that is known
-MIN_RATE_GATEWAYS = 8  # else: minimum rates of all gateways add up to those of this many
+MIN_RATE_GATEWAYS = 8  # otherwise: the minimum rates of all gateways add up to those of this many
 MAX_POOLS = 256  # pools whose last report is remembered
 
 
@@ -81,7 +81,7 @@
         return not_overtaken[ignored] if len(not_overtaken) > ignored else NEVER
 
     def oldest_overdue_ms(self) -> float:
-        """Return the same, without one set-up where the last answer came in time: that may be chance."""
+        """Return ``oldest_unanswered_ms``, ignoring one set-up after an answer in time: it may be chance."""
         return self.oldest_unanswered_ms(0 if self.last_answer_slow else IGNORED_OVERDUE)
 
     def window_rate_per_s(self) -> float:
@@ -91,7 +91,7 @@
         return len(self.answered_ms) * SECOND_MS / ANSWER_WINDOW_MS
 
     def answered_rate_per_s(self) -> float:
-        """Return answered calls a second over the last second, or longer if few (Exception: noisy second)."""
+        """Return answered calls a second in the last second, or in more if few (Exception: noisy second)."""
         for span_ms in (SECOND_MS, 2 * SECOND_MS, 3 * SECOND_MS):
             count = sum(at_ms > self.context.now_ms - span_ms for at_ms in self.answered_ms)
             if count >= MIN_ANSWERS:
@@ -103,13 +103,13 @@
         return self.entry.senders or self.context.settings.instances
 
     def even_share_per_s(self) -> float | None:
-        """Return an even share of the set-ups a second that the server takes, by reports and circuits."""
+        """Return an even share of the capacity (set-ups/s) by reports and circuits; None: unknown."""
         hold_ms = self.context.mean_hold_ms
         by_circuits = self.circuits * SECOND_MS / hold_ms if self.circuits and hold_ms else None
         total = min(filter(None, (by_circuits, self.capacity_per_s)), default=None)
         return total and total / self.senders()
 
     def fleet_fraction(self) -> float:
-        """Return this gateway's part of MIN_RATE_PER_S, from 0 to 1."""
+        """Return the fraction of MIN_RATE_PER_S, from 0 to 1, that is this gateway's minimum rate."""
         share = self.even_share_per_s()
         return min(1.0, MIN_RATE_GATEWAYS / self.senders() if share is None else MIN_RATE_SHARE * share)
--- a/tests/test_policy_slow_start.py
+++ b/tests/test_policy_slow_start.py
@@ -68,7 +68,10 @@
 
     @pytest.mark.parametrize(
         ("reported", "max_fraction"),
-        [(None, server_module.BY_POOL * RULES.cold_share), (30.0, server_module.BY_REPORT)],
+        [
+            (None, server_module.POOL_REPORT_FRACTION * RULES.cold_share),
+            (30.0, server_module.FRESH_REPORT_FRACTION),
+        ],
         ids=["predecessor's report", "own report"],
     )
     def test_the_budget_of_a_cold_successor_over_all_gateways_is_within_the_rule(
