--- a/canvasplank/codecs/isup.py
+++ b/canvasplank/codecs/isup.py
@@ -1,6 +1,6 @@
 """The callers' binary protocol: ``length:2 type:1 call:8``, then parameters ``code:1 length:2 value``.
 
-The numbers are sizes in bytes; integers are big-endian.
+The numbers are sizes in bytes; integers are big-endian.  A length does not count itself.
 """
 
 from __future__ import annotations
--- a/canvasplank/codecs/sip.py
+++ b/canvasplank/codecs/sip.py
@@ -90,8 +90,8 @@
 
     def __init__(self) -> None:
         self._buffer = bytearray()
-        self._head: _Head | None = None  # of a message with an incomplete body
-        self._body_length = 0  # of the message of ``_head``, in bytes
+        self._head: _Head | None = None  # the parsed head of a message whose body is incomplete
+        self._body_length = 0  # of that message, in bytes
 
     @property
     def in_message(self) -> bool:
@@ -122,7 +122,7 @@
             body = bytes(self._buffer[: self._body_length])
             del self._buffer[: self._body_length]
             self._head = None
-            if body:  # after a wrong Content-Length the next bytes do not begin a message
+            if body:  # if Content-Length is wrong, the next bytes do not begin a message
                 self._check_prefix_after(body)
             yield Message(head.method, head.status, head.headers, body)
 
@@ -154,7 +154,7 @@
         try:
             self._check_prefix()
         except BadMessageError:
-            self._buffer[:0] = body  # it may not be a body: keep it for ``unread``
+            self._buffer[:0] = body  # may not be a body after all: keep it for ``unread``
             raise
 
     def _check_prefix(self) -> None:
--- a/canvasplank/codecs/sse.py
+++ b/canvasplank/codecs/sse.py
@@ -15,7 +15,7 @@
 
 
 class OversizedEventError(BadMessageError):
-    """An event exceeds the size limit.  The parser can be fed on, and discards the rest of the event."""
+    """An event exceeds the size limit.  The parser remains usable and discards the rest of the event."""
 
     def __init__(self, event_id: str) -> None:
         """``event_id``: the id of the event; empty if it has not been read yet."""
@@ -44,7 +44,7 @@
 
     def __init__(self) -> None:
         self._raw = bytearray()  # received and not yet decoded
-        self._text = bytearray()  # the body without the chunked encoding
+        self._text = bytearray()  # of the body, without the chunked encoding: what is not yet parsed
         self.retry_after_ms = 0.0  # from ``Retry-After`` in an error response; 0: none
         self._in_body = False
         self._chunked = False
@@ -73,7 +73,7 @@
     def feed(self, data: bytes | memoryview) -> Iterator[Event]:
         """Yield the events that these bytes complete, without comments; raises ``BadMessageError``.
 
-        After an ``OversizedEventError`` the parser can be fed on.
+        The parser remains usable after an ``OversizedEventError``.
         """
         self._raw += data
         if not self._in_body and not self._read_head():
@@ -94,9 +94,8 @@
         """Discard the incomplete event up to its end; raises ``OversizedEventError`` once per event."""
         self._data = []
         if len(self._text) > _MAX_EVENT_BYTES:
-            self._text[:] = (
-                b":"  # turns the rest of the line into a comment, since an empty rest would end the event
-            )
+            # The colon turns the rest of the line into a comment, since an empty rest would end the event.
+            self._text[:] = b":"
         if not self._discarding:
             self._discarding = True
             raise OversizedEventError(self._incomplete_event_id)
@@ -165,9 +164,8 @@
     retry_after = headers.get("retry-after", "")
     if _SECONDS.fullmatch(retry_after):
         return float(retry_after) * 1000
-    from email.utils import (
-        parsedate_to_datetime,
-    )  # imported here, since few error responses need it and it slows every start
+    # Imported here, since few error responses need it and it slows every start.
+    from email.utils import parsedate_to_datetime
 
     try:
         retry_at, sent_at = parsedate_to_datetime(retry_after), parsedate_to_datetime(headers.get("date", ""))
--- a/canvasplank/config/configuration.py
+++ b/canvasplank/config/configuration.py
@@ -26,7 +26,7 @@
 
 
 class BootstrapState(msgspec.Struct):
-    """The events of service discovery before the start."""
+    """The events of service discovery that precede the start of this process."""
 
     rev: int = 0  # the number of the last event
     events: list[DiscoveryEvent] = msgspec.field(name="notices", default_factory=list)
@@ -53,11 +53,7 @@
         for address in (configuration.listen, configuration.discovery, configuration.admin or "any:0"):
             parse_address(address)
         int(configuration.seed, 16)
-    except (
-        OSError,
-        msgspec.MsgspecError,
-        ValueError,
-        RecursionError,
-    ) as error:  # RecursionError: JSON nested too deeply
+    # JSON that is nested too deeply raises RecursionError.
+    except (OSError, msgspec.MsgspecError, ValueError, RecursionError) as error:
         raise ConfigurationError(f"configuration {path}: {error}") from None
     return configuration
--- a/canvasplank/config/platform_settings.py
+++ b/canvasplank/config/platform_settings.py
@@ -27,7 +27,7 @@
 
 
 class ConnectionLimits(msgspec.Struct):
-    """The limits in the settings on connections and open calls, which the decision module does not read."""
+    """The settings' limits on connections and open calls, which the decision module does not use."""
 
     connect_timeout_ms: float
     conn_idle_ms: float
@@ -38,7 +38,7 @@
     """The values that the settings allow in a set-up; None: not bounded."""
 
     classes: frozenset[str]
-    tenants: frozenset[str]  # empty: the settings have no tenants, and a set-up's tenant is not read
+    tenants: frozenset[str]  # empty: the settings have no tenants, and the tenant of a set-up is ignored
     pools: frozenset[int] | None
     max_width: int | None  # circuits of one call
 
--- a/canvasplank/counters.py
+++ b/canvasplank/counters.py
@@ -15,9 +15,9 @@
         self._counts: Counter[str] = Counter()
         self._by_class: Counter[tuple[str, str]] = Counter()  # keys: (figure, class name)
 
-    def add(self, name: str, more: int = 1) -> None:
+    def add(self, name: str, count: int = 1) -> None:
         """Add to a counter; names have the form ``group.name``."""
-        self._counts[name] += more
+        self._counts[name] += count
 
     def set(self, name: str, value: int) -> None:
         """Set a counter that another component maintains."""
--- a/canvasplank/exchange/exchange.py
+++ b/canvasplank/exchange/exchange.py
@@ -78,7 +78,7 @@
     # ------------------------------------------------------------------------------------ from the callers
 
     def offer(self, call: CallRecord) -> bool:
-        """Accept a caller's set-up; False: its id is in use by another call, or by one that is answered.
+        """Accept a caller's set-up; return False if its id is that of another call, or of an answered one.
 
         A set-up that is retransmitted on a new connection belongs to the same call and gets one answer.  A
         set-up that repeats only the id belongs to another call; otherwise the first caller would lose its
@@ -119,7 +119,7 @@
         return True
 
     def reject_invalid(self, call: CallRecord) -> None:
-        """Reject a set-up that no server can use; the decision module is not asked."""
+        """Reject a set-up that no server can use, without the decision module."""
         self.counters.add("answered.invalid")
         call.taken_ms = self.scheduler.now_ms
         self._answers.reject_untracked(call, FinalAnswer.INVALID)
@@ -140,7 +140,7 @@
             self._servers.release(None, call_id, cause)
 
     def on_caller_disconnected(self, call_id: str, origin: Hashable) -> None:
-        """Handle the end of the connection that an unanswered set-up came on."""
+        """Handle the end of a caller's connection on which an unanswered set-up arrived."""
         call = self._table.open.get(call_id)
         if call is not None and call.unanswered and call.origin == origin:
             self._answers.abandon(call)
@@ -152,7 +152,7 @@
         call = self._table.open.get(call_id)
         in_flight = None if call is None else call.attempt_in_flight(server_id, attempt)
         if call is not None and in_flight is not None and not self._callers.is_reachable(call.origin):
-            # The caller's connection ends in this iteration of the event loop: the call would have no caller.
+            # The caller's connection ends in this iteration of the event loop, so the call has no caller.
             self._answers.abandon(call)
             call = None
         if call is None or in_flight is None or not call.unanswered:
@@ -199,7 +199,8 @@
         call = self._table.established.get(call_id)
         if call is not None:
             if call.established_server_id != server_id:
-                on_delivered()  # an attempt at this server that was already released as unwanted
+                # The call is established at another server; the attempt at this one was released as unwanted.
+                on_delivered()
                 return
             self.counters.add("taken.ends")
             self._callers.release(call.origin, CallerRelease(call_id, cause, on_delivered))
--- a/canvasplank/exchange/ports.py
+++ b/canvasplank/exchange/ports.py
@@ -10,7 +10,7 @@
 
 
 class CallerSide(Protocol):
-    """The component for callers; ``origin`` is the value in ``CallRecord.origin``."""
+    """The component for callers; ``origin`` identifies a connection, as in ``CallRecord.origin``."""
 
     def is_reachable(self, origin: Hashable) -> bool:
         """Whether an answer can still be written to this connection."""
@@ -29,7 +29,7 @@
     def wait_for_delivery(self, call_id: str, on_delivered: Callable[[], None]) -> bool:
         """Replace the callback of a release that may not be delivered yet.
 
-        False: this call has no undelivered release, and ``on_delivered`` will not be called.
+        Return False, and never call ``on_delivered``, if the call has no undelivered release.
         """
 
     def remove_call(self, origin: Hashable, call_id: str) -> None:
