--- a/canvasplank/interface.py
+++ b/canvasplank/interface.py
@@ -82,7 +82,7 @@
     """A class of calls: its time limits and its value."""
 
     name: str
-    target_ms: float
+    target_ms: float  # time within which a call should be established
     deadline_ms: float
     weight: float
     late_weight: float  # weight factor of a call established after its target
@@ -112,11 +112,11 @@
 class Rules:
     """Limits of the five rules."""
 
-    release_ms: float
+    release_ms: float  # least time from the release of an attempt to the next attempt
     drain_grace_ms: float
     answer_slack_ms: float
-    cold_share: float
-    warm_within_ms: float
+    cold_share: float  # fraction of its capacity that a server has at its start
+    warm_within_ms: float  # age at which a server has its full capacity
     overload_multiple: float  # a cold server collapses if sent this multiple of its capacity
     overload_span_ms: float  # how long that excess must last for the collapse
 
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -20,7 +20,7 @@
 
 
 def pytest_addoption(parser: pytest.Parser) -> None:
-    parser.addoption(KNOWN_RED_OPTION, type=Path, help="pass over exactly the tests that this file names")
+    parser.addoption(KNOWN_RED_OPTION, type=Path, help="deselect exactly the tests that this file names")
 
 
 def pytest_collection_modifyitems(config: pytest.Config, items: list[pytest.Item]) -> None:
@@ -66,7 +66,7 @@
         self.calls = 0
         self.attempts: dict[str, int] = {}
         self.answer_delays_ms: dict[str, float] = {}  # servers that answer set-ups automatically: delay
-        self.due: list[tuple[float, str, str]] = []
+        self.due: list[tuple[float, str, str]] = []  # automatic answers: time, call id, server
 
     def handle(self, event: api.Event) -> list[api.Action]:
         actions = self.controller.handle(self.now, event)
@@ -82,7 +82,7 @@
         return actions
 
     def advance_to(self, when: float) -> list[api.Action]:
-        """Advance the clock, with the timers and automatic answers due until then; return all actions."""
+        """Advance the clock, run the timers and automatic answers due by then, and return all actions."""
         out: list[api.Action] = []
         while (pending := [*self.timers, *self.due]) and min(pending)[0] <= when:
             due = min(pending)
--- a/tests/test_exchange_replay.py
+++ b/tests/test_exchange_replay.py
@@ -69,7 +69,7 @@
 
 
 def test_simultaneous_connections_do_not_exhaust_the_descriptors(replay):
-    """All were accepted before one was closed to free a descriptor; then the listener paused for a second."""
+    """All were accepted before one was closed to free a descriptor, and the listener paused for a second."""
     replay.add("a", "ready")
     replay.start(descriptors=64)
     replay.step("server a accepts")
@@ -91,7 +91,7 @@
 
 
 def test_when_all_connections_are_busy_the_newest_is_rejected(replay):
-    """The connections beyond the callers' fraction of the descriptors are; those with open set-ups stay."""
+    """A connection beyond the callers' fraction of the descriptors is closed; those with set-ups stay."""
     replay.add("a", "ready")
     replay.start(limits={"sockets": 10})
     replay.step("server a accepts")
@@ -117,7 +117,7 @@
 
 
 def test_reading_from_a_peer_that_does_not_read_is_paused(replay):
-    """A caller sends tests and reads no answer: its buffers stay bounded, and others are served."""
+    """A caller sends tests and reads no answers: its buffers stay bounded, and others are served."""
     replay.start()
     caller = replay.caller("1")
     caller.stream.settimeout(1.0)
--- a/tests/test_gate.py
+++ b/tests/test_gate.py
@@ -1,4 +1,4 @@
-"""The gate alone: it checks each of the five rules, even where earlier code has already checked them."""
+"""``Controller._gate`` by itself checks each of the five rules, even those that earlier code has checked."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 @pytest.fixture
 def queued_call():
-    """A controller with a queued call, and a server that has become ready unnoticed."""
+    """A controller, its queued call, and a server that became ready without an event."""
     g = Gateway()
     call_id, _ = g.call()
     controller = g.controller
--- a/tests/test_policy_calls.py
+++ b/tests/test_policy_calls.py
@@ -12,7 +12,7 @@
 
 
 class TestRoute:
-    """A server of the preferred pool, then the one with fewer pending set-ups of two others."""
+    """Calls go to a server of the preferred pool, else to the one of two others with fewer pending set-ups."""
 
     def test_preferred_pool_while_it_admits(self, gateway):
         for first, server in ((0, "a"), (1, "b"), (0, "a")):
@@ -40,7 +40,7 @@
 
 
 class TestFailures:
-    """Guards against incidents with servers that quickly fail all or some set-ups."""
+    """Servers that quickly fail all or some set-ups, as in past incidents."""
 
     @pytest.mark.parametrize("outcome", [Outcome.ERROR, Outcome.NO_CONNECTION])
     def test_another_server_comes_first_and_the_same_one_last(self, gateway, outcome):
@@ -59,12 +59,12 @@
             assert bucket.fill == pytest.approx(left, abs=0.01)
 
     def test_no_free_circuit_cuts_as_a_full_processor_does(self, gateway):
-        """Otherwise every call tried a server without free circuits, most of them in vain."""
+        """Without the cut, every call tried a server without free circuits, mostly in vain."""
         call_id, _ = gateway.call(first=0)
         gateway.end(call_id, "a", Outcome.FULL, processor_full=False)
         assert gateway.controller._servers["a"].rate.bucket.rate == rate_control.MIN_RATE_PER_S
 
-    def test_out_of_attempts_is_refused_at_once(self):
+    def test_a_call_without_attempts_left_is_refused_at_once(self):
         g = Gateway(settings(max_attempts=2))
         g.servers(ready("a", 0), ready("b", 1))
         call_id, _ = g.call(first=0)
@@ -89,7 +89,7 @@
 
 
 class TestUnexpectedEvents:
-    """Events out of place, and the state kept."""
+    """Unexpected events change nothing, and the state that is kept is bounded."""
 
     def test_events_about_unknown_calls_and_servers_are_ignored(self, gateway):
         for event in (
@@ -124,7 +124,7 @@
         gateway.end(call_id, "a", Outcome.CANCELLED)
         assert sent_to(gateway.advance_to(gateway.now + 400)) == ["b"]
 
-    def test_a_clock_that_steps_back_does_not_advance(self, gateway):
+    def test_a_clock_that_steps_back_is_tolerated(self, gateway):
         gateway.advance_to(1000)
         call_id, _ = gateway.call(expires_ms=1500)
         gateway.now = 200
@@ -170,7 +170,7 @@
 
 
 class TestShortDeadlines:
-    """Most callers that wait only 100 ms were failed 27 ms early, before an answer could arrive."""
+    """Calls with a wait of only 100 ms failed 27 ms early, most of them before an answer could arrive."""
 
     @pytest.mark.parametrize(("wait_ms", "fails_ms"), [(100, 80), (3000, 2965)])
     def test_a_short_wait_is_used_up_to_its_last_tenth(self, gateway, wait_ms, fails_ms):
@@ -202,15 +202,15 @@
         assert sum(isinstance(a, api.SetTimer) for _, a in g.action_log) <= 12
 
     def test_redials_are_kept_in_the_order_of_their_last_entry(self):
-        """A redial moves to the end but keeps its first attempt's time; the oldest entry is removed first."""
+        """A redial moves to the end but keeps the first call's arrival; the oldest entry is removed first."""
         g = Gateway()
         for number in ("1", "2", "1", "3"):
             g.call(number=number, expires_ms=g.now)
             g.advance_to(g.now + 100)
         unserved = g.controller._queue.redials
         assert [key for key, _ in unserved] == ["2", "1", "3"]
-        noted = [at for _, at, _ in unserved.values()]
-        assert noted == sorted(noted) and unserved["1", "low"][0] == 0
+        added_ms = [at for _, at, _ in unserved.values()]
+        assert added_ms == sorted(added_ms) and unserved["1", "low"][0] == 0
         g.advance_to(SETTINGS.classes[0].deadline_ms + 250)
         g.call(number="4", expires_ms=g.now)
         assert [key for key, _ in unserved] == ["3", "4"]
--- a/tests/test_policy_large_fleet.py
+++ b/tests/test_policy_large_fleet.py
@@ -1,4 +1,4 @@
-"""Many gateways before a few servers, each with a small part of the calls.
+"""Many gateways that share a few servers, each with a small part of the calls.
 
 The tests count set-ups; none measures run time.
 """
@@ -51,12 +51,12 @@
     CAPACITY = 60.0  # calls/s of the warm server, which has circuits for that at 8 s a call
 
     def capacity_at(self, age_ms: float) -> float:
-        """Return its capacity at this age, which grows evenly."""
+        """Return the server's capacity at this age; it grows evenly."""
         grown = min(1.0, max(0.0, age_ms) / RULES.warm_within_ms)
         return self.CAPACITY * (RULES.cold_share + (1 - RULES.cold_share) * grown)
 
     def within_limit(self, sent: list[float], started_ms: float) -> bool:
-        """No span from any set-up on has more than the allowed multiple of the server's present capacity."""
+        """Return whether no span after a set-up has more than the allowed multiple of the capacity then."""
         span, budget = RULES.overload_span_ms, RULES.overload_multiple * RULES.overload_span_ms / 1000
         return all(
             sum(at <= s < at + span for s in sent) <= budget * self.capacity_at(at - started_ms)
@@ -67,7 +67,7 @@
     @pytest.mark.parametrize("uneven", [False, True])
     @pytest.mark.parametrize("known", [False, True])
     def test_a_restarted_server_is_not_overloaded(self, instances, uneven, known):
-        """It holds with a busy fleet, with uneven gateways, and with a server known before."""
+        """This holds for busy fleets, for gateways with uneven traffic and for a server known before."""
         gateways = fleet(instances)
         weights = [1 + 9 * (i % 5 == 0) if uneven else 1 for i in range(instances)]
         for g in gateways:
@@ -127,14 +127,14 @@
 
     @pytest.mark.parametrize("count", [40, 400, 4000])
     def test_minimum_rates_of_a_large_fleet_sum_to_less_than_the_server_carries(self, count):
-        """At full size, minimum rates added up to the capacity of several servers."""
+        """In a full-size fleet, the minimum rates added up to the capacity of several servers."""
         g = Gateway(large_fleet_settings())
         g.servers(ready("a", 0))
         g.handle(circuits_report("a", count))
         carries = count / 8.0
         assert 0 < self.cut_rate(g) * 250 <= carries / 2
 
-    def test_without_reported_circuits_the_minimum_rate_is_divided_by_count(self):
+    def test_without_reported_circuits_the_minimum_rate_is_divided_by_the_number_of_gateways(self):
         g = Gateway(large_fleet_settings())
         g.servers(ready("a", 0))
         assert self.cut_rate(g) * 250 == pytest.approx(server_observations.MIN_RATE_GATEWAYS)
@@ -161,7 +161,7 @@
         assert sum("a" in sent_to([a]) for _, a in g.action_log) >= 18
 
     @pytest.mark.parametrize("reported", [(-1, 5), (3, 0), (0, -4), (1, float("inf")), (1, float("nan"))])
-    def test_absurd_circuits_are_ignored(self, reported):
+    def test_invalid_circuits_are_ignored(self, reported):
         g = Gateway(large_fleet_settings())
         g.servers(ready("a", 0))
         g.handle(api.CircuitsReported("a", *reported))
@@ -169,7 +169,7 @@
         assert sent_to(g.call()[1]) == ["a"]
 
     def test_second_choices_go_by_size_in_a_large_fleet_only(self):
-        """Evenly spread, the load of a large server overloaded small ones (seen in if96e53)."""
+        """With an even choice, the load of large servers overloaded small ones (seen in if96e53)."""
         for instances, low, high in ((4, 60, 140), (250, 0, 30)):
             small = 0
             for seed in range(200):
--- a/tests/test_policy_rate_control.py
+++ b/tests/test_policy_rate_control.py
@@ -70,7 +70,7 @@
         assert self.full_after(0).controller._servers["a"].rate.bucket.rate == rate_control.MIN_RATE_PER_S
 
     def test_a_second_with_few_answers_does_not_set_the_rate(self):
-        """After a steady load, a second with one answer: the cut goes by a longer span."""
+        """After a steady load, a cut in a second with one answer uses the rate of a longer span."""
         g = Gateway()
         g.servers(ready("a", 0))
         g.serve_calls("a", 0, 8, gap_ms=250)
@@ -121,7 +121,7 @@
         ("waits", "cut"), [((40, 390), False), ((40, 390, 40, 390), False), ((40, 390, 390), True)]
     )
     def test_only_two_slow_answers_in_a_row_cut_the_rate(self, gateway, waits, cut):
-        """Where each chance wait cut the rate, a busy gateway kept calls from idle servers."""
+        """When a single slow answer cut the rate, a busy gateway withheld calls from idle servers."""
         for waited_ms in waits:
             gateway.serve_calls("a", 0, 1, gap_ms=400, waited_ms=waited_ms)
         assert (gateway.controller._servers["a"].rate.bucket.rate < leaky_bucket.NEVER) is cut
@@ -145,7 +145,7 @@
         assert server.rate.bucket.rate == rate
 
     def test_lost_set_ups_do_not_halt_the_bucket(self, gateway):
-        """A server responded while its set-ups hung on a dead connection, and it got no more set-ups."""
+        """A responding server with set-ups on a dead connection got no further set-ups."""
         gateway.servers(ready("a", 0))
         gateway.serve_calls("a", 0, 4)
         server = gateway.controller._servers["a"]
@@ -169,7 +169,7 @@
 
 
 class TestNewlyMet:
-    """The first late answer of a day set rates to the minimum for most of it."""
+    """The first late answer of a day cut rates to the minimum, where they stayed for most of the day."""
 
     @pytest.mark.parametrize(
         ("sign", "rate"), [("late", 10), ("no line", 10), ("full", rate_control.MIN_RATE_PER_S)]
--- a/tests/test_policy_retries.py
+++ b/tests/test_policy_retries.py
@@ -13,7 +13,7 @@
 class TestRedials:
     """Callers that dial the same number again."""
 
-    def test_a_redial_ranks_by_its_first_attempt(self):
+    def test_a_redial_ranks_by_the_first_call(self):
         g = Gateway()
         g.call(number="77", expires_ms=500)
         g.advance_to(2000)
@@ -118,10 +118,10 @@
     def test_an_unknown_tenant_has_no_quota_to_exceed(self, unknown):
         assert set(self.weights([unknown] * 30)) == {1.0}
 
-    def test_a_redial_counts_with_its_first_attempt(self):
+    def test_a_redial_keeps_the_quota_weight_of_the_first_call(self):
         g = Gateway(settings(tenants=self.TENANTS, over_quota_weight=0.2))
         for _ in range(30):
             call_id, _ = g.call(tenant="small", number="n")
             quota_weight = g.controller._calls[call_id].quota_weight
             g.handle(api.CallAbandoned(call_id))
-        assert quota_weight == 1.0, "thirty attempts of one call"
+        assert quota_weight == 1.0, "thirty redials use the credit of one call"
--- a/tests/test_rules_property.py
+++ b/tests/test_rules_property.py
@@ -35,9 +35,9 @@
     st.tuples(st.just("call"), CLASS, st.integers(0, 2), st.integers(0, 3500), NUMBER),
     st.tuples(st.just("answer"), INDEX, st.sampled_from(["established", *UNFINISHED])),
     st.tuples(st.just("end"), INDEX, st.sampled_from(ENDS)),
-    st.tuples(st.just("leave"), INDEX),
+    st.tuples(st.just("abandon"), INDEX),
     st.tuples(st.just("list"), st.sampled_from(NAMES), STATE, st.booleans()),
-    st.tuples(st.just("lines"), st.sampled_from(NAMES), st.floats(), st.floats()),
+    st.tuples(st.just("circuits"), st.sampled_from(NAMES), st.floats(), st.floats()),
     st.tuples(st.just("report"), st.sampled_from(NAMES), st.floats()),
 )
 
@@ -55,12 +55,12 @@
         self.gateway = Gateway(gateway_settings(classes=classes, instances=60), seed=seed)
         self.states = dict.fromkeys(NAMES, api.ServerState.READY)
         self.started: dict[str, float | None] = dict.fromkeys(NAMES)
-        self.unanswered: dict[str, float] = {}  # calls without a final answer: when it is due
+        self.unanswered: dict[str, float] = {}  # calls without a final answer, and when it is due
         self.expires_ms: dict[str, float] = {}  # when their callers stop waiting
-        self.in_flight: dict[str, str] = {}  # attempts: server by call
+        self.in_flight: dict[str, str] = {}  # server of the attempt in flight, by call
         self.established: dict[str, str] = {}
         self.not_before: dict[str, float] = {}
-        self.seen = 0
+        self.seen = 0  # actions checked so far
         self.gateway.servers(*(api.Server(n, i, api.ServerState.READY) for i, n in enumerate(NAMES)))
 
     def check(self) -> None:
@@ -117,21 +117,21 @@
                 self.gateway.now += ms
                 for call, due in self.unanswered.items():
                     self.unanswered[call] = max(due, self.gateway.now + 2 * SETTINGS.tick_ms)
-            case ("call", name, pool, left, number):
-                due = self.unanswered[f"call-{self.gateway.calls + 1}"] = self.gateway.now + left
+            case ("call", class_name, pool, wait_ms, number):
+                due = self.unanswered[f"call-{self.gateway.calls + 1}"] = self.gateway.now + wait_ms
                 self.expires_ms[f"call-{self.gateway.calls + 1}"] = due
-                self.gateway.call(name, pool, expires_ms=self.gateway.now + left, number=str(number))
+                self.gateway.call(class_name, pool, expires_ms=self.gateway.now + wait_ms, number=str(number))
             case ("answer", index, what) if self.in_flight:
                 self.answer(sorted(self.in_flight)[index % len(self.in_flight)], what)
             case ("end", index, what) if self.established:
                 call = sorted(self.established)[index % len(self.established)]
                 self.finish_attempt(call, what)
-            case ("leave", index) if self.unanswered:
+            case ("abandon", index) if self.unanswered:
                 call = sorted(self.unanswered)[index % len(self.unanswered)]
                 del self.unanswered[call]
                 self.gateway.handle(api.CallAbandoned(call))
-            case ("lines", name, free, lines):
-                self.gateway.handle(api.CircuitsReported(name, free, lines))
+            case ("circuits", name, free, circuits):
+                self.gateway.handle(api.CircuitsReported(name, free, circuits))
             case ("report", name, figure):
                 report = api.Report(figure, figure, figure, figure, figure)
                 self.gateway.handle(api.ProbeAnswered(name, answered=figure > 0, report=report))
