--- a/tests/test_policy_calls.py
+++ b/tests/test_policy_calls.py
@@ -12,7 +12,7 @@
 
 
 class TestRoute:
-    """Calls go to a server of the preferred pool, else to the one of two others with fewer pending set-ups."""
+    """Calls go to the preferred pool, else to the one of two other servers with fewer pending set-ups."""
 
     def test_preferred_pool_while_it_admits(self, gateway):
         for first, server in ((0, "a"), (1, "b"), (0, "a")):
@@ -89,7 +89,7 @@
 
 
 class TestUnexpectedEvents:
-    """Unexpected events change nothing, and the state that is kept is bounded."""
+    """Unexpected events, and the bounds on the state that is kept."""
 
     def test_events_about_unknown_calls_and_servers_are_ignored(self, gateway):
         for event in (
