--- a/canvasplank/codecs/isup.py
+++ b/canvasplank/codecs/isup.py
@@ -54,7 +54,7 @@
     parameters: dict[int, bytes] = field(default_factory=dict)
 
     def text(self, code: Parameter) -> str:
-        """A parameter's text; raises ``BadMessageError`` if it is missing, or not one printable word."""
+        """Return a parameter's text; raises ``BadMessageError`` if missing or not one printable word."""
         value = self.parameters.get(code)
         if value is None:
             raise BadMessageError(f"parameter {code.value} ({code.name.lower()}) is missing")
@@ -131,18 +131,18 @@
 
 
 def encode(message: Message) -> bytes:
-    """The encoded message."""
+    """Return the encoded message."""
     body = b"".join(_PARAMETER.pack(code, len(value)) + value for code, value in message.parameters.items())
     return _HEADER.pack(_MIN_LENGTH + len(body), message.kind, bytes.fromhex(message.call_id)) + body
 
 
 def answer(call_id: str, description: bytes) -> bytes:
-    """An encoded ANSWER: the call is established."""
+    """Return an encoded ANSWER: the call is established."""
     return encode(Message(Kind.ANSWER, call_id, {Parameter.DESCRIPTION: description}))
 
 
 def release(call_id: str, cause: int, retry_after_ms: float | None = None) -> bytes:
-    """An encoded RELEASE.  Cause and call state tell whether the call is rejected, has failed or has ended.
+    """Return an encoded RELEASE; cause and call state tell if the call is rejected, has failed or ended.
 
     ``retry_after_ms``: how long a rejected caller must wait before it retries.
     """
@@ -153,20 +153,20 @@
 
 
 def release_confirmed(call_id: str) -> bytes:
-    """An encoded RELEASE_CONFIRMED."""
+    """Return an encoded RELEASE_CONFIRMED."""
     return encode(Message(Kind.RELEASE_CONFIRMED, call_id))
 
 
 def progress(call_id: str) -> bytes:
-    """An encoded PROGRESS of a set-up: it may be sent at any time, and receivers ignore it."""
+    """Return an encoded PROGRESS of a set-up: it may be sent at any time, and receivers ignore it."""
     return encode(Message(Kind.PROGRESS, call_id))
 
 
 def test(call_id: str) -> bytes:
-    """An encoded TEST, which asks whether the receiver accepts new callers."""
+    """Return an encoded TEST, which asks whether the receiver accepts new callers."""
     return encode(Message(Kind.TEST, call_id, {Parameter.CAUSE: b"\0"}))
 
 
 def test_result(call_id: str, passed: bool) -> bytes:
-    """An encoded TEST_RESULT; ``passed``: whether the sender accepts new callers."""
+    """Return an encoded TEST_RESULT; ``passed``: whether the sender accepts new callers."""
     return encode(Message(Kind.TEST_RESULT, call_id, {Parameter.CAUSE: bytes([passed])}))
--- a/canvasplank/codecs/sip.py
+++ b/canvasplank/codecs/sip.py
@@ -53,7 +53,7 @@
         return match[1] if match else ""
 
     def answers_other_invite(self, sequence: int) -> bool:
-        """Whether this response answers an INVITE of its call with another CSeq number than ``sequence``.
+        """Return whether this response is to another INVITE of its call than that of CSeq ``sequence``.
 
         False if unknown: a response without a branch of this program (RFC 3261 17.1.3) may answer any INVITE.
         """
@@ -168,7 +168,7 @@
 
 
 def parse_head(data: bytes) -> Message:
-    """The message with this start line and headers, and an empty body; raises ``BadMessageError``."""
+    """Return the message with this start line and headers, and an empty body; raises ``BadMessageError``."""
     lines = _head_lines(data)
     head = _parse_start_line(lines[0], _parse_headers(lines[1:]))
     return Message(head.method, head.status, head.headers, b"")
@@ -218,7 +218,7 @@
 
 
 def _branch(method: str, call_id: str, sequence: int) -> str:
-    """The branch that this program puts into a request."""
+    """Return the branch that this program puts into a request."""
     suffix = "" if method in _INVITE_METHODS else f"-{method}"
     return f"{_BRANCH_COOKIE}{call_id}-{sequence}{suffix}"
 
@@ -231,7 +231,7 @@
     headers: dict[str, str] | None = None,
     body: bytes = b"",
 ) -> bytes:
-    """An encoded request; ``sequence`` is the number in CSeq."""
+    """Return an encoded request; ``sequence`` is the number in CSeq."""
     lines = [
         f"{method} sip:{user}@net SIP/2.0",
         f"Via: SIP/2.0/TCP edge;branch={_branch(method, call_id, sequence)}",
@@ -244,7 +244,7 @@
 
 
 def response(status: int, reason: str, answered: Message) -> bytes:
-    """An encoded response to the request ``answered``, with headers copied from it (RFC 3261 8.2.6.2)."""
+    """Return an encoded response to ``answered``, with headers copied from it (RFC 3261 8.2.6.2)."""
     copied = {"via": "Via", "from": "From", "to": "To", "call-id": "Call-ID", "cseq": "CSeq"}
     lines = [f"SIP/2.0 {status} {reason}"]
     lines += [f"{name}: {answered.headers[key]}" for key, name in copied.items() if key in answered.headers]
--- a/canvasplank/codecs/sse.py
+++ b/canvasplank/codecs/sse.py
@@ -32,7 +32,7 @@
 
 
 def request(path: str, host: str, last_id: int) -> bytes:
-    """An encoded request for all events after ``last_id``."""
+    """Return an encoded request for all events after ``last_id``."""
     return (
         f"GET {path} HTTP/1.1\r\nHost: {host}\r\nAccept: text/event-stream\r\n"
         f"Last-Event-ID: {last_id}\r\nConnection: close\r\n\r\n"
@@ -160,7 +160,7 @@
 
 
 def _retry_after_ms(headers: Mapping[str, str]) -> float:
-    """``Retry-After`` (RFC 9110 10.2.3) in ms: seconds, or a date less ``Date``; 0 if none is readable."""
+    """Return ``Retry-After`` (RFC 9110 10.2.3) in ms: seconds, or a date less ``Date``; 0: none readable."""
     retry_after = headers.get("retry-after", "")
     if _SECONDS.fullmatch(retry_after):
         return float(retry_after) * 1000
--- a/canvasplank/config/discovery_events.py
+++ b/canvasplank/config/discovery_events.py
@@ -57,7 +57,7 @@
 
 
 def apply_events(events: Iterable[DiscoveryEvent]) -> list[Endpoint]:
-    """The endpoint list that results from these events."""
+    """Return the endpoint list that results from these events."""
     endpoints: dict[str, Endpoint] = {}
     for event in events:
         apply_event(endpoints, event)
@@ -65,7 +65,7 @@
 
 
 def to_server(endpoint: Endpoint) -> api.Server:
-    """The endpoint in the decision module's form; an unknown lifecycle counts as draining."""
+    """Return the endpoint in the decision module's form; an unknown lifecycle counts as draining."""
     return api.Server(
         endpoint.instance_id,
         endpoint.cell,
--- a/canvasplank/config/extension_file.py
+++ b/canvasplank/config/extension_file.py
@@ -16,7 +16,7 @@
 def load_extension_settings(
     path: str, name: str, kind: type[Settings], check: Callable[[Settings], None]
 ) -> Settings:
-    """The settings of the extension ``name``, decoded as ``kind``.
+    """Return the settings of the extension ``name``, decoded as ``kind``.
 
     ``check`` raises ``ValueError`` for constraints that the types do not express.  Raises
     ``ConfigurationError`` with a message of one line if the file is unusable.
--- a/canvasplank/config/platform_settings.py
+++ b/canvasplank/config/platform_settings.py
@@ -55,12 +55,12 @@
         self._free, self._size = (*self._columns, "", "")[:2]
 
     def circuits(self, figures: Mapping[str, float | None]) -> tuple[float, float] | None:
-        """The free circuits and all circuits; None unless both are reported."""
+        """Return the free circuits and all circuits; None unless both are reported."""
         free, size = reported_or_none(figures.get(self._free)), reported_or_none(figures.get(self._size))
         return None if free is None or size is None else (free, size)
 
     def report(self, figures: Mapping[str, float | None], wait_ms: float | None = None) -> api.Report | None:
-        """The load figures that the decision module uses; None if there are none.
+        """Return the load figures that the decision module uses; None if there are none.
 
         ``wait_ms`` is a wait at the processor that was reported elsewhere, used if ``figures`` has none.
         """
@@ -75,12 +75,12 @@
 
 
 def reported_or_none(value: float | None) -> float | None:
-    """The figure, or None if it is omitted or negative: -1 stands for 'not reported'."""
+    """Return the figure, or None if it is omitted or negative: -1 stands for 'not reported'."""
     return None if value is None or value < 0 else value
 
 
 def read_connection_limits(options: dict[str, Any]) -> ConnectionLimits:
-    """The limits on connections and open calls; raises ``ConfigurationError``."""
+    """Return the limits on connections and open calls; raises ``ConfigurationError``."""
     try:
         return msgspec.convert(options["ceilings"], ConnectionLimits)
     except (KeyError, msgspec.ValidationError) as error:
@@ -88,7 +88,7 @@
 
 
 def read_load_report_reader(options: dict[str, Any]) -> LoadReportReader:
-    """A reader for the columns of load reports in the settings; raises ``ConfigurationError``."""
+    """Return a reader for the columns of load reports in the settings; raises ``ConfigurationError``."""
     try:
         return LoadReportReader(msgspec.convert(options["load_report"]["names"], list[str]))
     except (KeyError, TypeError, msgspec.ValidationError) as error:
@@ -96,7 +96,7 @@
 
 
 def read_request_bounds(settings: api.Settings, options: dict[str, Any]) -> RequestBounds:
-    """The bounds on a caller's set-up; raises ``ConfigurationError``."""
+    """Return the bounds on a caller's set-up; raises ``ConfigurationError``."""
     try:
         widths = msgspec.convert(options["family_info"].get("widths") or [], list[int])
     except msgspec.ValidationError as error:
@@ -113,7 +113,7 @@
 
 
 def read_settings(options: dict[str, Any]) -> api.Settings:
-    """The settings of the decision module; unknown keys are ignored.
+    """Return the settings of the decision module; unknown keys are ignored.
 
     Raises ``interface.SettingsError``, with the platform's name of the key.
     """
--- a/canvasplank/counters.py
+++ b/canvasplank/counters.py
@@ -28,7 +28,7 @@
         self._by_class[figure, class_name] += 1
 
     def metric_lines(self, in_flight: int, servers_known: int, servers_excluded: int) -> list[str]:
-        """The metrics in the text exposition format that the front reads, one per line.
+        """Return the metrics in the text exposition format that the front reads, one per line.
 
         Every class seen has all ``CLASS_FIGURES``, so that a 0 is reported and does not look missing.
         """
@@ -49,7 +49,7 @@
         return self._counts[name]
 
     def lines(self) -> list[str]:
-        """One line per group, sorted by name."""
+        """Return one line per group, sorted by name."""
         groups: dict[str, list[str]] = {}
         for name in sorted(self._counts):
             group, _, name_in_group = name.partition(".")
@@ -58,5 +58,5 @@
 
 
 def _escaped(label: str) -> str:
-    """A label value, escaped for the text exposition format."""
+    """Return a label value, escaped for the text exposition format."""
     return label.replace("\\", "\\\\").replace('"', '\\"').replace("\n", "\\n")
--- a/canvasplank/exchange/call_records.py
+++ b/canvasplank/exchange/call_records.py
@@ -77,7 +77,7 @@
     timer: Timer | None = field(default=None, repr=False)  # fires at ``expires_ms``
 
     def is_retransmission_of(self, other: CallRecord) -> bool:
-        """Whether this set-up repeats that of another record with the same id."""
+        """Return whether this set-up repeats that of another record with the same id."""
         return (self.class_name, self.tenant, self.number, self.preferred_pool, self.description) == (
             other.class_name,
             other.tenant,
@@ -87,7 +87,7 @@
         )
 
     def attempt_in_flight(self, server_id: str, number: int | None) -> Attempt | None:
-        """The attempt in flight, if it has this number and this server; otherwise None."""
+        """Return the attempt in flight, if it has this number and this server; otherwise None."""
         attempt = self.in_flight
         if attempt is None or (attempt.server_id, attempt.number) != (server_id, number):
             return None
--- a/canvasplank/exchange/call_table.py
+++ b/canvasplank/exchange/call_table.py
@@ -40,15 +40,15 @@
         self._max_calls = int(RECORDS_FRACTION * memory_bytes / CALL_RECORD_BYTES)
 
     def find(self, call_id: str) -> CallRecord | None:
-        """The call with this id, if it is open or established."""
+        """Return the call with this id, if it is open or established."""
         return self.open.get(call_id) or self.established.get(call_id)
 
     def has_ended(self, call_id: str) -> bool:
-        """Whether a call with this id is among the last ``MAX_ENDED_CALLS`` that ended."""
+        """Return whether a call with this id is among the last ``MAX_ENDED_CALLS`` that ended."""
         return call_id in self._ended
 
     def has_room_for(self, call: CallRecord) -> bool:
-        """Whether this call can be added within the limits on calls and on memory."""
+        """Return whether this call can be added within the limits on calls and on memory."""
         description_bytes = self._description_bytes + len(call.description)
         calls = len(self.open) + len(self.established)
         has_room = len(self.open) < self._max_open and calls < self._max_calls
@@ -87,11 +87,11 @@
             self._ended.popitem(last=False)
 
     def unanswered(self) -> list[CallRecord]:
-        """The calls without a final answer."""
+        """Return the calls without a final answer."""
         return [call for call in self.open.values() if call.unanswered]
 
     def established_at(self, server_id: str, before_ms: float) -> list[CallRecord]:
-        """The calls that were established at a server before a time."""
+        """Return the calls that were established at a server before a time."""
         return [
             call
             for call in self.established.values()
@@ -99,7 +99,7 @@
         ]
 
     def has_calls_at(self, server_id: str) -> bool:
-        """Whether a server has an established call or an attempt in flight."""
+        """Return whether a server has an established call or an attempt in flight."""
         in_flight = (call.in_flight for call in self.open.values() if call.in_flight is not None)
         return any(call.established_server_id == server_id for call in self.established.values()) or any(
             attempt.server_id == server_id for attempt in in_flight
--- a/canvasplank/exchange/exchange.py
+++ b/canvasplank/exchange/exchange.py
@@ -224,17 +224,17 @@
         self._dispatcher.dispatch(api.ProbeAnswered(server_id, answered, report))
 
     def is_established_at(self, call_id: str, server_id: str) -> bool:
-        """Whether this call is established at this server."""
+        """Return whether this call is established at this server."""
         call = self._table.established.get(call_id)
         return call is not None and call.established_server_id == server_id
 
     def is_finished(self, call_id: str) -> bool:
-        """Whether this call is unknown, or has a final answer and is not established."""
+        """Return whether this call is unknown, or has a final answer and is not established."""
         call = self._table.find(call_id)
         return call is None or (not call.unanswered and call.established_server_id is None)
 
     def has_calls_at(self, server_id: str) -> bool:
-        """Whether this server has an established call or an attempt in flight."""
+        """Return whether this server has an established call or an attempt in flight."""
         return self._table.has_calls_at(server_id)
 
     def process_ended(self, server_id: str, started_before_ms: float, *, notify_server: bool = False) -> None:
--- a/canvasplank/exchange/ports.py
+++ b/canvasplank/exchange/ports.py
@@ -13,7 +13,7 @@
     """The component for callers; ``origin`` identifies a connection, as in ``CallRecord.origin``."""
 
     def is_reachable(self, origin: Hashable) -> bool:
-        """Whether an answer can still be written to this connection."""
+        """Return whether an answer can still be written to this connection."""
 
     def answer(self, origin: Hashable, call_id: str, description: bytes) -> None:
         """Send the answer that the call is established."""
--- a/canvasplank/policy/server_observations.py
+++ b/canvasplank/policy/server_observations.py
@@ -81,7 +81,7 @@
         return not_overtaken[ignored] if len(not_overtaken) > ignored else NEVER
 
     def oldest_overdue_ms(self) -> float:
-        """Return ``oldest_unanswered_ms``, ignoring one set-up after an answer in time: it may be chance."""
+        """Return ``oldest_unanswered_ms``; after an answer in time, one late set-up is ignored as chance."""
         return self.oldest_unanswered_ms(0 if self.last_answer_slow else IGNORED_OVERDUE)
 
     def window_rate_per_s(self) -> float:
--- a/tests/exchange_replay.py
+++ b/tests/exchange_replay.py
@@ -84,12 +84,12 @@
 
 
 def literal(text: str) -> bytes:
-    """The bytes of a Python literal without its quotes."""
+    """Return the bytes of a Python literal without its quotes."""
     return codecs.escape_decode(text.encode())[0]
 
 
 def pattern(text: str) -> re.Pattern[bytes]:
-    """The expected bytes as a regular expression."""
+    """Return the expected bytes as a regular expression."""
     return re.compile(rb".{0,400}?".join(re.escape(literal(part)) for part in text.split("<*>")), re.DOTALL)
 
 
--- a/tests/test_codecs.py
+++ b/tests/test_codecs.py
@@ -31,7 +31,7 @@
 
 
 def parse(parser_class, data: bytes, cuts=()) -> list:
-    """All messages in ``data``, fed in pieces that end at ``cuts``."""
+    """Return all messages in ``data``, fed in pieces that end at ``cuts``."""
     edges = [0, *sorted(cut % (len(data) + 1) for cut in cuts), len(data)]
     parser = parser_class()
     return [m for a, b in itertools.pairwise(edges) for m in parser.feed(memoryview(data)[a:b])]
