--- a/canvasplank/admin.py
+++ b/canvasplank/admin.py
@@ -66,11 +66,11 @@
                 lines = [f"{OK} counters", *self._commands.metric_lines(), "EOF"]
                 return "".join(f"{line}\n" for line in lines)
             case "quiesce":
-                LOG.info("told to quiesce: draining callers")
+                LOG.info("quiesce requested: draining callers")
                 self._commands.quiesce()
                 return f"{OK} quiescing\n"
             case "resume":
-                LOG.info("told to resume")
+                LOG.info("resume requested: accepting callers again")
                 self._commands.resume()
                 return f"{OK} resumed\n"
             case other:
--- a/canvasplank/cli.py
+++ b/canvasplank/cli.py
@@ -54,7 +54,7 @@
     try:
         return asyncio.run(run())
     except (ConfigurationError, DatabaseUnavailableError, DataRejectedError, TimeoutError) as error:
-        raise click.ClickException(str(error) or "the store gave no answer in time") from None
+        raise click.ClickException(str(error) or "the store did not answer in time") from None
 
 
 async def _read_state(_: FleetSettings, backend: Backend) -> FleetState:
@@ -113,7 +113,7 @@
         return await backend.remove_member(incarnation)
 
     if not query_fleet(path, remove):
-        raise click.ClickException(f"there is no {incarnation}")
+        raise click.ClickException(f"there is no member with incarnation {incarnation}")
     click.echo(f"{incarnation} removed")
 
 
--- a/canvasplank/network/caller_pool.py
+++ b/canvasplank/network/caller_pool.py
@@ -130,7 +130,7 @@
         idle_ms = QUIESCED_IDLE_MS if self.quiesced else self._idle_ms
         for stream in [s for s in self.streams if s.is_open]:
             if stream.message_is_overdue:
-                stream.abort_unreadable(f"nothing whole for {MESSAGE_TIMEOUT_MS:.0f} ms")
+                stream.abort_unreadable(f"no complete message within {MESSAGE_TIMEOUT_MS:.0f} ms")
             elif self._is_idle(stream) and (self.drain_overdue or now_ms - stream.last_used_ms > idle_ms):
                 stream.close_writing()
         self._scheduler.call_later(IDLE_CHECK_INTERVAL_MS, self.close_idle_connections)
--- a/canvasplank/network/callers.py
+++ b/canvasplank/network/callers.py
@@ -193,4 +193,4 @@
         if not self.exchange.offer(call):
             if new:
                 stream.open_set_ups.discard(call.id)
-            raise BadMessageError(f"set-up {call.id}: the id is another call's")
+            raise BadMessageError(f"set-up {call.id}: the call id is in use by another call")
--- a/canvasplank/network/discovery.py
+++ b/canvasplank/network/discovery.py
@@ -277,7 +277,7 @@
         self._failed_reads += 1
         if self._failed_reads < MAX_READS:
             raise BadMessageError(f"{name}: {reason}")
-        LOG.warning("service discovery: %s is passed over, unread: %s", name, reason)
+        LOG.warning("service discovery: %s is skipped as unreadable: %s", name, reason)
         if number is None:
             self._failed_reads = 0
             self._skipped_unnumbered += 1
--- a/canvasplank/network/stream.py
+++ b/canvasplank/network/stream.py
@@ -78,7 +78,7 @@
             largest = max(self._by_stream, key=self._by_stream.__getitem__)
             size = self._by_stream.pop(largest)
             self.total -= size
-            largest.abort_unreadable(f"leaves {size} bytes unread or without an end")
+            largest.abort_unreadable(f"{size} bytes buffered, too many for the memory limit")
 
 
 class Stream(asyncio.BufferedProtocol, Generic[Message_co]):
@@ -197,7 +197,7 @@
 
     def abort_unsent(self) -> None:
         """Abort the connection, since its peer does not read, and log a warning."""
-        LOG.warning("%s: closed, leaves %d bytes unread", self.label, self.unsent)
+        LOG.warning("%s: closed, the peer does not read: %d bytes unsent", self.label, self.unsent)
         self.abort()
 
     def abort(self) -> None:
--- a/canvasplank/program.py
+++ b/canvasplank/program.py
@@ -101,7 +101,7 @@
         self._extensions: list[Extension] = [create(self) for create in factories]
 
     async def run(self) -> None:
-        """Serve until the program is told to stop."""
+        """Serve until the shutdown has finished, and drain the extensions."""
         loop = asyncio.get_running_loop()
         loop.add_signal_handler(signal.SIGTERM, self._terminate)
         loop.add_signal_handler(signal.SIGINT, self._terminate)
@@ -216,13 +216,13 @@
             read_request_bounds(read_settings(reloaded.settings), reloaded.settings)
             read_load_report_reader(reloaded.settings)
         except (ConfigurationError, api.SettingsError) as error:
-            LOG.warning("not reloaded, the old configuration stays: %s", one_line(error))
+            LOG.warning("configuration not reloaded, the previous one stays in effect: %s", one_line(error))
             return
         deferred = [
             name for name in APPLIED_AT_START if getattr(reloaded, name) != getattr(self.configuration, name)
         ]
-        deferred_text = f"; for the next start: {', '.join(deferred)}" if deferred else ""
-        LOG.info("configuration read again%s", deferred_text)
+        deferred_text = f"; in effect from the next start: {', '.join(deferred)}" if deferred else ""
+        LOG.info("configuration reloaded%s", deferred_text)
         for name in deferred:  # so that the next reload logs it again
             setattr(reloaded, name, getattr(self.configuration, name))
         self.configuration = reloaded
@@ -238,7 +238,7 @@
         """Begin a graceful shutdown (see ``runtime.shutdown``), on SIGTERM and SIGINT."""
         self.scheduler.begin_iteration()
         if self._shutdown.begin(self.scheduler.now_ms):
-            LOG.info("told to stop")
+            LOG.info("shutdown requested")
             self._schedule_shutdown_check()
 
     def _schedule_shutdown_check(self) -> None:
--- a/canvasplank/store/__main__.py
+++ b/canvasplank/store/__main__.py
@@ -49,7 +49,7 @@
     try:
         return asyncio.run(_count_calls(path, since, instance))
     except (ConfigurationError, DatabaseUnavailableError, DataRejectedError, TimeoutError) as error:
-        raise click.ClickException(str(error) or "the store gave no answer in time") from None
+        raise click.ClickException(str(error) or "the store did not answer in time") from None
 
 
 @click.group()
