--- a/canvasplank/admin.py
+++ b/canvasplank/admin.py
@@ -1,7 +1,7 @@
 """The admin address for operators: each connection carries one command and its answer.
 
-It is separate from the callers' listener and its limits: the front expects an answer within a second under
-any load, even while callers use all of their connections.
+It is separate from the callers' listener and its limits: the front, which sends callers to the proxies,
+expects an answer within a second under any load, even while callers use all of their connections.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
         """Whether new callers are accepted now."""
 
     def metric_lines(self) -> list[str]:
-        """The lines of the metrics in the exposition format."""
+        """Return the lines of the metrics in the text exposition format."""
 
     def quiesce(self) -> None:
         """Drain callers; established and open calls continue."""
--- a/canvasplank/cli.py
+++ b/canvasplank/cli.py
@@ -107,7 +107,7 @@
 @fleet_option
 @click.argument("incarnation", type=int)
 def remove_member(path: str, incarnation: int) -> None:
-    """Remove a member's row that this version cannot read, of a process that certainly does not run."""
+    """Remove a member's row that this version cannot read; the member's process must not run any more."""
 
     async def remove(_: FleetSettings, backend: Backend) -> bool:
         return await backend.remove_member(incarnation)
--- a/canvasplank/network/caller_pool.py
+++ b/canvasplank/network/caller_pool.py
@@ -12,10 +12,10 @@
 
 FIRST_REQUEST_GRACE_MS = 500.0  # past the limit, older connections without a message are closed first
 MAX_SOCKETS_FRACTION = 0.6  # of the configured sockets; servers, discovery and files need the rest
-ACCEPT_FRACTION = 0.1  # of the allowed connections: how many are accepted in one loop iteration
+ACCEPT_FRACTION = 0.1  # of the allowed connections: the most accepted in one loop iteration
 IDLE_CHECK_INTERVAL_MS = 250.0
 # This long after a quiesce, callers that still send set-ups are disconnected even if they have established
-# calls: the front expects no connected caller after 4 s.
+# calls: the front, which sends callers to the proxies, expects no connected caller after 4 s.
 DRAIN_OVERDUE_MS = 3000.0
 QUIESCED_IDLE_MS = 200.0  # idle time-out while quiesced; callers still connect for 0.2 s after a quiesce
 
@@ -34,7 +34,7 @@
         self.limit(sockets)
 
     def limit(self, sockets: int) -> None:
-        """Apply a new limit of the program's sockets."""
+        """Apply a new limit on the program's sockets."""
         self._max_connections = max(1, int(sockets * MAX_SOCKETS_FRACTION))
         self.max_accepts = max(1, int(self._max_connections * ACCEPT_FRACTION))
 
@@ -49,7 +49,7 @@
         self.streams.pop(stream, None)
 
     def usable_for_release(self, *, carrying_calls: bool) -> list[CallerStream]:
-        """The connections that can be written to, ordered by how likely their peer handles a release.
+        """Return the connections that can be written to, ordered by how likely their peer handles a release.
 
         First come those whose last release was confirmed, then those on which calls were set up, since peers
         that never read may still have sent other messages.  The rest is ordered by the handling of the last
@@ -66,7 +66,7 @@
         return sorted(usable, key=_release_preference, reverse=True)
 
     def best_for_release(self, *, carrying_calls: bool) -> CallerStream | None:
-        """The first connection of ``usable_for_release``; None if there is none."""
+        """Return the first connection of ``usable_for_release``; None if there is none."""
         return next(iter(self.usable_for_release(carrying_calls=carrying_calls)), None)
 
     def quiesce(self) -> None:
@@ -92,16 +92,16 @@
             stream.close_writing()
 
     def unsent(self) -> int:
-        """The number of bytes still to be sent to callers."""
+        """Return the number of bytes still to be sent to callers."""
         return sum(stream.unsent for stream in self.streams)
 
     def make_room(self) -> None:
         """Close connections past the limit, so that callers never take every descriptor.
 
-        Connections without an open set-up are closed: first those that have sent no message in time, then
-        those with the fewest established calls, since their releases are best sent on the connection of the
-        call, and of these the longest unused.  If all have open set-ups, the newest is closed.  Connections
-        closed for writing are aborted past a limit of their own.
+        Connections without an open set-up are closed: first those that have sent no message within
+        ``FIRST_REQUEST_GRACE_MS``, then those with the fewest established calls, since a release is best sent
+        on the connection of its call, and of these the longest unused.  If all have open set-ups, the newest
+        is closed.  Connections closed for writing are aborted past a limit of their own.
         """
         open_streams = [s for s in self.streams if s.is_open]
         excess = len(open_streams) - self._max_connections
--- a/canvasplank/network/caller_releases.py
+++ b/canvasplank/network/caller_releases.py
@@ -22,10 +22,10 @@
 MAX_UNDELIVERED_RELEASES = 20_000  # past it the oldest is dropped, and its server never gets a confirmation
 # How long a pending release waits for a connection that carries calls before it may go out on any.
 PENDING_RELEASE_DELAY_MS = 500.0
-RETRY_DELAY_MS = 250.0  # an unconfirmed release on a foreign connection is then sent again on another
+RETRY_DELAY_MS = 250.0  # an unconfirmed foreign release is sent again on another connection after this time
 CHECK_INTERVAL_MS = 50.0
 MAX_FOREIGN_SENDS = 3  # on connections on which calls were set up, and as many on others
-MAX_RETRY_AGE_MS = 8000.0  # how long after it was last written an unconfirmed release may be sent again
+MAX_RETRY_AGE_MS = 8000.0  # a foreign release that was last written longer ago is not sent again
 
 
 @dataclass(slots=True)
@@ -38,25 +38,25 @@
     foreign_sends: list[CallerStream] = field(default_factory=list)  # all such connections, in sending order
 
     def counts_as_delivered(self, now_ms: float) -> bool:
-        """Whether it was written long ago to a connection that is still open, and needs no confirmation."""
+        """Whether it was written so long ago that it counts as read without a confirmation."""
         window_ms = MAX_RETRY_AGE_MS if self.is_foreign else CONFIRMATION_WINDOW_MS
         return self.written_ms is not None and now_ms - self.written_ms >= window_ms
 
     def may_retry(self, now_ms: float) -> bool:
         """Whether a recent foreign release may be sent again on a connection on which calls were set up."""
         is_recent = self.written_ms is not None and now_ms - self.written_ms < MAX_RETRY_AGE_MS
-        return is_recent and self.is_foreign and self._remaining_sends(to_callers=True) > 0
+        return is_recent and self.is_foreign and self._remaining_sends(has_set_up_calls=True) > 0
 
     def next_connections(self, usable: list[CallerStream], current: CallerStream) -> list[CallerStream]:
-        """The connections on which to send it again: in the order of ``usable``, untried ones first.
+        """Return the connections for the next sends: in the order of ``usable``, untried ones first.
 
-        ``MAX_FOREIGN_SENDS`` applies separately to connections on which calls were set up and to the others:
-        sends on the others must not use up those for callers that may connect later.
+        ``MAX_FOREIGN_SENDS`` applies separately to connections on which calls were set up and to the others.
+        Sends on the others must not use up the sends that are left for callers that connect later.
         """
         others = [stream for stream in usable if stream is not current]
         untried = [stream for stream in others if stream not in self.foreign_sends]
         tried = [stream for stream in others if stream in self.foreign_sends]
-        remaining = {kind: self._remaining_sends(to_callers=kind) for kind in (True, False)}
+        remaining = {flag: self._remaining_sends(has_set_up_calls=flag) for flag in (True, False)}
         chosen: list[CallerStream] = []
         for stream in untried + tried:
             if remaining[stream.has_set_up_calls]:
@@ -64,8 +64,8 @@
                 chosen.append(stream)
         return chosen
 
-    def _remaining_sends(self, *, to_callers: bool) -> int:
-        sends = [stream for stream in self.foreign_sends if stream.has_set_up_calls is to_callers]
+    def _remaining_sends(self, *, has_set_up_calls: bool) -> int:
+        sends = [stream for stream in self.foreign_sends if stream.has_set_up_calls is has_set_up_calls]
         return max(0, MAX_FOREIGN_SENDS - len(sends))
 
 
@@ -149,7 +149,7 @@
     def _check_unconfirmed(self) -> None:
         """Send releases again that were not confirmed in time, since the peer may not know the call.
 
-        Those written long ago to a connection that has not ended are treated as delivered.
+        Releases written long ago to a connection that has not ended are treated as delivered.
         """
         self._check = None
         now_ms = self._scheduler.now_ms
@@ -173,7 +173,7 @@
                 self._check_later()
 
     def _foreign_unconfirmed(self) -> list[tuple[CallerStream, str, int]]:
-        """The connection, call and cause of each release that may be sent again."""
+        """Return the connection, call and cause of each release that may be sent again."""
         now_ms = self._scheduler.now_ms
         return [
             (stream, call_id, sent.cause)
@@ -186,7 +186,7 @@
         others = self._undelivered[call_id].next_connections(usable, stream)
         if not others:
             return
-        stream.unconfirmed.pop(call_id, None)  # may be gone: past its limit the oldest entry is dropped
+        stream.unconfirmed.pop(call_id, None)  # the entry may have been dropped as the oldest one
         self._counters.add("sent.releases_again")
         self._write(others[0], call_id, cause, is_foreign=True)
 
--- a/canvasplank/network/caller_stream.py
+++ b/canvasplank/network/caller_stream.py
@@ -11,7 +11,7 @@
 
 MESSAGE_TIMEOUT_MS = 2000.0  # for the first complete message, and for the rest of a started one
 RECENT_SET_UP_MS = 2000.0  # a caller that has sent a set-up within this time is likely to send more
-# A caller that has disconnected is detected after two intervals, so its call is not forwarded 0.3 s later.
+# A caller's disconnect is detected after two intervals, so that its call is not forwarded 0.3 s after it.
 HALF_CLOSED_PROBE_INTERVAL_MS = 100.0
 
 
--- a/canvasplank/network/callers.py
+++ b/canvasplank/network/callers.py
@@ -73,7 +73,7 @@
         self._pool.close_idle_connections()
 
     def limit(self, sockets: int) -> None:
-        """Apply a new limit of the program's sockets."""
+        """Apply a new limit on the program's sockets."""
         self._pool.limit(sockets)
         if self._listener is not None:
             self._listener.limit(self._pool.max_accepts)
@@ -106,7 +106,7 @@
         self._pool.resume()
 
     def unsent(self) -> int:
-        """The number of bytes still to be sent to callers."""
+        """Return the number of bytes still to be sent to callers."""
         return self._pool.unsent()
 
     # ------------------------------------------------------------------------------ from the exchange
@@ -164,7 +164,7 @@
             self.releases.send_pending(stream)
         match message.kind:
             case isup.Kind.SET_UP if stream.writing_closed:
-                pass  # sent before the caller saw our close: it is sent again on a new connection
+                pass  # the caller had not seen our close, and sends the set-up again on a new connection
             case isup.Kind.SET_UP:
                 self._on_set_up(stream, message)
             case isup.Kind.RELEASE:
--- a/canvasplank/network/connection_attempt.py
+++ b/canvasplank/network/connection_attempt.py
@@ -11,7 +11,7 @@
 
 
 class ConnectionAttempt:
-    """Connects a stream; ends with exactly one of ``stream.on_connected`` and ``on_failed``."""
+    """Connects a stream, and then calls ``stream.on_connected`` or ``on_failed``, unless it is cancelled."""
 
     def __init__(
         self, stream: Stream[object], address: str, timeout_ms: float, on_failed: Callable[[str], None]
--- a/canvasplank/network/discovery.py
+++ b/canvasplank/network/discovery.py
@@ -34,7 +34,7 @@
 UNCONFIRMED_MOVE_JITTER = (0.75, 1.0)  # random factor, so that proxies do not poll a new address in step
 MIN_RECONNECT_DELAY_MS, MAX_RECONNECT_DELAY_MS = 50.0, 800.0
 EVENT_ID_PATTERN = re.compile(r"[0-9]{1,18}")
-MAX_READS = 3  # attempts to read an event that cannot be read; it may have been truncated in transit
+MAX_READS = 3  # attempts to read an event: one that cannot be read may have been truncated in transit
 
 
 class DiscoveryWatchOwner(Protocol):
@@ -99,16 +99,19 @@
     """Computes the delays, in milliseconds, before polls of a service that a whole fleet polls."""
 
     def initial_delay(self) -> float:
-        """The delay before the first poll."""
+        """Return the delay before the first poll."""
 
     def retry_delay(self, now_ms: float, retry_after_ms: float) -> float:
-        """The delay after a failure or a break; ``retry_after_ms``: the service's Retry-After, or 0."""
+        """Return the delay after a failure or break; ``retry_after_ms``: the service's Retry-After, or 0."""
 
     def reset(self) -> None:
         """Reset the backoff, since an event was received."""
 
     def early_poll_delay(self, now_ms: float) -> float | None:
-        """The delay where another proxy receives events and this one does not; None: it has just polled."""
+        """Return the delay if other proxies receive events and this one does not.
+
+        None: this proxy has just polled.
+        """
 
 
 class Discovery:
@@ -138,9 +141,9 @@
         self._unconfirmed_move_ms: float | None = None
         self._replace_watch_at_ms = float("inf")  # when the watch is replaced by a new one
         self._failed_reads = 0  # consecutive failures to read the next event
-        # The service sends unreadable events without a number, after the last event received, on each poll.
-        self._skipped_unnumbered = 0  # how many of these are skipped
-        self._skipped_unnumbered_on_watch = 0  # how many of these the current watch has sent so far
+        # Unreadable events without a number, after the last event received: each poll gets them again.
+        self._skipped_unnumbered = 0  # how many of them are skipped
+        self._skipped_unnumbered_on_watch = 0  # how many of them were skipped on the current watch
 
     def use_poll_backoff(self, poll_backoff: PollBackoff) -> None:
         """Use the delays of this backoff instead of the default ones; to be called before ``start``."""
--- a/canvasplank/network/listener.py
+++ b/canvasplank/network/listener.py
@@ -17,7 +17,7 @@
 
 
 def is_port_in_use(host: str, port: int) -> bool:
-    """Whether another process listens at this address, such as the old version on an upgrade."""
+    """Whether another process listens at this address, such as the old version during an upgrade."""
     with socket.socket(socket.AF_INET6 if ":" in host else socket.AF_INET, socket.SOCK_STREAM) as probe:
         probe.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         try:
@@ -31,7 +31,7 @@
     """Accepts connections, a limited number per loop iteration, and creates a protocol for each.
 
     asyncio's server loses connections when it is closed: it drops those accepted in the same iteration, and
-    the kernel resets those in its queue.  Both happen where a process is suspended during its shutdown.
+    the kernel resets those in its queue.  Both happen if a process is suspended during its shutdown.
     """
 
     def __init__(
--- a/canvasplank/network/peer_table.py
+++ b/canvasplank/network/peer_table.py
@@ -55,7 +55,7 @@
         return len(listed), len(excluded)
 
     def on_list_updated(self, complete: bool, instances: list[Endpoint]) -> None:
-        """Apply an endpoint list update; ``complete``: the list is whole, and not only the changed entries.
+        """Apply an endpoint list update; ``complete``: it holds all entries, and not only the changed ones.
 
         Ready servers are added before the decision module is notified, since it may send there at once and a
         new server must not seem unreachable.  Other changes follow the notification, so that the module
--- a/canvasplank/network/predecessor.py
+++ b/canvasplank/network/predecessor.py
@@ -1,4 +1,4 @@
-"""Detects the end of the process that served this address before, such as the old version on an upgrade.
+"""Detects the end of the process that served this address before, such as the old version during an upgrade.
 
 This process connects to its predecessor as a caller, before it listens at the address itself, and sends only
 tests.  The predecessor ends this connection together with its connections to call servers.
--- a/canvasplank/network/release_retransmission.py
+++ b/canvasplank/network/release_retransmission.py
@@ -18,11 +18,11 @@
     """A release that waits for a connection."""
 
     cause: int
-    on_sent: Callable[[], None] | None = None  # called once it is sent, or need not be waited for
+    on_sent: Callable[[], None] | None = None  # called once it is sent, or cannot be sent for now
 
 
 class ReleaseHandling(enum.IntEnum):
-    """Fate of the last release on a caller's connection; higher values are preferred for the next one."""
+    """How a caller handled the last release on its connection; higher values are preferred for the next."""
 
     IGNORED = 0  # not confirmed in time
     UNKNOWN = 1
--- a/canvasplank/network/server_connections.py
+++ b/canvasplank/network/server_connections.py
@@ -15,8 +15,8 @@
 from canvasplank.network.stream import BufferBudget
 
 LOG = logging.getLogger(__name__)
-# A server is unreachable after so long without a message or a connection.  This is shorter than the 8 s
-# within which a call is released once its caller has ended it.
+# A server without a connection counts as unreachable this long after its last data or connection.  This is
+# shorter than the 8 s within which a call is released once its caller has ended it.
 UNREACHABLE_MS = 7000.0
 DEFAULT_RESEND_MS = 500.0  # until a caller sends a set-up again, unless the settings give it
 MESSAGE_TIMEOUT_FRACTION = 0.25  # of the resend time: an incomplete message counts as lost after it
@@ -26,7 +26,7 @@
 class ServerConnections:
     """Maintains a current connection to each listed server, even if no calls are sent there.
 
-    Servers also send releases of established calls and reports of their circuits on it.
+    On this connection, servers also send releases of established calls and reports of their circuits.
     """
 
     def __init__(
@@ -101,7 +101,7 @@
         A server sends releases that no process has confirmed again on the next connection that is opened.
         """
         if self.disconnecting or peer.current is None or not peer.current.is_open:
-            return  # another connection is made anyway
+            return  # another connection is opened anyway
         stream = ServerStream(self, peer)
         stream.renews_current = True
         stream.connect(self._limits.connect_timeout_ms, lambda _reason: stream.cancel_connecting())
@@ -112,7 +112,7 @@
             self._on_connection_failed(peer.current, reason)
 
     def replace_current(self, peer: Peer, reason: str) -> None:
-        """Use another connection for new set-ups; open ones stay on the established connection."""
+        """Use another connection for new set-ups; open set-ups stay on the old one."""
         current, peer.current = peer.current, None
         if current is not None and current.connecting is not None:
             self._on_connection_failed(current, reason)
@@ -186,7 +186,7 @@
         if not stream.ended_unreadably:
             report_reset()
             return
-        peer.pending_end_reports.setdefault(call_id, report_reset)  # a cancellation may have set it
+        peer.pending_end_reports.setdefault(call_id, report_reset)  # kept if a cancellation has set one
         if self.is_listed(peer):
             peer.send_release(call_id, ReleaseCause.NORMAL_UNSPECIFIED, report_when_abandoned)
         else:
--- a/canvasplank/network/server_stream.py
+++ b/canvasplank/network/server_stream.py
@@ -105,7 +105,7 @@
             stream.cancelled.pop(call_id, None)
 
     def unsettled_calls(self) -> dict[str, int]:
-        """Release causes, by call, of calls that the server may hold although we cancelled or released them.
+        """Return the release causes, by call, of cancelled or released calls that the server may still hold.
 
         Either nothing was read on the connection since, or the release has not been sent yet.
         """
@@ -167,7 +167,7 @@
         self._report_count = 0
         self._used_since_replaced = False  # whether data was read since another connection became current
         self._unanswered_since_ms: float | None = None  # when the first set-up after the last read was sent
-        self._bad_body = b""  # of an incomplete message: contains the messages that followed it
+        self._bad_body = b""  # body of an incomplete message, which contains the messages that followed
         self._keeps_reading = False  # whether it is read after we ended it: see ``ended_connection``
         self._awaits_servers_end = False  # whether we ended it and the server has not
         self._when_set_ups_abandoned: list[Callable[[], None]] = []
@@ -358,7 +358,7 @@
         self._used_since_replaced = False
 
     def is_message_overdue(self, timeout_ms: float) -> bool:
-        """Whether a message is incomplete for longer than this: it would absorb all that follows."""
+        """Whether a message has been incomplete for longer than this; it would absorb all that follows."""
         late = self.scheduler.now_ms - self.message_started_ms > timeout_ms
         is_read = self.transport is not None and not self.transport.is_closing()
         return is_read and late and self.parser.in_message
@@ -381,13 +381,14 @@
     def is_superseded(self, idle_ms: float) -> bool:
         """Whether a replaced connection can be closed, since no more messages are expected on it.
 
-        If used since, established calls keep it open until it is idle for ``idle_ms``: a release may be in
-        transit, and the server would not send it again on the new connection, which is already up.
+        Established calls keep a connection that was used since its replacement open until it is idle for
+        ``idle_ms``: a release may be in transit, and the server would not send it again on the new
+        connection, which is already up.
         """
         in_use = self._used_since_replaced and self.scheduler.now_ms - self.last_used_ms < idle_ms
         return not self.open_set_ups and not (self.established and in_use)
 
     @property
     def ended_unreadably(self) -> bool:
-        """Whether it ended within a message or because of a bad one, which may have lost an answer."""
+        """Whether it ended within a message or because of a bad one, so that an answer may be lost."""
         return self.unreadable or self.parser.in_message
--- a/canvasplank/network/servers.py
+++ b/canvasplank/network/servers.py
@@ -184,7 +184,7 @@
     def _on_message_after_end(
         self, stream: ServerStream, message: sip.Message, write: Callable[[bytes], None]
     ) -> None:
-        """Handle a message found in unreadable data or after an end; it may be part of another's body.
+        """Handle a message found in unreadable data or after our end; it may be part of another one's body.
 
         A release counts only for a call that is established at this server.  An answer to a set-up that ended
         with the connection established a call that nobody waits for, so the call is released.
@@ -211,7 +211,7 @@
             write(sip.response(OK, "OK", message))
 
         if not CALL_ID.fullmatch(message.call_id):
-            # An invalid call id must reach neither the callers nor the exchange's memory of ended calls.
+            # An invalid call id must reach neither the callers nor the exchange's records of ended calls.
             confirm()
             return
         stream.peer.mark_settled(message.call_id)
--- a/canvasplank/network/stream.py
+++ b/canvasplank/network/stream.py
@@ -59,7 +59,7 @@
         self.limit(memory_bytes)
 
     def limit(self, memory_bytes: float) -> None:
-        """Apply a new limit of the program's memory."""
+        """Apply a new limit on the program's memory."""
         self._max_bytes = BUFFERED_FRACTION * memory_bytes
 
     def update(self, stream: Stream[object], size: int) -> None:
--- a/canvasplank/network/successor.py
+++ b/canvasplank/network/successor.py
@@ -1,4 +1,4 @@
-"""Hands unsettled calls to the process that serves this address next, such as the new version on an upgrade.
+"""Hands unsettled calls to the process that serves this address next, such as a new version on an upgrade.
 
 A call with a final answer may still be established at a server that cannot be reached.  That server would
 release it to the next process, which must assume that the call is established for its caller.  So this
--- a/canvasplank/program.py
+++ b/canvasplank/program.py
@@ -279,7 +279,8 @@
 
         Unsettled calls are failed calls that a server may still release, to the next process if this one has
         ended.  By now only the successor listens at this address.  If calls are established but no caller is
-        connected to get their releases, none is waited for: their servers release them to the next process.
+        connected, the shutdown waits for no call: servers then release the established ones to the next
+        process, and not to this one, which could not pass their releases on.
         """
         self._successor.release(self.servers.unsettled_calls())
         if self.exchange.established_calls and not self._callers.streams:
--- a/canvasplank/runtime/scheduler.py
+++ b/canvasplank/runtime/scheduler.py
@@ -44,7 +44,7 @@
         self._now_s, self._steady_s = unix(), steady()
 
     def __call__(self) -> float:
-        """The time now, in milliseconds since the Unix epoch."""
+        """Return the time, in milliseconds since the Unix epoch."""
         unix_s, steady_s = self._unix(), self._steady()
         self._now_s = max(unix_s, self._now_s + CATCH_UP_RATE * (steady_s - self._steady_s))
         self._steady_s = steady_s
@@ -74,7 +74,7 @@
             self._timers.discard(timer)
 
     def next_due_ms(self) -> float | None:
-        """When the earliest timer is due; None without timers."""
+        """Return when the earliest timer is due; None without timers."""
         return self._timers[0].due_ms if self._timers else None
 
     def pop_due(self, now_ms: float) -> Timer | None:
@@ -115,7 +115,7 @@
         loop.call_soon(self._poll_again, loop)
 
     def read_clock(self) -> float:
-        """The current time in ms, not cached as ``now_ms`` is: for actions of this process, not for input."""
+        """Return the time in ms, which ``now_ms`` only caches; for actions of this process, not for input."""
         return max(self.now_ms, self._clock())
 
     def call_later(self, delay_ms: float, action: Callable[[], object]) -> Timer:
--- a/canvasplank/runtime/shutdown.py
+++ b/canvasplank/runtime/shutdown.py
@@ -10,12 +10,12 @@
 
 LAME_DUCK_MS = 700.0  # how long after SIGTERM callers may still connect
 MAX_CALL_DEADLINE_MS = 3000.0  # longer deadlines of calls do not extend the shutdown
-FAIL_BEFORE_KILL_MS = 300.0  # how long before the process may be killed open calls are failed
+FAIL_BEFORE_KILL_MS = 300.0  # open calls are failed this long before the process may be killed
 FLUSH_MS = 100.0  # time to send the last bytes after open calls are failed
-SETTLE_BEFORE_KILL_MS = 500.0  # how long before the process may be killed to stop waiting for unsettled calls
+SETTLE_BEFORE_KILL_MS = 500.0  # the wait for unsettled calls ends this long before the process may be killed
 SETTLED_MS = 250.0  # time to read what servers have sent, after the last unsettled call is settled
 DISCONNECT_MS = 100.0  # time for callers to see their connections end; data in flight arrives within 50 ms
-FINISH_BEFORE_KILL_MS = 100.0  # how long before the process may be killed extensions have to be done
+FINISH_BEFORE_KILL_MS = 100.0  # extensions must finish this long before the process may be killed
 CHECK_INTERVAL_MS = 20.0
 
 
@@ -53,11 +53,11 @@
         return now_ms - self._started_ms >= self._kill_after_ms - FAIL_BEFORE_KILL_MS
 
     def remaining_ms(self, now_ms: float) -> float:
-        """How long extensions may take to finish."""
+        """Return how long extensions may take to finish."""
         return max(0.0, self._kill_after_ms - FINISH_BEFORE_KILL_MS - (now_ms - self._started_ms))
 
     def next_check_ms(self, now_ms: float) -> float:
-        """How long to wait before the next call of ``advance``."""
+        """Return how long to wait before the next call of ``advance``."""
         if self.phase is Phase.LAME_DUCK:
             return max(1.0, self._started_ms + LAME_DUCK_MS - now_ms)
         return CHECK_INTERVAL_MS
--- a/canvasplank/runtime/signals.py
+++ b/canvasplank/runtime/signals.py
@@ -8,7 +8,7 @@
 
 
 def block() -> None:
-    """Keep the handled signals pending; at exit, before the event loop restores the default actions."""
+    """Keep the signals pending while the event loop has no handlers for them: at the start and at exit."""
     signal.pthread_sigmask(signal.SIG_BLOCK, HANDLED_SIGNALS)
 
 
