--- a/canvasplank/network/ended_connection.py
+++ b/canvasplank/network/ended_connection.py
@@ -24,7 +24,7 @@
 QUIET_MS = 100.0  # a server that writes nothing for so long has no more messages queued
 # A connection is closed for writing after this time if a message was found behind the unreadable one.
 MAX_OPEN_MS = 400.0
-# The same if no message was found: a server that sees our end may drop messages queued behind unreadable data.
+# The same if no message was found: a server that sees our end may drop messages queued behind bad data.
 MAX_UNREADABLE_MS = 2000.0
 CHECK_INTERVAL_MS = 20.0
 MAX_READ_BYTES = 4 * 1024 * 1024  # per connection
--- a/tests/mixed_builds.py
+++ b/tests/mixed_builds.py
@@ -1,6 +1,6 @@
 """A pytest plugin that runs tests across processes with processes of two builds in turn.
 
-The tests listed below start several processes of the program from this checkout.  With this plugin every
+It is for tests that start several processes of the program from this checkout.  With this plugin every
 second one, or the first and every second one after it, comes from another checkout, such as that of the
 previous release.  So the tests show whether two builds work side by side: on one database, in a warm start,
 and across an upgrade.
--- a/tests/race_conditions.py
+++ b/tests/race_conditions.py
@@ -52,7 +52,7 @@
     return received
 
 
-class CallerSide:
+class CallerSideRig:
     """The callers' side without call servers, on a fake clock; the default policy leaves each call open."""
 
     def __init__(self, sockets: int = 64) -> None:
@@ -84,7 +84,7 @@
         return peer
 
     async def set_up_was_read(self) -> None:
-        """Wait until a set-up has been read; the test sets the time-out."""
+        """Wait until a set-up has been read; the caller sets a time-out."""
         while not self.exchange.open_calls:
             await asyncio.sleep(0.005)
 
@@ -114,4 +114,5 @@
         return runner.run(coroutine)
 
 
-ANSWERED = re.compile(rb"\x00.\x0c(.{8})", re.DOTALL)
+# Matches the release message that rejects a set-up; the group holds the bytes of the call id.
+REJECTED = re.compile(rb"\x00.\x0c(.{8})", re.DOTALL)
--- a/tests/server_side.py
+++ b/tests/server_side.py
@@ -30,7 +30,7 @@
 UNREAD_BYTES = 500_000
 
 
-class CallerSide:
+class FakeCallerSide:
     """A callers' side that only records rejected calls."""
 
     def __init__(self) -> None:
@@ -70,7 +70,7 @@
         limits = ConnectionLimits(conn_idle_ms=60_000.0, connect_timeout_ms=15_000.0, max_open=100)
         self.servers = Servers(self.exchange, limits, resend_ms, BufferBudget(1e8), LoadReportReader([]))
         self.exchange.attach_servers(self.servers)
-        self.callers = CallerSide()
+        self.callers = FakeCallerSide()
         self.exchange.attach_callers(self.callers)
         self.listeners = {name: socket.create_server(("127.0.0.1", 0)) for name in ("s-a", "s-b")}
         for listener in self.listeners.values():
@@ -151,7 +151,7 @@
                 await self.step()
 
     async def block_cancellation(self) -> None:
-        """Have the call cancelled on a connection that the server does not read, so that it stays unsent."""
+        """Have the call cancelled on a connection that the server does not read: the CANCEL stays unsent."""
         stream = self.first_stream()
         stream.transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
         stream.write(b"x" * UNREAD_BYTES)
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -237,7 +237,7 @@
 NUMBER_LAST = OVERSIZED + b"id: 2\n\n"
 ONE_LINE = b"id: 2\ndata: " + b"x" * 600_000 + b"\n\n"
 UNDECODABLE = b'id: 3\ndata: {"rev": 3, "pool": 5}\n\n'
-TORN = b'id: 3x\ndata: {"rev": 3}\n\n'
+GARBLED = b'id: 3x\ndata: {"rev": 3}\n\n'
 
 
 @pytest.mark.parametrize(
@@ -284,12 +284,12 @@
     assert all(gap_ms >= MIN_RECONNECT_DELAY_MS for gap_ms in gaps_ms)
 
 
-def test_an_event_torn_after_one_without_a_number_is_requested_again():
-    """The failed reads of the event before do not count for it; otherwise it would be lost."""
+def test_an_event_garbled_after_one_without_a_number_is_requested_again():
+    """The failed reads of the event before must not count for the garbled one, which would then be lost."""
 
     async def run() -> EventLog:
         # Event 2 can never be read; event 3 is first read in the poll that skips event 2, its third.
-        service = EventLog({2: WITHOUT_NUMBER, 3: TORN, 4: readable(4)})
+        service = EventLog({2: WITHOUT_NUMBER, 3: GARBLED, 4: readable(4)})
         discovery = await service.follow()
         await service.run_until(discovery, lambda: len(service.polled_ms) == MAX_READS)
         service.events[3] = readable(3)
--- a/tests/test_ended_connections.py
+++ b/tests/test_ended_connections.py
@@ -152,7 +152,7 @@
     return True
 
 
-def test_a_connection_stays_open_while_its_server_writes_on(monkeypatch):
+def test_a_connection_stays_open_while_its_server_still_writes(monkeypatch):
     """A server that sees our end may drop queued messages, such as releases."""
 
     async def scenario(rig: ConnectionsRig) -> None:
@@ -206,7 +206,7 @@
     run(scenario, monkeypatch)
 
 
-def test_a_release_queued_behind_what_takes_its_server_long_to_write_is_read(monkeypatch):
+def test_a_release_queued_behind_slowly_written_data_is_read(monkeypatch):
     """The proxy ended the connection after 0.4 s, and the server dropped what it had queued there."""
 
     async def scenario(rig: ConnectionsRig) -> None:
@@ -223,7 +223,7 @@
     run(scenario, monkeypatch)
 
 
-def test_a_pause_of_the_process_leaves_a_server_its_time_to_write(monkeypatch):
+def test_a_pause_of_the_process_does_not_shorten_a_servers_time_to_write(monkeypatch):
     """The time was counted from the start of the iteration, and had passed when the connection ended."""
 
     async def scenario(rig: ConnectionsRig) -> None:
@@ -317,7 +317,7 @@
 
 
 def test_open_set_ups_are_cancelled_on_an_ended_connection(monkeypatch):
-    """They are given up before our end of the connection, which comes up to ``MAX_OPEN_MS`` later."""
+    """The cancellations are written at once, before the proxy closes the connection for writing."""
 
     async def scenario(rig: ConnectionsRig) -> None:
         await rig.offer()
@@ -385,7 +385,7 @@
 
 
 def test_a_release_behind_the_end_ends_no_call_of_another_server_and_none_that_is_unknown(monkeypatch):
-    """Such a release may be part of another message's body, which others than the server have written."""
+    """Such a release may be part of another message's body, which the server has not written itself."""
 
     async def scenario(rig: ConnectionsRig) -> None:
         await rig.establish()
@@ -421,7 +421,7 @@
     run(scenario, monkeypatch)
 
 
-def test_a_call_answered_behind_the_end_is_not_released_while_it_is_set_up_there_anew(monkeypatch):
+def test_a_call_answered_behind_the_end_is_not_released_while_it_is_set_up_there_again(monkeypatch):
     """The release would end the later attempt, since releases carry only the call id."""
 
     async def scenario(rig: ConnectionsRig) -> None:
@@ -464,7 +464,7 @@
     run(scenario, monkeypatch)
 
 
-def test_a_release_of_ours_that_its_server_reads_late_is_not_lost_with_the_connection(monkeypatch):
+def test_our_release_that_a_server_reads_late_is_not_lost_with_the_connection(monkeypatch):
     """The release was written well before the bad message, behind data that the server has not read."""
 
     async def scenario(rig: ConnectionsRig) -> None:
--- a/tests/test_race_conditions_callers.py
+++ b/tests/test_race_conditions_callers.py
@@ -13,12 +13,12 @@
 import pytest
 from exchange_replay import PROGRESS, Replay
 from race_conditions import (
-    ANSWERED,
     ID,
+    REJECTED,
     RELEASE,
     TEST,
     WAIT_S,
-    CallerSide,
+    CallerSideRig,
     read_until_eof,
     run_coroutine,
     set_up,
@@ -39,10 +39,10 @@
 @pytest.mark.parametrize(
     ("close", "in_flight", "expected"),
     [
-        pytest.param(CallerSide.close_idle, set_up(), b"", id="idle-set-up"),
-        pytest.param(CallerSide.close_idle, RELEASE, b"", id="idle-release"),
-        pytest.param(CallerSide.close_for_room, set_up(), b"", id="room-set-up"),
-        pytest.param(CallerSide.close_for_room, RELEASE, b"", id="room-release"),
+        pytest.param(CallerSideRig.close_idle, set_up(), b"", id="idle-set-up"),
+        pytest.param(CallerSideRig.close_idle, RELEASE, b"", id="idle-release"),
+        pytest.param(CallerSideRig.close_for_room, set_up(), b"", id="room-set-up"),
+        pytest.param(CallerSideRig.close_for_room, RELEASE, b"", id="room-release"),
         pytest.param(
             lambda caller_side: caller_side.callers.quiesce(),
             RELEASE,
@@ -52,7 +52,7 @@
     ],
 )
 def test_data_in_flight_at_our_close_is_not_reset(
-    close: Callable[[CallerSide], None], in_flight: bytes, expected: bytes
+    close: Callable[[CallerSideRig], None], in_flight: bytes, expected: bytes
 ):
     """The kernel reset a connection that was closed with bytes unread, and a release among them was lost.
 
@@ -61,8 +61,8 @@
     ``test_an_unread_set_up_on_a_quiesced_unused_connection_is_answered``.
     """
 
-    async def run() -> tuple[bytes, CallerSide]:
-        caller_side, loop = CallerSide(), asyncio.get_running_loop()
+    async def run() -> tuple[bytes, CallerSideRig]:
+        caller_side, loop = CallerSideRig(), asyncio.get_running_loop()
         caller_side.callers.listen("127.0.0.1", caller_side.port)
         first, second = await caller_side.caller(), await caller_side.caller()
         first.sendall(in_flight)  # unread, since the loop does not run before the close
@@ -83,8 +83,8 @@
 def test_an_answer_is_released_when_the_callers_connection_ends_in_the_same_iteration():
     """The answer was lost, and the call stayed established at its server until the server ended it."""
 
-    async def run() -> CallerSide:
-        caller_side = CallerSide()
+    async def run() -> CallerSideRig:
+        caller_side = CallerSideRig()
         caller_side.decide = lambda event: [api.SetUp(ID, "a", 9000)] if isinstance(event, api.Call) else []
         caller_side.callers.listen("127.0.0.1", caller_side.port)
         peer = await caller_side.caller()
@@ -107,7 +107,7 @@
 def test_an_unread_set_up_on_a_quiesced_unused_connection_is_answered(first: str):
     """The connection was closed in the iteration in which the set-up was to be read, and the set-up was lost.
 
-    A caller that wrote it 0.5 s before the close does not take it for lost, and does not send it again.
+    A caller that wrote the set-up 0.5 s before the close does not consider it lost, or send it again.
     """
     second = "bb" * 8
 
@@ -120,7 +120,7 @@
         return []
 
     async def run() -> bytes:
-        caller_side, loop = CallerSide(), asyncio.get_running_loop()
+        caller_side, loop = CallerSideRig(), asyncio.get_running_loop()
         caller_side.decide = decide
         caller_side.callers.listen("127.0.0.1", caller_side.port)
         peer = await caller_side.caller()
@@ -138,15 +138,15 @@
         return received
 
     received = run_coroutine(run())
-    assert [call_id.hex() for call_id in ANSWERED.findall(received)] == [ID, second][first == "a test" :]
+    assert [call_id.hex() for call_id in REJECTED.findall(received)] == [ID, second][first == "a test" :]
 
 
 @pytest.mark.parametrize("established", [False, True], ids=["given up", "released"])
 def test_a_call_ended_on_another_connection_is_removed_from_its_own(established: bool):
     """The call was never removed, and its half-closed or quiesced connection was never closed."""
 
-    async def run() -> tuple[bytes, CallerSide]:
-        caller_side, loop = CallerSide(), asyncio.get_running_loop()
+    async def run() -> tuple[bytes, CallerSideRig]:
+        caller_side, loop = CallerSideRig(), asyncio.get_running_loop()
         caller_side.decide = lambda event: [api.SetUp(ID, "a", 9000)] if isinstance(event, api.Call) else []
         caller_side.callers.listen("127.0.0.1", caller_side.port)
         first, second = await caller_side.caller(), await caller_side.caller()
@@ -174,7 +174,7 @@
     """accept(2) reports the error of a broken connection; it was raised, and the shutdown never ended."""
 
     async def run() -> bool:
-        caller_side = CallerSide()
+        caller_side = CallerSideRig()
         caller_side.callers.listen("127.0.0.1", caller_side.port)
         listener = caller_side.callers._listener
         real_socket, errors = listener._socket, [OSError(errno.EPROTO, "broken"), ConnectionAbortedError()]
@@ -207,7 +207,7 @@
     other.stream.sendall(TEST)
     other.gets("\\x00\\x0d\\x35<*>\\x01")
     flood.shutdown(socket.SHUT_WR)
-    answered = [call_id.hex() for call_id in ANSWERED.findall(PROGRESS.sub(b"", read_until_eof(flood)))]
+    answered = [call_id.hex() for call_id in REJECTED.findall(PROGRESS.sub(b"", read_until_eof(flood)))]
     assert sorted(answered) == ids
 
 
@@ -215,7 +215,7 @@
     """Connections closed past the limit stay half open where the peer does not close them."""
 
     async def run() -> int:
-        caller_side = CallerSide(sockets=20)  # 12 connections, and one accept per iteration
+        caller_side = CallerSideRig(sockets=20)  # 12 connections, and one accept per iteration
         caller_side.callers.listen("127.0.0.1", caller_side.port)
         crowd = [await caller_side.caller() for _ in range(40)]
         held = len(caller_side.callers.streams)
@@ -238,7 +238,7 @@
         return []
 
     async def run() -> tuple[bool, int]:
-        caller_side, loop = CallerSide(), asyncio.get_running_loop()
+        caller_side, loop = CallerSideRig(), asyncio.get_running_loop()
         caller_side.decide = decide
         caller_side.callers.listen("127.0.0.1", caller_side.port)
         peer = await caller_side.caller()
@@ -253,7 +253,7 @@
             caller_side.now_ms += DRAIN_OVERDUE_MS if late else DRAIN_OVERDUE_MS / 2
             peer.sendall(set_up(second))
             received = await loop.run_in_executor(None, peer.recv, 64)
-            assert ANSWERED.findall(received)
+            assert REJECTED.findall(received)
             caller_side.callers._pool.close_idle_connections()
             await asyncio.sleep(0.01)
         ended = next(iter(caller_side.callers.streams), None) is None or any(
@@ -271,7 +271,7 @@
     """Connections without calls had been used more recently, so those that carried all calls were closed."""
 
     async def run() -> list[bool]:
-        caller_side = CallerSide()
+        caller_side = CallerSideRig()
         caller_side.decide = lambda event: [api.SetUp(ID, "a", 9000)] if isinstance(event, api.Call) else []
         caller_side.callers.listen("127.0.0.1", caller_side.port)
         peers = [await caller_side.caller()]
@@ -293,11 +293,11 @@
     assert run_coroutine(run()) == [True, False, True]
 
 
-def test_room_is_made_where_a_caller_has_reset_its_connection_meanwhile():
-    """Closing it raised an error while a new connection was added, which was left half registered."""
+def test_room_is_made_although_a_caller_has_reset_its_connection():
+    """Closing the reset connection raised an error, and the new one was left partly registered."""
 
     async def run() -> tuple[int, int]:
-        caller_side = CallerSide()
+        caller_side = CallerSideRig()
         errors: list[dict[str, object]] = []
         asyncio.get_running_loop().set_exception_handler(lambda _, context: errors.append(context))
         caller_side.callers.listen("127.0.0.1", caller_side.port)
--- a/tests/test_race_conditions_servers.py
+++ b/tests/test_race_conditions_servers.py
@@ -135,8 +135,8 @@
     assert asyncio.run(run()) <= 3, "two replacements are made until the interval is known"
 
 
-def test_a_hang_is_detected_where_a_set_up_is_sent_as_its_connection_comes_up(monkeypatch):
-    """Both happened at one reading of the clock, and the set-up counted as answered."""
+def test_a_hang_is_detected_if_a_set_up_is_sent_as_its_connection_comes_up(monkeypatch):
+    """The connection came up and the set-up was sent at one clock reading; the set-up counted as answered."""
 
     async def run() -> int:
         rig = ServerSideRig(monkeypatch, resend_ms=500.0)
--- a/tests/test_race_conditions_shutdown.py
+++ b/tests/test_race_conditions_shutdown.py
@@ -14,7 +14,7 @@
 
 import pytest
 from exchange_replay import SETTINGS, Replay
-from race_conditions import ANSWERED, ID, ROOT, TEST, WAIT_S, read_until_eof, run_coroutine, set_up
+from race_conditions import ID, REJECTED, ROOT, TEST, WAIT_S, read_until_eof, run_coroutine, set_up
 from test_operations import free_port
 
 from canvasplank.codecs import isup
@@ -51,7 +51,7 @@
     for number, caller in enumerate([*crowd, old]):
         caller.stream.settimeout(WAIT_S)
         received = read_until_eof(caller.stream)
-        assert ANSWERED.match(received)[1].hex() == f"{number + 1:016x}"
+        assert REJECTED.match(received)[1].hex() == f"{number + 1:016x}"
     replay.step("program exits 0")
 
 
@@ -168,7 +168,7 @@
             await running
         return received
 
-    assert ANSWERED.match(run_coroutine(run()))
+    assert REJECTED.match(run_coroutine(run()))
 
 
 @pytest.mark.parametrize("reads", [True, False], ids=["reads late", "never reads"])
--- a/tests/test_release_wait.py
+++ b/tests/test_release_wait.py
@@ -1,7 +1,7 @@
 """A call is sent again no sooner than the release wait after it was given up at its first server.
 
-The wait counts from when the server can know of that.  It must not be shortened by a pause of the process
-between any two statements, or by a cancellation that the kernel does not take.
+The wait counts from when the server can know that the call was given up.  It must not be shortened by a
+pause of the process between any two statements, or by a cancellation that the kernel does not take.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 
 
 def cancel_at_silent_server(rig: ServerSideRig) -> None:
-    """Do nothing: the server is silent, and the decision module moves the call."""
+    """Do nothing: the decision module moves the call, since its server is silent."""
 
 
 def cancel_at_gone_server(rig: ServerSideRig) -> None:
--- a/tests/test_releases_across_processes.py
+++ b/tests/test_releases_across_processes.py
@@ -17,7 +17,7 @@
 from exchange_replay import SETTINGS
 from race_conditions import ID, TEST, WAIT_S, read_until_eof, run_coroutine, set_up
 from server_side import ServerSideRig, offered_call
-from two_processes import Deployment, StandInServer, read_message
+from two_processes import Deployment, FakeCallServer, read_message
 
 from canvasplank.codecs import isup, sip
 from canvasplank.network.caller_releases import PENDING_RELEASE_DELAY_MS
@@ -41,7 +41,7 @@
 
 @contextlib.contextmanager
 def attempted_call(
-    folder: Path, server: StandInServer, settings: dict | None = None, wait_ms: int = 9000
+    folder: Path, server: FakeCallServer, settings: dict | None = None, wait_ms: int = 9000
 ) -> Iterator[AttemptedCall]:
     """Start a process and have it send a call to the server; the caller waits for ``wait_ms``."""
     deployment = Deployment(folder, [server], settings)
@@ -57,7 +57,7 @@
 
 
 @contextlib.contextmanager
-def established_call(folder: Path, server: StandInServer) -> Iterator[tuple[Deployment, socket.socket]]:
+def established_call(folder: Path, server: FakeCallServer) -> Iterator[tuple[Deployment, socket.socket]]:
     """Start a process and have it establish a call at the server; yields the caller's connection."""
     with attempted_call(folder, server) as (deployment, caller, connection, invite):
         server.answer(connection, invite)
@@ -87,7 +87,7 @@
 @STOPS_WHEN_CONFIRMED
 def test_a_release_written_to_a_caller_that_closes_reaches_it_after_a_restart(tmp_path, stops_when_confirmed):
     """The release was confirmed to the server when written, and so not sent to the next process."""
-    server = StandInServer(stops_when_confirmed)
+    server = FakeCallServer(stops_when_confirmed)
     with established_call(tmp_path, server) as (deployment, caller):
         release_to_a_closing_caller(deployment, caller)
         deployment.start()
@@ -100,7 +100,7 @@
     tmp_path, stops_when_confirmed
 ):
     """The new process had connections to servers already, and opened none to receive the release."""
-    server = StandInServer(stops_when_confirmed)
+    server = FakeCallServer(stops_when_confirmed)
     with established_call(tmp_path, server) as (deployment, caller):
         deployment.start()
         server.accept()
@@ -115,7 +115,7 @@
 @contextlib.contextmanager
 def released_by_the_process_itself(folder: Path) -> Iterator[Deployment]:
     """Have a process release a call whose server has gone while no caller is connected; terminate it."""
-    server = StandInServer()
+    server = FakeCallServer()
     with established_call(folder, server) as (deployment, caller):
         server.close()
         caller.close()
@@ -165,14 +165,14 @@
     read_until_eof(caller)
 
 
-def assert_not_released_by_the_next_process(deployment: Deployment, server: StandInServer) -> None:
-    """Start the next process and check that it passes on the server's releases, but not of a failed call."""
+def assert_not_released_by_the_next_process(deployment: Deployment, server: FakeCallServer) -> None:
+    """Start the next process and check that it passes on releases, except that of the failed call."""
     deployment.start()
     assert_not_released(deployment, server, server.accept())
 
 
-def assert_not_released(deployment: Deployment, server: StandInServer, connection: socket.socket) -> None:
-    """Check that the process on this connection passes on releases, but not of the failed call."""
+def assert_not_released(deployment: Deployment, server: FakeCallServer, connection: socket.socket) -> None:
+    """Check that the process on this connection passes on releases, except that of the failed call."""
     server.established[MARKER_ID] = connection
     for call_id in list(server.established):
         server.release(call_id)
@@ -182,7 +182,7 @@
 
 def test_a_call_whose_answer_crosses_its_cancellation_at_the_end_of_the_process_fails_once(tmp_path):
     """The server established the call; the next process passed its release on as a second final answer."""
-    server = StandInServer()
+    server = FakeCallServer()
     with attempted_call(tmp_path, server, SHORT_DEADLINE_SETTINGS) as (
         deployment,
         caller,
@@ -198,7 +198,7 @@
 
 def test_a_call_whose_cancellation_hangs_at_the_end_of_the_process_fails_once(tmp_path):
     """The connection of the set-up hangs; another is established before the process ends."""
-    server = StandInServer()
+    server = FakeCallServer()
     with attempted_call(tmp_path, server) as (deployment, caller, hung, _):
         server.established[ID] = hung  # its answer is lost
         server.accept()
@@ -210,11 +210,11 @@
         assert_not_released_by_the_next_process(deployment, server)
 
 
-def hang(server: StandInServer, connection: socket.socket) -> None:
+def hang(server: FakeCallServer, connection: socket.socket) -> None:
     """Leave the connection without traffic, and accept no other."""
 
 
-def send_unreadable(server: StandInServer, connection: socket.socket) -> None:
+def send_unreadable(server: FakeCallServer, connection: socket.socket) -> None:
     """Have the process end the connection, and accept no other that could carry the release."""
     server.listener.close()
     connection.sendall(b"noise\r\n\r\n")
@@ -223,7 +223,7 @@
 @pytest.mark.parametrize("disturb", [hang, send_unreadable])
 def test_a_call_that_failed_while_its_server_was_out_of_reach_fails_once_across_an_upgrade(tmp_path, disturb):
     """The server established the call and released it to the new process, which passed that on."""
-    server = StandInServer()
+    server = FakeCallServer()
     with attempted_call(tmp_path, server, SHORT_DEADLINE_SETTINGS) as (deployment, caller, out_of_reach, _):
         deployment.start()
         connection = server.accept()
@@ -240,14 +240,14 @@
 OUT_OF_REACH_S = 1.0  # from the failure of the call
 
 
-def refuse_connections(server: StandInServer) -> tuple[str, int]:
+def refuse_connections(server: FakeCallServer) -> tuple[str, int]:
     """Close the server's listener, and return its address."""
     address = server.listener.getsockname()
     server.listener.close()
     return address
 
 
-def serve_until_ended(server: StandInServer, process: subprocess.Popen) -> None:
+def serve_until_ended(server: FakeCallServer, process: subprocess.Popen) -> None:
     """Accept connections and read messages until the process ends."""
     deadline_s = time.monotonic() + WAIT_S
     while process.poll() is None:
@@ -266,8 +266,8 @@
 def test_a_call_that_failed_while_its_server_was_out_of_reach_fails_once_across_a_restart(
     tmp_path, ends_unreadably, stops_when_confirmed
 ):
-    """The server returns while the old process may still run, and has released the call by itself."""
-    server = StandInServer(stops_when_confirmed)
+    """The server is reachable again while the old process may run, and has released the call by itself."""
+    server = FakeCallServer(stops_when_confirmed)
     with attempted_call(tmp_path, server, wait_ms=CALLER_WAIT_MS) as (deployment, caller, out_of_reach, _):
         address = refuse_connections(server)
         if ends_unreadably:
@@ -276,13 +276,15 @@
         old.send_signal(signal.SIGTERM)
         assert read_message(caller, isup.Kind.RELEASE).call_id == ID
         time.sleep(OUT_OF_REACH_S)
-        come_back_and_release(server, address, out_of_reach)
+        become_reachable_and_release(server, address, out_of_reach)
         serve_until_ended(server, old)
         assert old.returncode == 0
         assert_not_released_by_the_next_process(deployment, server)
 
 
-def come_back_and_release(server: StandInServer, address: tuple[str, int], lost: socket.socket) -> None:
+def become_reachable_and_release(
+    server: FakeCallServer, address: tuple[str, int], lost: socket.socket
+) -> None:
     """Have the server accept connections again, and release the call, whose answer was lost."""
     server.listener = socket.create_server(address)
     server.established[ID] = lost
@@ -293,12 +295,12 @@
     tmp_path,
 ):
     """No process that knows the call is left, and the next cannot tell it from an established one."""
-    server = StandInServer()
+    server = FakeCallServer()
     with attempted_call(tmp_path, server, wait_ms=CALLER_WAIT_MS) as (deployment, caller, out_of_reach, _):
         address = refuse_connections(server)
         fail_call_by_shutdown(deployment, caller)
         assert deployment.processes[0].wait(WAIT_S) == 0
-        come_back_and_release(server, address, out_of_reach)
+        become_reachable_and_release(server, address, out_of_reach)
         assert_not_released_by_the_next_process(deployment, server)
 
 
@@ -315,7 +317,7 @@
         pytest.param(0.0, REFUSED, False, id="refused"),
     ],
 )
-def test_what_was_cancelled_is_released_at_the_end_where_its_answer_may_come_yet(
+def test_a_cancelled_attempt_is_released_at_shutdown_if_its_answer_may_be_in_transit(
     monkeypatch, after_ms: float, received: bytes, released: bool
 ):
     async def run() -> bytes:
@@ -374,9 +376,9 @@
             await rig.step()
 
 
-def test_a_release_written_in_the_last_moment_of_the_old_process_is_collected_as_that_has_ended(tmp_path):
+def test_a_release_written_as_the_old_process_ends_reaches_the_new_one_soon_after(tmp_path):
     """The server had not noticed the end; the new process collected the release only 5 s after its start."""
-    server = StandInServer()
+    server = FakeCallServer()
     with established_call(tmp_path, server) as (deployment, _):
         started_s = time.monotonic()
         deployment.start()
--- a/tests/test_releases_behind_unreadable_messages.py
+++ b/tests/test_releases_behind_unreadable_messages.py
@@ -20,7 +20,7 @@
 import pytest
 from conftest import RULES
 from race_conditions import ID, WAIT_S, run_coroutine
-from server_side import CALL_MS, CallerSide, ServerSideRig
+from server_side import CALL_MS, FakeCallerSide, ServerSideRig
 
 from canvasplank.codecs import sip
 from canvasplank.codecs.q850 import ReleaseCause
@@ -55,7 +55,7 @@
     at_ms: float
 
 
-class RecordingCallers(CallerSide):
+class RecordingCallers(FakeCallerSide):
     """A callers' side that records releases; each counts as delivered at once."""
 
     def __init__(self, clock_ms: Callable[[], float]) -> None:
@@ -359,7 +359,7 @@
 
 
 @each_kind
-def test_in_the_same_segment(run_scenario, kind):
+def test_a_release_in_the_same_segment(run_scenario, kind):
     async def script(scenario: Scenario) -> None:
         scenario.server.release(ID, behind=unreadable(kind))
         await scenario.assert_delivered_once()
@@ -368,7 +368,7 @@
 
 
 @each_kind
-def test_in_the_next_segment_that_the_proxy_has_yet_to_read(run_scenario, kind):
+def test_a_release_in_the_next_segment_that_the_proxy_has_yet_to_read(run_scenario, kind):
     async def script(scenario: Scenario) -> None:
         scenario.server.write(scenario.connection, unreadable(kind))
         scenario.server.release(ID)
@@ -378,7 +378,7 @@
 
 
 @each_kind
-def test_before_the_end_is_noticed_and_the_next_connection_accepted(run_scenario, kind):
+def test_a_release_before_the_end_is_noticed_and_the_next_connection_accepted(run_scenario, kind):
     async def script(scenario: Scenario) -> None:
         scenario.server.accepts = False
         scenario.server.notices_end_after_ms = LATE_NOTICE_MS
@@ -392,7 +392,7 @@
 
 
 @each_kind
-def test_after_the_next_connection_is_accepted_and_before_the_end_is_noticed(run_scenario, kind):
+def test_a_release_after_the_next_connection_is_accepted_and_before_the_end_is_noticed(run_scenario, kind):
     """No connection is accepted after the release was written."""
 
     async def script(scenario: Scenario) -> None:
@@ -406,7 +406,7 @@
 
 
 @each_kind
-def test_after_a_set_up_had_the_next_connection_made_at_once(run_scenario, kind):
+def test_a_release_after_a_set_up_had_the_next_connection_made_at_once(run_scenario, kind):
     """For a set-up, the next connection is made without delay."""
 
     async def script(scenario: Scenario) -> None:
@@ -424,7 +424,7 @@
 
 
 @each_kind
-def test_behind_the_unreadable_answer_of_another_call(run_scenario, kind):
+def test_a_release_behind_the_unreadable_answer_of_another_call(run_scenario, kind):
     """The next connection is made for the release of the other call, which may be established."""
 
     async def script(scenario: Scenario) -> None:
@@ -443,7 +443,7 @@
 
 
 @each_kind
-def test_just_before_the_end_is_noticed(run_scenario, kind):
+def test_a_release_just_before_the_end_is_noticed(run_scenario, kind):
     async def script(scenario: Scenario) -> None:
         scenario.server.notices_end_after_ms = LATE_NOTICE_MS
         scenario.server.write(scenario.connection, unreadable(kind))
@@ -459,7 +459,7 @@
 
 
 @each_kind
-def test_both_sendings_are_behind_a_bad_message(run_scenario, kind):
+def test_a_release_sent_twice_behind_a_bad_message(run_scenario, kind):
     """On the next connection, a bad message precedes the repeated release."""
 
     async def script(scenario: Scenario) -> None:
@@ -471,7 +471,7 @@
 
 
 @each_kind
-def test_the_next_connection_becomes_unreadable_after_the_release(run_scenario, kind):
+def test_a_release_on_the_next_connection_before_a_bad_message(run_scenario, kind):
     async def script(scenario: Scenario) -> None:
         scenario.server.greetings = [(b"", unreadable(kind))]
         scenario.server.release(ID, behind=unreadable(kind))
@@ -481,7 +481,7 @@
 
 
 @each_kind
-def test_on_the_first_connection_once_the_second_is_unreadable(run_scenario, kind):
+def test_a_release_on_the_first_connection_once_the_second_is_unreadable(run_scenario, kind):
     async def script(scenario: Scenario) -> None:
         scenario.server.notices_end_after_ms = LATE_NOTICE_MS
         scenario.server.greetings = [(b"", unreadable(kind))]
@@ -494,7 +494,7 @@
 
 
 @each_kind
-def test_on_the_first_connection_once_the_third_is_accepted(run_scenario, kind):
+def test_a_release_on_the_first_connection_once_the_third_is_accepted(run_scenario, kind):
     async def script(scenario: Scenario) -> None:
         scenario.server.notices_end_after_ms = LATE_NOTICE_MS
         scenario.server.greetings = [(b"", unreadable(kind))]
@@ -507,7 +507,7 @@
 
 
 @each_kind
-def test_behind_the_bad_message_of_the_second_connection(run_scenario, kind):
+def test_a_release_behind_the_bad_message_of_the_second_connection(run_scenario, kind):
     """The end of the first connection was noticed, so the release goes to the second."""
 
     async def script(scenario: Scenario) -> None:
@@ -520,7 +520,7 @@
 
 
 @each_kind
-def test_on_the_second_connection_once_the_third_is_accepted(run_scenario, kind):
+def test_a_release_on_the_second_connection_once_the_third_is_accepted(run_scenario, kind):
     """The end of the first connection was noticed, that of the second was not."""
 
     async def script(scenario: Scenario) -> None:
@@ -552,7 +552,7 @@
 
 
 @each_kind
-def test_in_the_same_segment_on_a_replaced_connection(run_scenario, kind):
+def test_a_release_in_the_same_segment_on_a_replaced_connection(run_scenario, kind):
     """The new connection has long been established, and no other follows."""
 
     async def script(scenario: Scenario) -> None:
@@ -564,7 +564,7 @@
 
 
 @each_kind
-def test_before_the_end_of_a_replaced_connection_is_noticed(run_scenario, kind):
+def test_a_release_before_the_end_of_a_replaced_connection_is_noticed(run_scenario, kind):
     async def script(scenario: Scenario) -> None:
         await replace_connection(scenario)
         scenario.server.notices_end_after_ms = LATE_NOTICE_MS
@@ -587,7 +587,7 @@
 
 
 @each_kind
-def test_in_the_same_segment_to_a_half_open_server(run_scenario, kind):
+def test_a_release_in_the_same_segment_to_a_half_open_server(run_scenario, kind):
     async def script(scenario: Scenario) -> None:
         make_half_open(scenario)
         scenario.server.release(ID, behind=unreadable(kind))
@@ -598,7 +598,9 @@
 
 @pytest.mark.parametrize("delay_ms", [0.0, 200.0], ids=["at_once", "later"])
 @each_kind
-def test_after_the_proxys_end_of_a_connection_that_the_server_does_not_end(run_scenario, kind, delay_ms):
+def test_a_release_after_the_proxys_end_of_a_connection_that_the_server_does_not_end(
+    run_scenario, kind, delay_ms
+):
     async def script(scenario: Scenario) -> None:
         make_half_open(scenario)
         scenario.server.write(scenario.connection, unreadable(kind))
@@ -611,7 +613,7 @@
 
 
 @each_kind
-def test_on_a_replaced_connection_that_the_server_does_not_end(run_scenario, kind):
+def test_a_release_on_a_replaced_connection_that_the_server_does_not_end(run_scenario, kind):
     async def script(scenario: Scenario) -> None:
         await replace_connection(scenario)
         make_half_open(scenario)
@@ -699,7 +701,7 @@
     )
 
 
-def test_a_connection_that_was_left_unread(run_scenario):
+def test_a_release_on_a_connection_that_was_left_unread(run_scenario):
     """The server has not read the proxy's end of the connection when it accepts the next."""
 
     async def script(scenario: Scenario) -> None:
@@ -712,7 +714,7 @@
     run_scenario(script)
 
 
-def test_a_connection_whose_unsent_set_ups_were_withdrawn(run_scenario):
+def test_a_release_on_a_connection_whose_unsent_set_ups_were_withdrawn(run_scenario):
     """The connection to a draining server is replaced at the moment the old one is ended."""
 
     async def script(scenario: Scenario) -> None:
@@ -728,7 +730,7 @@
     run_scenario(script)
 
 
-def test_a_connection_with_an_overdue_message(run_scenario):
+def test_a_release_on_a_connection_with_an_overdue_message(run_scenario):
     async def script(scenario: Scenario) -> None:
         scenario.server.notices_end_after_ms = LATE_NOTICE_MS
         scenario.server.write(scenario.connection, HALF_NOTIFY)
@@ -748,7 +750,7 @@
     await scenario.wait_until_ended(scenario.connection)
 
 
-def test_a_superseded_connection_that_was_closed_for_writing(run_scenario):
+def test_a_release_on_a_superseded_connection_that_was_closed_for_writing(run_scenario):
     """The connection is still read, so that a release that crosses its end is not lost."""
 
     async def script(scenario: Scenario) -> None:
@@ -762,7 +764,9 @@
 
 
 @each_kind
-def test_behind_a_bad_message_on_a_superseded_connection_that_was_closed_for_writing(run_scenario, kind):
+def test_a_release_behind_a_bad_message_on_a_superseded_connection_that_was_closed_for_writing(
+    run_scenario, kind
+):
     """An incomplete message there absorbs what follows it until the connection ends."""
 
     async def script(scenario: Scenario) -> None:
@@ -774,7 +778,7 @@
     run_scenario(script)
 
 
-def test_a_superseded_connection_that_the_server_does_not_end(run_scenario):
+def test_a_release_on_a_superseded_connection_that_the_server_does_not_end(run_scenario):
     """The proxy reads the connection for a bounded time after its own end."""
 
     async def script(scenario: Scenario) -> None:
--- a/tests/test_releases_to_callers.py
+++ b/tests/test_releases_to_callers.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable, Iterator
 
 import pytest
-from race_conditions import ID, WAIT_S, CallerSide, run_coroutine, set_up
+from race_conditions import ID, WAIT_S, CallerSideRig, run_coroutine, set_up
 from server_side import ServerSideRig
 
 from canvasplank.codecs import isup, sip
@@ -28,9 +28,9 @@
 
 
 @contextlib.contextmanager
-def listening_caller_side() -> Iterator[CallerSide]:
+def listening_caller_side() -> Iterator[CallerSideRig]:
     """Yield a callers' side that listens until the end of the block."""
-    caller_side = CallerSide()
+    caller_side = CallerSideRig()
     caller_side.callers.listen("127.0.0.1", caller_side.port)
     try:
         yield caller_side
@@ -38,7 +38,7 @@
         caller_side.callers.stop_listening()
 
 
-async def caller_with_calls(caller_side: CallerSide, pending: bytes = b"") -> socket.socket:
+async def caller_with_calls(caller_side: CallerSideRig, pending: bytes = b"") -> socket.socket:
     """Open a connection that counts as carrying calls; ``pending``: data expected on it before that."""
     peer = await caller_side.caller()
     peer.sendall(isup.release(OTHER_ID, 16))
@@ -59,7 +59,7 @@
     return next(sip.Parser().feed(memoryview(request)))
 
 
-async def wait_until_disconnected(caller_side: CallerSide) -> None:
+async def wait_until_disconnected(caller_side: CallerSideRig) -> None:
     async with asyncio.timeout(WAIT_S):
         while caller_side.callers.streams:
             await asyncio.sleep(0.005)
@@ -162,7 +162,7 @@
     run_coroutine(run())
 
 
-async def confirmed_release(caller_side: CallerSide, peer: socket.socket, call_id: str) -> None:
+async def confirmed_release(caller_side: CallerSideRig, peer: socket.socket, call_id: str) -> None:
     """Have a release sent on the only connection, and confirm it there."""
     caller_side.exchange.on_released_by_server(SERVER, call_id, 16)
     release = isup.release(call_id, 16)
@@ -174,7 +174,7 @@
             await asyncio.sleep(0.005)
 
 
-def test_a_release_without_a_connection_of_its_own_goes_where_releases_are_confirmed():
+def test_a_release_whose_connection_has_ended_goes_to_a_caller_that_confirms_releases():
     """The release went to the newest connection, whose caller did not read or know the call."""
 
     async def run() -> None:
@@ -209,7 +209,7 @@
     run_coroutine(run())
 
 
-async def caller_with_set_up(caller_side: CallerSide) -> socket.socket:
+async def caller_with_set_up(caller_side: CallerSideRig) -> socket.socket:
     """Open a connection and set up a call on it."""
     peer = await caller_side.caller()
     open_calls = caller_side.exchange.open_calls
@@ -254,8 +254,8 @@
     run_coroutine(run())
 
 
-def test_a_release_that_waits_for_a_connection_is_written_as_the_process_ends_those_it_has():
-    """The release waited for a connection with calls, and was lost when the process ended."""
+def test_a_pending_release_is_written_before_the_process_closes_its_last_connection():
+    """The release waited for a connection that carries calls, and was lost when the process ended."""
 
     async def run() -> None:
         with listening_caller_side() as caller_side:
@@ -269,7 +269,7 @@
 
 
 @pytest.mark.parametrize("is_confirmed", [False, True])
-def test_a_release_that_nobody_has_confirmed_is_written_on_others_as_the_process_ends(is_confirmed):
+def test_an_unconfirmed_release_is_written_on_other_connections_as_the_process_ends(is_confirmed):
     """The release was lost if the peer did not read the connection that it was written to."""
 
     async def run() -> None:
@@ -304,7 +304,7 @@
     run_coroutine(run())
 
 
-def next_timer_ms(caller_side: CallerSide) -> float:
+def next_timer_ms(caller_side: CallerSideRig) -> float:
     """Return the time until the next timer is due, by the test's clock."""
     due_ms = caller_side.scheduler.timers.next_due_ms()
     assert due_ms is not None
--- a/tests/two_processes.py
+++ b/tests/two_processes.py
@@ -24,20 +24,19 @@
 
 
 @dataclass
-class StandInServer:
+class FakeCallServer:
     """A fake call server that the test controls, and that sends releases as the protocol requires.
 
     A release goes out on the connection of the set-up, or else on any open one, and once more on the next one
-    opened; with ``stops_when_confirmed`` only if it is not confirmed by then.
+    opened.  With ``stops_when_confirmed``, a release that is confirmed by then is not sent again.
     """
 
     stops_when_confirmed: bool = True
     listener: socket.socket = field(default_factory=lambda: socket.create_server(("127.0.0.1", 0)))
     connections: list[socket.socket] = field(default_factory=list)  # open, oldest first
     established: dict[str, socket.socket] = field(default_factory=dict)  # by call: its set-up's connection
-    to_send_again: set[str] = field(
-        default_factory=set
-    )  # calls whose release is sent again on the next connection
+    # Calls whose release is sent again on the next connection.
+    to_send_again: set[str] = field(default_factory=set)
     _parsers: dict[socket.socket, sip.Parser] = field(default_factory=dict)
 
     def accept(self) -> socket.socket:
@@ -121,7 +120,7 @@
 class Deployment:
     """Processes of the program that share a configuration and an address for callers, and their servers."""
 
-    def __init__(self, folder: Path, servers: list[StandInServer], settings: dict | None = None) -> None:
+    def __init__(self, folder: Path, servers: list[FakeCallServer], settings: dict | None = None) -> None:
         self._folder, self.servers = folder, servers
         self.processes: list[subprocess.Popen] = []
         self.port = free_port()
