--- a/canvasplank/cold_start/config.py
+++ b/canvasplank/cold_start/config.py
@@ -16,7 +16,7 @@
     """Rates of all proxies together, and the size of a proxy's subset; 0 means no limit."""
 
     polls_per_s: PerSecond = 0.0  # polls of service discovery while polls fail
-    # First polls after a start, a change of discovery's address or its recovery; 0 means polls_per_s.
+    # First polls after a start, a recovery of discovery or a change of its address; 0 means polls_per_s.
     first_per_s: PerSecond = 0.0
     connections_per_s: PerSecond = 0.0  # first connections to each call server
     # The initial rate of set-ups at each call server.
--- a/canvasplank/cold_start/rendezvous_hashing.py
+++ b/canvasplank/cold_start/rendezvous_hashing.py
@@ -18,7 +18,7 @@
 # The margin of ``max_sharers`` above the mean: about one server in a thousand is shared by more proxies.
 SHARERS_STANDARD_DEVIATIONS = 3.0
 HASH_RANGE = 2**64
-Pools = frozenset[int]
+Pools = frozenset[int]  # numbers of pools; service discovery calls the pool of an endpoint its ``cell``
 
 
 def _hash_fraction(name: str, key: str) -> float:
@@ -75,24 +75,24 @@
 
 
 def max_sharers(
-    cell: int,
+    pool: int,
     ready: Sequence[Endpoint],
     groups: Iterable[Pools | None],
     servers_per_class: int,
     proxies: int,
     min_fraction: float = 0.0,
 ) -> int:
-    """Return an upper bound, exceeded only rarely, on the number of proxies that share a server of this cell.
+    """Return an upper bound, exceeded only rarely, on the number of proxies that share a server of this pool.
 
     A proxy that selects a server from a group of pools also selects it from any smaller group within that
     group, except for the rounding of zones.  So only the probabilities of the smallest groups are added.
     """
-    cells = [instance.cell for instance in ready]
-    all_cells = frozenset(cells)
-    candidates = {frozenset(all_cells if pools is None else pools & all_cells) for pools in groups}
-    candidates = {group for group in candidates if cell in group}
+    pool_of_each = [instance.cell for instance in ready]
+    all_pools = frozenset(pool_of_each)
+    candidates = {frozenset(all_pools if pools is None else pools & all_pools) for pools in groups}
+    candidates = {group for group in candidates if pool in group}
     smallest = [group for group in candidates if not any(other < group for other in candidates)]
-    sizes = [sum(each in group for each in cells) for group in smallest]
+    sizes = [sum(each in group for each in pool_of_each) for group in smallest]
     probability = sum(subset_size(size, servers_per_class, min_fraction) / size for size in sizes)
     if probability >= 1.0:
         return proxies
--- a/canvasplank/cold_start/rendezvous_subset.py
+++ b/canvasplank/cold_start/rendezvous_subset.py
@@ -34,8 +34,8 @@
         """``name`` is the proxy's.  ``groups`` has the pools of each class of call; None means any pool.
 
         ``servers_per_class`` is the number of servers selected for each class, 0 for all.  ``min_fraction``
-        returns the minimum fraction of servers, which may change with the fleet.  ``has_calls`` returns
-        whether this proxy has calls at a server.
+        returns the minimum fraction of servers, which may change with the fleet's size; the default is 0.
+        ``has_calls`` returns whether this proxy has calls at a server.
         """
         self._name = name
         self._groups = tuple(groups)
@@ -63,12 +63,12 @@
         self._selected = {instance.instance_id for instance in selected}
         return selected
 
-    def senders(self, cell: int, proxies: int) -> int | None:
-        """Return the maximum number of proxies that share a server of this cell; None if all do."""
+    def senders(self, pool: int, proxies: int) -> int | None:
+        """Return the maximum number of proxies that share a server of this pool; None if all do."""
         if not self._servers_per_class:
             return None
         return max_sharers(
-            cell, self._ready(), self._groups, self._servers_per_class, proxies, self._min_fraction()
+            pool, self._ready(), self._groups, self._servers_per_class, proxies, self._min_fraction()
         )
 
     def ready_per_selected(self) -> float:
--- a/canvasplank/endpoint_cache/bootstrap.py
+++ b/canvasplank/endpoint_cache/bootstrap.py
@@ -41,12 +41,14 @@
     max_age_ms: float = MAX_AGE_MS,
     initial_rate_per_s: float = INITIAL_RATE_PER_S,
 ) -> BootstrapPlan | None:
-    """Plan the start of one of ``proxies`` proxies; returns None if too old or without a usable endpoint.
+    """Plan the start of one of ``proxies`` proxies.
+
+    Returns None if the list is too old or has no usable endpoint.
 
     Up to the age ``max_fresh_age_ms``, the list is used unchanged.  Up to ``max_age_ms`` it is stale: its
     endpoints may have gone or restarted.  Of a stale list, only endpoints that were ready are used (calls to
     one that has gone are refused and retried elsewhere).  All proxies together start with
-    ``initial_rate_per_s`` at each, so that a processor that has just started is not overloaded.  A list dated
+    ``initial_rate_per_s`` at each, so that a server that has just started is not overloaded.  A list dated
     ahead of the clock is stale, too: a clock was set back, so the list's age is unknown.
     """
     age_ms = now_ms - cached.as_of_ms
--- a/canvasplank/extensions/extension.py
+++ b/canvasplank/extensions/extension.py
@@ -23,7 +23,7 @@
         """Return the number of proxies known to be in the fleet."""
 
     def set_up_fraction(self) -> float | None:
-        """Return this proxy's share of the fleet's set-up budget; None if no budget covers all set-ups."""
+        """Return this proxy's fraction of the budget of all set-ups; None if there is no such budget."""
 
     def budget_delay(self, call: api.Call, attempt: int, server_id: str, take: bool) -> float:
         """Return the milliseconds until the fleet's budgets admit an attempt (``api.BudgetDelay``)."""
--- a/canvasplank/fleet/__init__.py
+++ b/canvasplank/fleet/__init__.py
@@ -1,4 +1,5 @@
 """Fleet-wide budgets, membership and task leadership through a database that all proxies share.
 
-The subsystem is off by default.
+In this package, "the store" means that database, not the store of record in ``canvasplank.store``.  The
+subsystem is off by default.
 """
--- a/canvasplank/fleet/config.py
+++ b/canvasplank/fleet/config.py
@@ -1,4 +1,4 @@
-"""Settings of the budgets and their store, from the TOML file that ``CANVASPLANK_FLEET`` names."""
+"""Settings of the fleet's budgets and database, from the TOML file that ``CANVASPLANK_FLEET`` names."""
 
 from __future__ import annotations
 
@@ -90,8 +90,8 @@
     for each in fleet.budget:
         if bool(each.subject) != (each.kind in (BudgetKind.MEMBER, BudgetKind.SERVER)):
             raise ValueError(
-                f"budget {each.name}: kind {each.kind} with of {each.subject!r}: "
-                "the kinds member and server require of, the others forbid it"
+                f"budget {each.name}: kind {each.kind} with of = {each.subject!r}: "
+                "the kinds member and server require the key of, the others forbid it"
             )
         if each.total_per_s < fleet.max_members:
             raise ValueError(
@@ -102,4 +102,4 @@
     scopes = [(each.kind, each.subject) for each in fleet.budget]
     for keys in (names, scopes):
         if len(set(keys)) < len(keys):
-            raise ValueError("two budgets have the same name or the same kind and of")
+            raise ValueError("two budgets have the same name, or the same kind and the same of")
--- a/canvasplank/fleet/fair_division.py
+++ b/canvasplank/fleet/fair_division.py
@@ -17,8 +17,8 @@
 def divide(total: int, demands: Mapping[Key, int | None]) -> dict[Key, int]:
     """Return the quotas of ``total``; a demand of None is not known yet and counts as an even quota.
 
-    The remainder of the division goes to the first keys of ``demands``.  Callers sort ``demands`` if the
-    result must not depend on the order in which members joined.
+    Units that cannot be divided evenly are assigned by the order of ``demands``.  Callers sort ``demands`` if
+    the result must not depend on the order in which members joined.
     """
     if not demands or total <= 0:
         return dict.fromkeys(demands, 0)
--- a/canvasplank/fleet/lease_holder.py
+++ b/canvasplank/fleet/lease_holder.py
@@ -81,7 +81,7 @@
         return self._in_use[budget]
 
     def is_below_target(self) -> bool:
-        """Return whether a share is below its target, so that other members still have to release some."""
+        """Return whether a share is below its target, since other members have not yet released enough."""
         return any(self._in_use[budget] < self._target[budget] for budget in self.limits)
 
     def next_request(
--- a/canvasplank/fleet/lease_messages.py
+++ b/canvasplank/fleet/lease_messages.py
@@ -10,7 +10,7 @@
 
 
 class Heartbeat(msgspec.Struct, frozen=True, order=True):
-    """A member's newest sequence number in one transaction, and the duration of its leases."""
+    """The sequence number of a member's newest applied request, and the duration of the member's leases."""
 
     incarnation: int
     seq: int
@@ -29,7 +29,8 @@
     expired: tuple[Heartbeat, ...] = ()  # the last heartbeats of members whose lease has expired
     leaving: bool = False
     capabilities: tuple[str, ...] = ()  # tasks that the sender can own
-    ready: Mapping[str, int] = {}  # tasks that the sender would own now, with their failures known to it
+    # Tasks that the sender would own now, each with the last number of failures that the sender has seen.
+    ready: Mapping[str, int] = {}
     given_up: tuple[str, ...] = ()  # tasks that the sender owned and failed to run
     done: tuple[str, ...] = ()  # tasks that the sender owns and that succeeded since its last request
     sees_discovery: bool = False  # whether service discovery sends events to the sender
--- a/canvasplank/store/__main__.py
+++ b/canvasplank/store/__main__.py
@@ -81,8 +81,8 @@
 def check(path: str, since: datetime | None, instance: str, figures: TextIO) -> None:
     """Compare the records with an instance's counters of served, refused and failed calls by class.
 
-    The exit status is 1 if they differ.  Pass the start time of the instance's process as --since, since the
-    process counts from zero.
+    The exit status is 1 if they differ.  Pass the start time of the instance's process as --since: its
+    counters were zero then.
     """
     counters = {(name, final): int(value) for final, name, value in COUNTER_LINE.findall(figures.read())}
     recorded = count_by_counter(query_counts(path, since, instance))
--- a/canvasplank/store/records.py
+++ b/canvasplank/store/records.py
@@ -24,9 +24,9 @@
 class Ending(enum.StrEnum):
     """The stored values of ``ending``: how an established call ended."""
 
-    ENDED = "ended"
+    ENDED = "ended"  # released normally by the call server
     RELEASED = "released"  # released by the caller
-    CUT = "cut"
+    CUT = "cut"  # released by the call server with another cause, or the server's process has ended
 
 
 ENDING_BY_OUTCOME = {
--- a/canvasplank/warm_start/config.py
+++ b/canvasplank/warm_start/config.py
@@ -1,6 +1,6 @@
 """Settings of the warm start, read from the TOML file that ``CANVASPLANK_LEARNING`` names.
 
-Without the file the warm start is off, as it must be on platforms where instances may not communicate.
+Without the file the warm start is off, as it must be on platforms where instances must not communicate.
 """
 
 from __future__ import annotations
--- a/canvasplank/warm_start/server.py
+++ b/canvasplank/warm_start/server.py
@@ -1,7 +1,7 @@
 """Serves snapshots of what a running instance has learned, on a separate listener.
 
-Without an address in the settings no listener is opened, as where instances may not communicate.  Each
-snapshot is made when it is requested, so that its times are current.
+No listener is opened unless the settings have an address for it, since on some platforms instances must not
+communicate.  Each snapshot is made when it is requested, so that its times are current.
 """
 
 from __future__ import annotations
--- a/canvasplank/warm_start/start_hints.py
+++ b/canvasplank/warm_start/start_hints.py
@@ -87,7 +87,7 @@
 def _blend(learned: float | None, default: float | None, weight: float) -> float | None:
     """Return the mean of the learned and the default rate, weighted by the learned one's weight.
 
-    Without a default rate, return the learned one from ``MIN_TRUSTED_WEIGHT`` on, else None.
+    Without a default rate, return the learned one, or None if its weight is below ``MIN_TRUSTED_WEIGHT``.
     """
     if learned is None:
         return default
--- a/canvasplank/worker/usage_ledger.py
+++ b/canvasplank/worker/usage_ledger.py
@@ -40,7 +40,8 @@
 _INSERT_CLOSING = (
     "INSERT INTO usage_closing (closed_in, term) VALUES (CAST($1 AS bigint), CAST($2 AS bigint))"
 )
-# A caller may repeat an unserved call, so its record is claimed only after the repeat window.
+# A caller may repeat an unserved call, so its record is claimed only after the repeat window.  A record
+# without a number need not wait, since repeats are recognized by the number.
 _CLOSABLE = (
     "closed_in IS NULL AND taken_ms < CAST({before} AS bigint) - CASE WHEN final = 'served' "
     "OR number IS NULL THEN 0 ELSE CAST({repeat} AS bigint) END"
@@ -97,7 +98,7 @@
 )
 COUNT_EXPIRED = f"SELECT count(*) {_EXPIRED}"
 _DELETE_EXPIRED = f"DELETE {_EXPIRED}"
-NO_CLOSED_PERIOD = -1
+NO_CLOSED_PERIOD = -1  # less than the number of any period
 
 
 class UsageSum(msgspec.Struct, frozen=True):
--- a/tests/test_fleet_config.py
+++ b/tests/test_fleet_config.py
@@ -24,7 +24,7 @@
         ("whole_per_s = 40.0", "whole_per_s = -1.0", "Expected `float` > 0"),
         ("whole_per_s = 40.0", "whole_per_s = 3.0", "less than one unit a second for each of 4"),
         ("set-ups", "wishes", "Invalid enum value 'wishes'"),
-        ("set-ups", "member", "kind member with of '': the kinds member and server require of"),
+        ("set-ups", "member", "kind member with of = '': the kinds member and server require the key of"),
         ("[[budget]]", "budget = []\n[other]", "unknown field"),
         (BUDGET_TABLE, "budget = []", "no budget is defined"),
         ("whole_per_s = 40.0\n", "whole_per_s = 40.0\n" + BUDGET_TABLE, "two budgets have the same name"),
