--- a/tests/test_budget_limiter.py
+++ b/tests/test_budget_limiter.py
@@ -1,4 +1,4 @@
-"""Tests of token buckets, demand estimates, and the gate that budgets delay."""
+"""Tests of token buckets, demand estimates, and the controller's delay of calls by budgets."""
 
 from __future__ import annotations
 
@@ -85,8 +85,8 @@
         )
 
 
-class TestGate:
-    """The gate takes units from budgets, and holds a call that a budget delays."""
+class TestController:
+    """The controller takes units from budgets, and holds a call that a budget delays."""
 
     def test_only_calls_covered_by_an_exhausted_budget_wait(self):
         spent = []
--- a/tests/test_budgets_processes.py
+++ b/tests/test_budgets_processes.py
@@ -23,7 +23,7 @@
 LEASED_PER_S = PLAN.total_per_s * (1 - PLAN.reserve_fraction)
 OFFERED_PER_S = 160.0  # twice the total, so that every proxy uses its whole allowance
 WAIT_S = 20.0
-MIN_UNITS_SPENT = 50  # with fewer spent units the invariants would show little
+MIN_UNITS_SPENT = 50  # with fewer, the invariants would hardly be tested
 # The leasable 64/s are 8/s each for eight proxies, and 9.1/s each for seven.  Once all eight have EVEN_PER_S,
 # the other seven cannot all have SEVENTH_PER_S before the lease of the eighth has ended.
 EVEN_PER_S = 7.5
--- a/tests/test_cold_start.py
+++ b/tests/test_cold_start.py
@@ -1,4 +1,4 @@
-"""Tests of fleet starts and of failing service discovery: simulated for hundreds, and with processes."""
+"""Tests of simultaneous starts and of failing service discovery, simulated and with processes."""
 
 from __future__ import annotations
 
@@ -52,7 +52,7 @@
 
 
 class TestPollBackoff:
-    """The delays, without processes."""
+    """The delays between polls, simulated for hundreds of proxies without processes."""
 
     @pytest.mark.parametrize("count", [100, 300, 1000, 5000])
     def test_the_fleet_poll_rate_does_not_grow_with_the_fleet(self, count):
@@ -61,9 +61,8 @@
         times = poll_times(create_backoffs(count), settling_ms + measured_ms)
         measured = [at for at in times if at > settling_ms]
         assert 0.85 * 30 <= 1000 * len(measured) / measured_ms <= 1.15 * 30
-        assert (
-            max_count_in_window(times, 100.0) <= 26 and max_count_in_window(times, 1000.0) <= 140
-        )  # 75 first polls and 30 others
+        # The polls of the first second are 75 first polls and 30 others.
+        assert max_count_in_window(times, 100.0) <= 26 and max_count_in_window(times, 1000.0) <= 140
         after_the_first = [at for at in times if at > 1000 * count / 75]
         assert max_count_in_window(after_the_first, 1000.0) <= 60
 
@@ -118,10 +117,8 @@
         ("Retry-After: Tue, 01 Dec 2026 10:00:05 GMT\r\nDate: Tue, 01 Dec 2026 10:00:01 GMT", 4000.0),
         ("Retry-After: Tue, 01 Dec 2026 10:00:00 GMT\r\nDate: Tue, 01 Dec 2026 10:00:01 GMT", 0.0),  # past
         ("Retry-After: Tue, 01 Dec 2026 10:00:05 GMT", 0.0),  # no Date header to compare with
-        (
-            "Retry-After: Tue, 01 Dec 2026 10:00:05\r\nDate: Tue, 01 Dec 2026 10:00:01 GMT",
-            0.0,
-        ),  # no time zone
+        # No time zone.
+        ("Retry-After: Tue, 01 Dec 2026 10:00:05\r\nDate: Tue, 01 Dec 2026 10:00:01 GMT", 0.0),
         ("Retry-After: soon", 0.0),
         ("Retry-After: -4", 0.0),
         ("Retry-After: \u0664", 0.0),
--- a/tests/test_endpoint_cache.py
+++ b/tests/test_endpoint_cache.py
@@ -63,7 +63,7 @@
         (encode(cached()).replace(b"ready", b"\xff\xfe"), "cannot be read"),
     ],
 )
-def test_a_corrupt_list_is_not_used(data, message, tmp_path, caplog):
+def test_a_list_that_cannot_be_decoded_is_not_used(data, message, tmp_path, caplog):
     with pytest.raises(CachedListError, match=message):
         decode(data)
     (tmp_path / "servers.json").write_bytes(data)
@@ -94,7 +94,7 @@
     assert plan_bootstrap(unusable, NOW, proxies=1) is None
 
 
-def test_processors_that_have_just_started_are_not_overloaded_from_a_stale_list():
+def test_servers_that_have_just_started_are_not_overloaded_after_a_start_from_a_stale_list():
     """Four proxies start from a list an hour old, each with ten calls a second for one server."""
 
     def sent_in_three_seconds(*hints: api.WarmStartHint) -> int:
--- a/tests/test_fair_division.py
+++ b/tests/test_fair_division.py
@@ -15,14 +15,14 @@
     """Quotas of a total, by demand."""
 
     @given(st.integers(0, 10**6), DEMANDS)
-    def test_quotas_sum_to_the_total_up_to_less_than_one_unit_each(self, total, demands):
+    def test_less_than_one_unit_per_quota_remains_undivided(self, total, demands):
         quotas = divide(total, dict(sorted(demands.items())))
         assert quotas.keys() == demands.keys() and all(quota >= 0 for quota in quotas.values())
         assert sum(quotas.values()) <= total
         assert not demands or total - sum(quotas.values()) < len(demands)
 
     @given(st.integers(1, 10**6), DEMANDS)
-    def test_each_quota_is_at_least_the_demand_or_an_even_quota(self, total, demands):
+    def test_each_quota_is_at_least_the_smaller_of_the_demand_and_an_even_quota(self, total, demands):
         quotas = divide(total, demands)
         even = total // len(demands) if demands else 0
         for key, demand in demands.items():
--- a/tests/test_rendezvous_subset.py
+++ b/tests/test_rendezvous_subset.py
@@ -28,8 +28,8 @@
 ALL = (None,)
 
 
-def instances(count: int, cells: int = 1, lifecycle: str = "ready") -> list[Endpoint]:
-    return [Endpoint(f"s-{n}", f"10.0.0.{n}:5060", lifecycle, n % cells) for n in range(count)]
+def instances(count: int, pools: int = 1, lifecycle: str = "ready") -> list[Endpoint]:
+    return [Endpoint(f"s-{n}", f"10.0.0.{n}:5060", lifecycle, n % pools) for n in range(count)]
 
 
 def names(count: int) -> list[str]:
@@ -83,8 +83,8 @@
         self, proxies, servers
     ):
         """With a fixed subset of 8 of 24 servers, four proxies left 4 or 5 servers without a proxy."""
-        figures = tomllib.loads((ROOT / "deploy" / "subset.toml").read_text())
-        per_class, min_fraction = figures["servers_per_proxy"], figures["proxies_per_server"] / proxies
+        deployed = tomllib.loads((ROOT / "deploy" / "subset.toml").read_text())
+        per_class, min_fraction = deployed["servers_per_proxy"], deployed["proxies_per_server"] / proxies
         listed = instances(servers)
         shared = Counter(
             s for name in names(proxies) for s in select_subset(name, listed, ALL, per_class, min_fraction)
@@ -100,28 +100,25 @@
             assert len(after - before) == ("s-0" in before) and before - after <= {"s-0"}
 
     def test_a_class_that_few_servers_accept_has_its_own_subset(self):
-        listed = instances(24, cells=12)
+        listed = instances(24, pools=12)
         groups = (None, frozenset({3, 7}))
         for name in names(50):
             mine = [int(s[2:]) % 12 for s in select_subset(name, listed, groups, 3)]
-            assert sum(cell in (3, 7) for cell in mine) >= 3
+            assert sum(pool in (3, 7) for pool in mine) >= 3
 
     @pytest.mark.parametrize(
-        ("groups", "cell", "bound"),
+        ("groups", "pool", "bound"),
         [
             ((None,), 0, 3 * 100 // 12 + 15),  # three of twelve servers
-            (
-                (None, frozenset({0, 1})),
-                0,
-                3 * 100 // 4 + 25,
-            ),  # three of the four servers in its smallest group
+            # Three of the four servers in its smallest group.
+            ((None, frozenset({0, 1})), 0, 3 * 100 // 4 + 25),
             ((frozenset({0, 1, 2}), frozenset({0, 3, 4})), 0, 100),  # three of six in each of two groups
-            ((frozenset({0}),), 0, 100),  # all proxies select both servers of its cell
+            ((frozenset({0}),), 0, 100),  # all proxies select both servers of its pool
         ],
     )
-    def test_max_sharers_follows_the_pool_groups_of_a_server(self, groups, cell, bound):
-        listed = instances(12, cells=6)
-        found = max_sharers(cell, listed, groups, 3, 100)
+    def test_max_sharers_follows_the_pool_groups_of_a_server(self, groups, pool, bound):
+        listed = instances(12, pools=6)
+        found = max_sharers(pool, listed, groups, 3, 100)
         held = sum(any(s in select_subset(n, listed, groups, 3) for s in ("s-0",)) for n in names(100))
         assert held <= found <= bound
 
--- a/tests/test_store_outbox.py
+++ b/tests/test_store_outbox.py
@@ -1,4 +1,4 @@
-"""Tests of the outbox: it neither loses nor duplicates records, and counts the fate of each."""
+"""Tests of the outbox: it neither loses nor duplicates records, and counts what happened to each."""
 
 from __future__ import annotations
 
--- a/tests/test_usage_ledger.py
+++ b/tests/test_usage_ledger.py
@@ -130,5 +130,5 @@
         (300, True, Closing(301, 9000)),  # the last closing was made by a leader whose clock was ahead
     ],
 )
-def test_the_next_closing_follows_the_leaders_clock_and_never_goes_back(last, overdue, closing):
+def test_the_next_closing_depends_on_the_leaders_clock_and_its_number_increases(last, overdue, closing):
     assert next_closing(10_050.0, 1000, 100.0, last, overdue) == closing
--- a/tests/test_worker_processes.py
+++ b/tests/test_worker_processes.py
@@ -196,11 +196,11 @@
             address = server.dsn.partition("@")[2].partition("/")[0]
             link = Link(address)
             await link.start()
-            behind = tmp_path / "behind.toml"
-            behind.write_text(workers.fleet_file.read_text().replace(address, link.address))
-            await workers.start("old", fleet_file=behind)
+            via_link = tmp_path / "via_link.toml"
+            via_link.write_text(workers.fleet_file.read_text().replace(address, link.address))
+            await workers.start("old", fleet_file=via_link)
             await workers.wait_for_log("old", "fleet.in")
-            link.cut("back")
+            link.cut("back")  # holds back the responses of the store only
             await store.write(outcomes(0, 100))
             await asyncio.sleep(1.0)
             await workers.start("new")
