--- a/canvasplank/store/writer.py
+++ b/canvasplank/store/writer.py
@@ -152,7 +152,7 @@
             self._outbox.on_written()
             if self._failing:
                 self._failing = False
-                LOG.info("store: written again, %d records waiting", len(self._outbox))
+                LOG.info("store: records are written again, %d waiting", len(self._outbox))
 
     async def _on_write_failed(self, reason: str) -> None:
         self._outbox.on_failed(self._now_ms())
@@ -160,7 +160,7 @@
             self._last_logged_s.pop("failed", None)
         self._failing = True
         self._log_limited(
-            "failed", f"not written, {len(self._outbox)} records waiting: {' '.join(reason.split())}"
+            "failed", f"records cannot be written, {len(self._outbox)} waiting: {' '.join(reason.split())}"
         )
         await self._disconnect()
 
--- a/canvasplank/worker/usage_ledger.py
+++ b/canvasplank/worker/usage_ledger.py
@@ -105,7 +105,7 @@
     """One row of ``usage_sum``: the calls of one tenant and class with one final answer in one period."""
 
     period: int  # the number of periods from the Unix epoch to the start of this one
-    member: str
+    member: str  # the tenant; empty if the record names none
     class_name: str
     final: str
     correction: int  # 1 if an earlier closing had already closed the period, else 0
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -194,7 +194,7 @@
     assert rows == [schema.to_row(record(number, number="7f")) for number in range(200)]
     assert counts["dropped"] == counts["rejected"] == 0
     if fault != "restart":  # a restart may fall between two writes
-        assert counts["retried"] > 0 and any("not written" in r.getMessage() for r in caplog.records)
+        assert counts["retried"] > 0 and any("cannot be written" in r.getMessage() for r in caplog.records)
 
 
 def test_a_rejected_record_does_not_affect_others(tmp_path, caplog):
@@ -357,7 +357,11 @@
 
     attempts, log, rows = asyncio.run(run())
     check_records(attempts, rows)
-    assert "store: not written" in log and "store: written again" in log and "dropped" not in log
+    assert (
+        "store: records cannot be written" in log
+        and "store: records are written again" in log
+        and "dropped" not in log
+    )
 
 
 def test_calls_are_served_without_a_store_and_the_failure_is_logged_at_intervals(tmp_path):
@@ -367,7 +371,7 @@
     max_log_lines = 1 + (time.monotonic() - start_s) // LOG_INTERVAL_S  # one, and one more per interval
     assert {attempt.outcome for attempt in attempts.values()} == {"served"}
     assert (
-        1 <= log.count("store: not written") <= max_log_lines
+        1 <= log.count("store: records cannot be written") <= max_log_lines
         and 1 <= log.count("the queue is full") <= max_log_lines
     )
     assert "records were not written before the end" in log
