--- a/tests/test_fleet_departure.py
+++ b/tests/test_fleet_departure.py
@@ -1,4 +1,4 @@
-"""A proxy that leaves the fleet releases its share at once, whatever the state of its last request."""
+"""Tests that a proxy that leaves the fleet releases its share at once, whatever its last request's state."""
 
 from __future__ import annotations
 
--- a/tests/test_rendezvous_subset.py
+++ b/tests/test_rendezvous_subset.py
@@ -54,28 +54,28 @@
             for zone, size in enumerate(sizes)
             for n in range(size)
         ]
-        shared: Counter[str] = Counter()
+        sharers: Counter[str] = Counter()
         for name in names(600):
             mine = select_subset(name, listed, ALL, 8)
-            shared.update(mine)
+            sharers.update(mine)
             for zone, size in enumerate(sizes):
                 held = sum(server_id.startswith(f"s-{zone}-") for server_id in mine)
                 assert abs(held - 8 * size / sum(sizes)) < 1.0 + 1.0 / size
-        assert max(shared.values()) <= max_sharers(0, listed, ALL, 8, 600)
-        assert min(shared.values()) >= 200 - 4 * math.sqrt(200)
+        assert max(sharers.values()) <= max_sharers(0, listed, ALL, 8, 600)
+        assert min(sharers.values()) >= 200 - 4 * math.sqrt(200)
 
     @pytest.mark.parametrize(
         ("proxies", "servers", "per_class"), [(300, 24, 8), (500, 12, 4), (5000, 200, 16)]
     )
     def test_sharers_are_about_even_and_bounded_by_max_sharers(self, proxies, servers, per_class):
         listed = instances(servers)
-        shared = Counter(s for name in names(proxies) for s in select_subset(name, listed, ALL, per_class))
+        sharers = Counter(s for name in names(proxies) for s in select_subset(name, listed, ALL, per_class))
         bound = max_sharers(0, listed, ALL, per_class, proxies)
         mean = proxies * per_class / servers
-        assert len(shared) == servers and sum(shared.values()) == proxies * per_class
-        assert min(shared.values()) > mean - 4 * math.sqrt(mean)
-        assert max(shared.values()) <= 1.05 * bound and bound < 1.5 * mean
-        assert sum(each > bound for each in shared.values()) <= servers / 100
+        assert len(sharers) == servers and sum(sharers.values()) == proxies * per_class
+        assert min(sharers.values()) > mean - 4 * math.sqrt(mean)
+        assert max(sharers.values()) <= 1.05 * bound and bound < 1.5 * mean
+        assert sum(each > bound for each in sharers.values()) <= servers / 100
 
     @pytest.mark.parametrize("servers", [12, 24, 48])
     @pytest.mark.parametrize("proxies", [1, 2, 4, 16, 30, 60, 100, 200])
@@ -86,12 +86,12 @@
         deployed = tomllib.loads((ROOT / "deploy" / "subset.toml").read_text())
         per_class, min_fraction = deployed["servers_per_proxy"], deployed["proxies_per_server"] / proxies
         listed = instances(servers)
-        shared = Counter(
+        sharers = Counter(
             s for name in names(proxies) for s in select_subset(name, listed, ALL, per_class, min_fraction)
         )
-        assert len(shared) == servers
-        assert max(shared.values()) <= 1.75 * sum(shared.values()) / servers
-        assert max(shared.values()) <= max_sharers(0, listed, ALL, per_class, proxies, min_fraction)
+        assert len(sharers) == servers
+        assert max(sharers.values()) <= 1.75 * sum(sharers.values()) / servers
+        assert max(sharers.values()) <= max_sharers(0, listed, ALL, per_class, proxies, min_fraction)
 
     def test_removing_a_server_changes_only_the_subsets_that_contain_it(self):
         listed = instances(24)
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -92,11 +92,11 @@
     return Allocation(80_000, 16_000, held, demand)
 
 
-# ------------------------------------------------------------------------------- written by this version
+# ------------------------------------------------------------------------- writing with this version
 
 
 async def write_fleet(path: Path) -> None:
-    """Two proxies with allocations, a worker with two tasks and a failed one, and the usage ledger."""
+    """Write two proxies with allocations, a worker with two tasks and a failed one, and the usage ledger."""
     store, fleet = StoreSqlite(str(path)), FleetSqlite(str(path))
     await fleet.open()
     await store.open()
--- a/tests/test_warm_start_client.py
+++ b/tests/test_warm_start_client.py
@@ -29,7 +29,7 @@
 
 
 async def fake_peer(response: bytes | None, delay_s: float = 0.0):
-    """A peer that waits, then writes ``response``; None: it never responds."""
+    """Start a server that sends ``response`` after a delay, or never responds if it is None."""
 
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.readline()
