--- a/canvasplank/cold_start/poll_backoff.py
+++ b/canvasplank/cold_start/poll_backoff.py
@@ -34,7 +34,7 @@
         initial_polls_per_s: float,
         rng: random.Random,
     ) -> None:
-        """Both rates are the whole fleet's: ``polls_per_s`` while polls fail, the other for first polls."""
+        """The fleet sends ``polls_per_s`` while polls fail, and ``initial_polls_per_s`` first polls."""
         self._fleet_size = fleet_size
         self._polls_per_s = polls_per_s
         self._initial_polls_per_s = initial_polls_per_s
--- a/canvasplank/fleet/lease_transaction.py
+++ b/canvasplank/fleet/lease_transaction.py
@@ -26,9 +26,9 @@
     if sender is None:
         return unexpired, _response_without_lease(unexpired, request, "the lease has expired")
     if request.seq <= sender.seq:  # a delayed or duplicate request must not undo a newer one
-        return state, _response_without_lease(state, request, "a stale request")
+        return state, _response_without_lease(state, request, "the request is stale")
     if request.leaving:
-        return _remove(unexpired, request, sender, "left")
+        return _remove(unexpired, request, sender, "the member has left")
     if _uses_more_than_granted(sender, request):  # the sender's view of its shares cannot be relied on
         return _remove(unexpired, request, sender, "the member uses more than it was granted")
     return _renew(unexpired, request, sender.incarnation)
@@ -103,7 +103,7 @@
 def _grant(
     budget: str, own: Allocation, others: Mapping[int, Member], incarnation: int, *, nothing_free: bool
 ) -> Grant:
-    """Return the member's share of one budget: at least what it uses, and what is free up to its target.
+    """Return the member's share of one budget: what it uses, raised to its target as far as the rest is free.
 
     ``nothing_free`` is set while there are unreadable members, since they may hold all of the rest.
     """
--- a/canvasplank/warm_start/extension.py
+++ b/canvasplank/warm_start/extension.py
@@ -40,7 +40,7 @@
             lambda: make_snapshot(name, context.controller.learned_servers(), context.scheduler.now_ms)
         )
         await server.listen(self._settings.listen)
-        LOG.info("views for new instances at %s", self._settings.listen)
+        LOG.info("serving views for new instances at %s", self._settings.listen)
 
     async def _start_from_peer(self, peers: list[str]) -> None:
         """Fetch a snapshot and apply it.
--- a/tests/test_fleet_departure.py
+++ b/tests/test_fleet_departure.py
@@ -88,12 +88,12 @@
         reached, answered = asyncio.Event(), asyncio.Event()
         transact = renewer._backend.transact
 
-        async def stepped(request):
+        async def observed_transact(request):
             response = await WaitObserver(transact(request), number, reached)
             answered.set()
             return response
 
-        renewer._backend.transact = stepped
+        renewer._backend.transact = observed_transact
         waits = [asyncio.ensure_future(event.wait()) for event in (reached, answered)]
         async with asyncio.timeout(WAIT_S):
             await asyncio.wait(waits, return_when=asyncio.FIRST_COMPLETED)
