--- a/canvasplank/cold_start/poll_backoff.py
+++ b/canvasplank/cold_start/poll_backoff.py
@@ -34,7 +34,10 @@
         initial_polls_per_s: float,
         rng: random.Random,
     ) -> None:
-        """The fleet sends ``polls_per_s`` while polls fail, and ``initial_polls_per_s`` first polls."""
+        """Both rates are those of the whole fleet.
+
+        ``polls_per_s`` applies while polls fail, ``initial_polls_per_s`` to first polls.
+        """
         self._fleet_size = fleet_size
         self._polls_per_s = polls_per_s
         self._initial_polls_per_s = initial_polls_per_s
