--- a/emulators/server.py
+++ b/emulators/server.py
@@ -176,14 +176,14 @@
         self._release(writer, call_id)
         self._enqueue(Job(writer, None, RELEASE_COST))
 
-    def spoil(self, kind: UnreadableKind, *, newest: bool = True) -> None:
+    def send_unreadable_message(self, kind: UnreadableKind, *, newest: bool = True) -> None:
         """Send an unreadable message on the newest open connection, or on the oldest."""
         if self._writers:
             writer = self._writers[-1 if newest else 0]
             self._record_event(writer, f"wrote an unreadable message: {kind.value}")
             self._send(writer, unreadable_message(kind, "0" * 16))
 
-    def spoil_next_answer(self, kind: UnreadableKind) -> None:
+    def make_next_answer_unreadable(self, kind: UnreadableKind) -> None:
         """Send an unreadable message instead of the next answer. The call counts as answered."""
         self._next_answer_fault = kind
 
--- a/experiments/soak/callers.py
+++ b/experiments/soak/callers.py
@@ -1,4 +1,4 @@
-"""Soak callers as demanding as a platform's: they use a connection until it ends, and open new ones."""
+"""Callers of a soak run: like the platform's, they use a connection until it ends, and open new ones."""
 
 from __future__ import annotations
 
@@ -18,8 +18,10 @@
 
 # A set-up sent within this time before its connection ends counts as crossing the end, and is resent once.
 CROSSING_WINDOW_S = 0.05
-REUSE_PROBABILITY = 0.5  # a call uses any open connection, else one to an admitted address
-NEW_CONNECTION_PROBABILITY = 0.3  # a call to an admitted address opens a new connection
+# A call uses any open connection with ``REUSE_PROBABILITY``, otherwise a connection to an admitted address.
+REUSE_PROBABILITY = 0.5
+# A call to an admitted address opens a new connection with ``NEW_CONNECTION_PROBABILITY``.
+NEW_CONNECTION_PROBABILITY = 0.3
 IDLE_CLOSE_S = 4.0  # callers close a connection that has carried no call for this long
 GIVE_UP_PROBABILITY, GIVE_UP_AFTER_S = 0.05, (0.05, 0.8)
 RELEASE_PROBABILITY, RELEASE_AFTER_S = 0.15, (0.1, 1.0)
@@ -197,8 +199,8 @@
         connection.writer.write(isup.release(call.call_id, ReleaseCause.NORMAL_CLEARING))
 
     def _find_connection(self, call_id: str) -> Connection | None:
-        holds = (c for c in self.connections if call_id in c.open_set_ups or call_id in c.established)
-        return next(holds, None)
+        matches = (c for c in self.connections if call_id in c.open_set_ups or call_id in c.established)
+        return next(matches, None)
 
     async def _release_later(self, call: CallerCall) -> None:
         """Release an established call on its connection or, once that has ended, on any other."""
--- a/experiments/soak/deployment.py
+++ b/experiments/soak/deployment.py
@@ -50,9 +50,11 @@
 UNREADABLE_INTERVAL_S = (1.1, 1.8)  # between two unreadable messages
 # A short interval lets the next message reach the connection that has just replaced the last one.
 UNREADABLE_SOON_PROBABILITY, UNREADABLE_SOON_INTERVAL_S = 0.25, (0.02, 0.3)
-UNREADABLE_ANSWER_PROBABILITY = 0.3  # an unreadable message replaces an answer
-OLDEST_CONNECTION_PROBABILITY = 0.3  # any other goes to the server's oldest connection, not to its newest
-# The server is muted first: proxies replace its connections and keep the old ones open.
+# An unreadable message replaces an answer with ``UNREADABLE_ANSWER_PROBABILITY``. Any other is sent on the
+# server's oldest connection with ``OLDEST_CONNECTION_PROBABILITY``, and otherwise on its newest.
+UNREADABLE_ANSWER_PROBABILITY = 0.3
+OLDEST_CONNECTION_PROBABILITY = 0.3
+# With ``MUTE_PROBABILITY`` the server is muted first: proxies replace its connections and keep the old ones.
 MUTE_PROBABILITY = 0.4
 MUTE_DURATION_S = (0.7, 1.0)  # longer than a proxy waits before it replaces a hung connection
 END_NOTICE_DELAY_S = (0.0, 0.3)  # from the end of a connection until a disturbed server notices it
@@ -116,10 +118,10 @@
         self.heal()
         self._muted.append((from_s, time.time() + LAST_WRITES_S))
 
-    def cut(self, *ways: str) -> None:
+    def cut(self, *directions: str) -> None:
         """Hold back data on all links, in these directions of ``Link.cut`` or, without any, in both."""
         for link in self.links:
-            link.cut(*ways)
+            link.cut(*directions)
 
     def heal(self) -> None:
         """Pass data on all links again, in both directions."""
@@ -251,6 +253,7 @@
 
     async def _record_held_connections(self) -> None:
         """Record the connections that draining processes hold, and when a process may have none at all.
+
         A caller's connection belongs to a known process only while one process alone runs at its address.
         """
         while True:
@@ -339,7 +342,7 @@
             DisturbanceKind.CONNECTIONS_RESET: lambda: self._reset_connections(self._servers[index]),
             DisturbanceKind.SERVER_DRAINS: lambda: self._drain_server(self._servers[index]),
             DisturbanceKind.SERVER_REPLACED: lambda: self._replace_server(index),
-            DisturbanceKind.CONNECTIONS_SPOILED: lambda: self._spoil_connections(
+            DisturbanceKind.CONNECTIONS_SPOILED: lambda: self._disturb_with_unreadable_messages(
                 self._servers[index], duration_s
             ),
         }
@@ -369,16 +372,16 @@
             links[0].cut()
         self._discovery_disturbed_until_s = time.time() + MAX_DISCOVERY_DELAY_S
 
-    async def _disturb_discovery(self, switch: str, duration_s: float) -> None:
-        """Reset the connections to service discovery, and enable this fault of it for ``duration_s``."""
+    async def _disturb_discovery(self, fault_field: str, duration_s: float) -> None:
+        """Reset the connections to service discovery, and enable a fault of it for ``duration_s``."""
         self._discovery_disturbed_until_s = time.time() + duration_s + MAX_DISCOVERY_DELAY_S
         for discovery in self._discoveries:
-            setattr(discovery, switch, True)
+            setattr(discovery, fault_field, True)
         for link in itertools.chain.from_iterable(self._discovery_links):
             link.reset()
         await asyncio.sleep(duration_s)
         for discovery in self._discoveries:
-            setattr(discovery, switch, False)
+            setattr(discovery, fault_field, False)
 
     async def _hang_server(self, server: ObservedServer, duration_s: float) -> None:
         self._record_disturbance(server, duration_s + RECOVERY_S)
@@ -391,7 +394,7 @@
         for link in server.links:
             link.reset()
 
-    async def _spoil_connections(self, server: ObservedServer, duration_s: float) -> None:
+    async def _disturb_with_unreadable_messages(self, server: ObservedServer, duration_s: float) -> None:
         """Write unreadable messages on the server's connections until ``duration_s`` has passed.
 
         With ``MUTE_PROBABILITY`` the first one goes to a connection that a proxy has replaced and keeps open.
@@ -400,7 +403,7 @@
         if rng.random() < MUTE_PROBABILITY:
             await server.mute(rng.uniform(*MUTE_DURATION_S))
             server.emulator.notices_end_after_s = rng.uniform(*END_NOTICE_DELAY_S)
-            server.emulator.spoil(rng.choice(list(UnreadableKind)), newest=False)
+            server.emulator.send_unreadable_message(rng.choice(list(UnreadableKind)), newest=False)
             await asyncio.sleep(rng.uniform(*UNREADABLE_INTERVAL_S))
         await self._send_unreadable_messages(server.emulator, until_s)
 
@@ -411,9 +414,9 @@
             server.notices_end_after_s = rng.uniform(*END_NOTICE_DELAY_S)
             kind = rng.choice(list(UnreadableKind))
             if rng.random() < UNREADABLE_ANSWER_PROBABILITY:
-                server.spoil_next_answer(kind)
+                server.make_next_answer_unreadable(kind)
             else:
-                server.spoil(kind, newest=rng.random() >= OLDEST_CONNECTION_PROBABILITY)
+                server.send_unreadable_message(kind, newest=rng.random() >= OLDEST_CONNECTION_PROBABILITY)
             soon = rng.random() < UNREADABLE_SOON_PROBABILITY
             await asyncio.sleep(rng.uniform(*(UNREADABLE_SOON_INTERVAL_S if soon else UNREADABLE_INTERVAL_S)))
         server.notices_end_after_s = 0.0
--- a/experiments/soak/observed_link.py
+++ b/experiments/soak/observed_link.py
@@ -21,23 +21,23 @@
         self._observer = observer
         self._parsers = {"there": sip.Parser(), "back": sip.Parser()}
         self.open_set_ups: dict[str, ServerAttempt] = {}
-        self.unconfirmed_releases_s: dict[str, float] = {}  # when each passed to the proxy, by call
-        self._unreadable_directions: set[str] = set()  # no message counts after an unreadable one
+        self.unconfirmed_releases_s: dict[str, float] = {}  # when each was forwarded to the proxy, by call
+        self._unreadable_directions: set[str] = set()  # no message is recorded after an unreadable one
 
-    def on_data(self, way: str, data: bytes) -> None:
+    def on_data(self, direction: str, data: bytes) -> None:
         """Parse bytes that the proxy has sent, or that are about to be written to it."""
-        if way in self._unreadable_directions:
+        if direction in self._unreadable_directions:
             return
         try:
-            for message in self._parsers[way].feed(data):
+            for message in self._parsers[direction].feed(data):
                 _check_body(message)
-                if way == "there":
+                if direction == "there":
                     self._observer.on_request(self, message)
                 else:
                     self._observer.on_response(self, message)
         except BadMessageError as error:
             self._observer.bad_messages.append(str(error))
-            self._unreadable_directions.add(way)
+            self._unreadable_directions.add(direction)
 
     def on_client_ended(self) -> None:
         """End the open set-ups: the proxy has ended the connection, even if the server notices it later."""
@@ -102,17 +102,17 @@
         elif message.method == "BYE" and not message.status:
             connection.unconfirmed_releases_s[message.call_id] = now_s
 
-    def _on_released(self, call_id: str, passed_s: float | None) -> None:
-        """Record that the proxy has read a release; ``passed_s`` is when the release passed to it."""
+    def _on_released(self, call_id: str, forwarded_s: float | None) -> None:
+        """Record that the proxy has read the release that was forwarded to it at ``forwarded_s``."""
         call = self._calls.get(call_id)
         if call is not None and call.released_by_server_s is None:
-            call.released_by_server_s = passed_s
+            call.released_by_server_s = forwarded_s
 
     def finish(self, connections: Iterable[ObservedConnection]) -> None:
         """Count the unconfirmed releases on open connections as read, at the end of the run or the server."""
         for connection in connections:
-            for call_id, passed_s in connection.unconfirmed_releases_s.items():
-                self._on_released(call_id, passed_s)
+            for call_id, forwarded_s in connection.unconfirmed_releases_s.items():
+                self._on_released(call_id, forwarded_s)
 
     def record_written_releases(
         self, written_s: Mapping[str, float], is_disturbed: Callable[[float], bool]
@@ -145,7 +145,7 @@
         self.observed: list[ObservedConnection] = []
 
     def new_observer(self) -> ObservedConnection:
-        """See ``Link``."""
+        """Return the observer of a new connection, and keep it in ``observed``."""
         connection = ObservedConnection(self.observer)
         self.observed.append(connection)
         return connection
--- a/experiments/soak/proxies.py
+++ b/experiments/soak/proxies.py
@@ -22,7 +22,8 @@
 START_TIMEOUT_S = 20.0
 # SIGKILL follows SIGTERM no earlier than 0.7 s after the longest deadline, which counts as at most 3 s.
 EARLIEST_KILL_S = 3.7
-ADMITTED_AFTER_NOT_READY_S = 0.2  # the front still sends new connections after the first "not ready"
+# The front still sends new connections for this long after the first "not ready".
+ADMITTED_AFTER_NOT_READY_S = 0.2
 
 
 def loopback_host() -> str:
@@ -81,8 +82,8 @@
         """Whether the front sends new connections to the process's address because of this process."""
         if not self.running:
             return False
-        no_s = self.not_ready_since_s
-        return self.ready or (no_s is not None and time.time() - no_s < ADMITTED_AFTER_NOT_READY_S)
+        since_s = self.not_ready_since_s
+        return self.ready or (since_s is not None and time.time() - since_s < ADMITTED_AFTER_NOT_READY_S)
 
     @property
     def must_accept_connections(self) -> bool:
@@ -128,7 +129,7 @@
             self._process.send_signal(signal_number)
 
     async def terminate(self) -> None:
-        """Send SIGTERM, and SIGKILL if the process has not ended by the earliest time that allows it."""
+        """Send SIGTERM, and SIGKILL if the process has not ended ``EARLIEST_KILL_S`` later."""
         self.signal(signal.SIGTERM)
         await self.until_ended()
 
--- a/experiments/soak/scenario.py
+++ b/experiments/soak/scenario.py
@@ -14,8 +14,8 @@
 CALLS_PER_S = 30.0
 CROWD_PROBABILITY = 0.3
 SILENT_CROWD_PROBABILITY = 0.4
-SPOILED_PROBABILITY = 0.3
-SPOILED_START_S, SPOILED_DURATION_S = (1.4, 3.0), (3.0, 5.0)
+UNREADABLE_PROBABILITY = 0.3
+UNREADABLE_START_S, UNREADABLE_DURATION_S = (1.4, 3.0), (3.0, 5.0)
 
 
 class DisturbanceKind(enum.Enum):
@@ -31,11 +31,11 @@
     RELOAD = "reload"  # SIGHUP, with service discovery at another address
     DISCOVERY_STALLS = "discovery stalls"
     DISCOVERY_CLOSES = "discovery closes"
-    SERVER_HANGS = "server hangs"  # nothing passes on its connections, new ones included
+    SERVER_HANGS = "server hangs"  # nothing passes on a server's connections, new ones included
     CONNECTIONS_RESET = "connections reset"  # all connections to one server
-    SERVER_DRAINS = "server drains"  # and becomes ready again
-    SERVER_REPLACED = "server replaced"  # drains and is gone, and a new process takes its place
-    CONNECTIONS_SPOILED = "connections spoiled"  # by unreadable messages; the server notices their ends late
+    SERVER_DRAINS = "server drains"  # a server drains, and becomes ready again
+    SERVER_REPLACED = "server replaced"  # a server drains and is gone, and a new one takes its place
+    CONNECTIONS_SPOILED = "connections spoiled"  # unreadable messages from a server that notices ends late
 
 
 PROCESS_KINDS = frozenset(
@@ -58,7 +58,7 @@
         DisturbanceKind.CONNECTIONS_SPOILED,
     }
 )
-# ``_generate_spoiled`` samples the remaining kind.
+# ``_generate_unreadable_disturbance`` samples the remaining kind.
 SAMPLED_KINDS = [kind for kind in DisturbanceKind if kind is not DisturbanceKind.CONNECTIONS_SPOILED]
 
 
@@ -112,20 +112,20 @@
         disturbances.append(
             Disturbance(kind, rng.uniform(EARLIEST_S, LATEST_S), rng.uniform(0.5, 2.5), target)
         )
-    disturbances += _generate_spoiled(seed, free_servers)
+    disturbances += _generate_unreadable_disturbance(seed, free_servers)
     disturbances.sort(key=lambda disturbance: disturbance.at_s)
     crowd_at_s = rng.uniform(EARLIEST_S, LATEST_S) if rng.random() < CROWD_PROBABILITY else None
     silent_crowd_at_s = rng.uniform(EARLIEST_S, LATEST_S) if rng.random() < SILENT_CROWD_PROBABILITY else None
     return Scenario(seed, tuple(disturbances), crowd_at_s, silent_crowd_at_s)
 
 
-def _generate_spoiled(seed: int, free_servers: list[int]) -> list[Disturbance]:
+def _generate_unreadable_disturbance(seed: int, free_servers: list[int]) -> list[Disturbance]:
     """Return a disturbance by unreadable messages, or none.
 
     It has its own random generator, so that the other disturbances of a seed stay what they were without it.
     """
     rng = random.Random(f"connections spoiled {seed}")
-    if not free_servers or rng.random() >= SPOILED_PROBABILITY:
+    if not free_servers or rng.random() >= UNREADABLE_PROBABILITY:
         return []
-    at_s, duration_s = rng.uniform(*SPOILED_START_S), rng.uniform(*SPOILED_DURATION_S)
+    at_s, duration_s = rng.uniform(*UNREADABLE_START_S), rng.uniform(*UNREADABLE_DURATION_S)
     return [Disturbance(DisturbanceKind.CONNECTIONS_SPOILED, at_s, duration_s, rng.choice(free_servers))]
--- a/tests/test_emulators.py
+++ b/tests/test_emulators.py
@@ -206,7 +206,7 @@
                 first.writer.close()
             else:
                 # Unread data when the connection ends makes it end with a reset.
-                server.spoil(UnreadableKind.FALSE_LENGTH, newest=False)
+                server.send_unreadable_message(UnreadableKind.FALSE_LENGTH, newest=False)
                 first.writer.transport.abort()
             await wait_until(lambda: CALL_ID in server.released_at_s)
             assert server.connections == 2
@@ -217,24 +217,24 @@
 
 @pytest.mark.parametrize("kind", UnreadableKind)
 @pytest.mark.parametrize("newest", [True, False])
-def test_a_server_spoils_its_newest_connection_or_its_oldest(kind, newest):
+def test_a_server_sends_an_unreadable_message_on_its_newest_connection_or_its_oldest(kind, newest):
     async def run():
         async with call_server() as server:
             connections = [await connect(server), await connect(server)]
-            server.spoil(kind, newest=newest)
-            spoiled, other = connections[::-1] if newest else connections
+            server.send_unreadable_message(kind, newest=newest)
+            unreadable, other = connections[::-1] if newest else connections
             with pytest.raises(BadMessageError):
-                await _read_until_bad_message(spoiled)
+                await _read_until_bad_message(unreadable)
             assert not await other.has_release()
 
     asyncio.run(run())
 
 
 @pytest.mark.parametrize("kind", UnreadableKind)
-def test_a_server_spoils_its_next_answer_and_no_other(kind):
+def test_a_server_sends_an_unreadable_next_answer_and_no_other(kind):
     async def run():
         async with call_server(hold_ms=60_000.0) as server:
-            server.spoil_next_answer(kind)
+            server.make_next_answer_unreadable(kind)
             first, second = await connect(server), await connect(server)
             first.invite()
             with pytest.raises(BadMessageError):
@@ -260,7 +260,7 @@
             port = client.writer.get_extra_info("sockname")[1]
             client.invite()
             await client.next_message("BYE")
-            server.spoil(UnreadableKind.RANDOM)
+            server.send_unreadable_message(UnreadableKind.RANDOM)
             client.writer.close()
             await wait_until(lambda: not server.connections)
             assert {event.connection for event in server.events} == {port}
