--- a/emulators/callers.py
+++ b/emulators/callers.py
@@ -132,7 +132,7 @@
         for call in self.calls.values():
             if call.proxy == address and call.outcome == "open":
                 call.outcome, call.answered_s = "lost", time.time()
-        if address in self.proxies:  # proxies close idle connections
+        if address in self.proxies:  # connect again: proxies close idle connections
             with contextlib.suppress(OSError):
                 reader, self._streams[address] = await asyncio.open_connection(*parse_address(address))
                 self._tasks.keep(self._read(address, reader))
@@ -158,7 +158,7 @@
     async def wait_until_answered(self, within_s: float) -> None:
         """Wait until no call is open, at most ``within_s`` seconds."""
         deadline_s = time.time() + within_s
-        while time.time() < deadline_s and any(t.outcome == "open" for t in self.calls.values()):
+        while time.time() < deadline_s and any(call.outcome == "open" for call in self.calls.values()):
             await asyncio.sleep(0.02)
 
     async def stop(self) -> None:
@@ -174,7 +174,7 @@
 
     A call that is answered after ``aim_s`` counts a tenth of its weight.
     """
-    offered = sum(t.kind.weight for t in calls)
-    served = [t for t in calls if t.outcome == "served"]
-    earned = sum(t.kind.weight * (1.0 if t.took_s <= t.kind.aim_s else 0.1) for t in served)
+    offered = sum(call.kind.weight for call in calls)
+    served = [call for call in calls if call.outcome == "served"]
+    earned = sum(call.kind.weight * (1.0 if call.took_s <= call.kind.aim_s else 0.1) for call in served)
     return earned / offered if offered else 1.0
--- a/emulators/fleet.py
+++ b/emulators/fleet.py
@@ -138,7 +138,7 @@
         self.proxies: list[Proxy] = []
 
     async def start(self) -> None:
-        """Start the call servers and service discovery, and publish the servers. ``proxy`` starts proxies."""
+        """Start the call servers and service discovery, and publish the servers; start no proxies."""
         for server in self.servers:
             await server.start()
         await self.discovery.start()
--- a/emulators/front.py
+++ b/emulators/front.py
@@ -13,7 +13,7 @@
 
 
 async def passes_health_test(address: str) -> bool:
-    """Whether the proxy at this address answers within ``TEST_TIMEOUT_S`` that it is ready for callers."""
+    """Return whether the proxy at this address reports within ``TEST_TIMEOUT_S`` that it is ready."""
     writer = None
     try:
         async with asyncio.timeout(TEST_TIMEOUT_S):
--- a/emulators/link.py
+++ b/emulators/link.py
@@ -20,7 +20,7 @@
 
 
 class LinkObserver(Protocol):
-    """Is notified of the events of one connection, on the client's side of the link."""
+    """An observer of one connection, notified of its events on the client's side of the link."""
 
     def on_data(self, direction: str, data: bytes) -> None:
         """Called when data was read from the client (``there``) or will be written to it (``back``)."""
--- a/experiments/measures.py
+++ b/experiments/measures.py
@@ -83,8 +83,10 @@
     for first, start_s in enumerate(times):
         while last < len(times) and times[last] < start_s + cold.overload_s:
             last += 1
-        age = min(1.0, (start_s - cold.start_s) / cold.warm_up_s)
-        capacity_now_per_s = capacity_per_s * (cold.initial_fraction + (1 - cold.initial_fraction) * age)
+        elapsed_fraction = min(1.0, (start_s - cold.start_s) / cold.warm_up_s)
+        capacity_now_per_s = capacity_per_s * (
+            cold.initial_fraction + (1 - cold.initial_fraction) * elapsed_fraction
+        )
         count = last - first
         if count > 1:  # a single set-up cannot overload a server
             worst = max(worst, count / (cold.overload_factor * capacity_now_per_s * cold.overload_s))
--- a/experiments/observations.py
+++ b/experiments/observations.py
@@ -24,8 +24,9 @@
     start_s: float
     initial_fraction: float
     warm_up_s: float
-    overload_factor: float  # the server fails under a load above this multiple of its capacity ...
-    overload_s: float  # ... for this long
+    # The server fails when its load exceeds ``overload_factor`` times its capacity for ``overload_s``.
+    overload_factor: float
+    overload_s: float
 
 
 class BudgetTrace(NamedTuple):
--- a/experiments/plan.py
+++ b/experiments/plan.py
@@ -17,18 +17,18 @@
 class FaultKind(enum.StrEnum):
     """Kinds of faults; in the values, which experiment files contain, ``board`` is service discovery."""
 
-    DISCOVERY_CLOSES = "board-closes"  # accepts and closes at once
-    DISCOVERY_STALLS = "board-stalls"  # accepts and sends nothing
-    DISCOVERY_BUSY = "board-busy"  # refuses with a Retry-After of ``wait_s``
-    DISCOVERY_AWAY = "board-away"  # refuses connections
-    PROXIES_KILLED = "proxies-killed"  # and started again under their names when the fault ends
+    DISCOVERY_CLOSES = "board-closes"  # connections are accepted and closed at once
+    DISCOVERY_STALLS = "board-stalls"  # connections are accepted, and nothing is sent
+    DISCOVERY_BUSY = "board-busy"  # polls are rejected with a Retry-After of ``wait_s``
+    DISCOVERY_AWAY = "board-away"  # connections are refused
+    PROXIES_KILLED = "proxies-killed"  # SIGKILL, and a new start under the same name when the fault ends
     PROXIES_FROZEN = "proxies-frozen"  # SIGSTOP, and SIGCONT when the fault ends
-    PROXIES_CUT_OFF = "proxies-cut-off"  # from service discovery
-    PROXIES_CUT_OFF_STORE = "proxies-cut-off-store"  # from the fleet's store, in both directions
+    PROXIES_CUT_OFF = "proxies-cut-off"  # links to service discovery are cut
+    PROXIES_CUT_OFF_STORE = "proxies-cut-off-store"  # links to the store are cut in both directions
     PROXIES_DEAF_STORE = "proxies-deaf-store"  # requests reach the store, but its responses are held back
-    STORE_STALLS = "store-stalls"
-    STORE_RESTARTS = "store-restarts"  # closes every connection and accepts none during the fault
-    SERVERS_SILENT = "servers-silent"
+    STORE_STALLS = "store-stalls"  # received messages are not processed during the fault
+    STORE_RESTARTS = "store-restarts"  # connections are closed, and none is accepted during the fault
+    SERVERS_SILENT = "servers-silent"  # messages are read, and nothing is sent
     SERVERS_COLD = "servers-cold"  # server processes restart at the start time; ``for_s`` is not used
 
 
--- a/experiments/proxy_processes.py
+++ b/experiments/proxy_processes.py
@@ -40,7 +40,7 @@
         self._behind_link = behind_link
         self._store_links: dict[str, Link] = {}  # to the store, by proxy
         self._start_count = 0
-        # Without it, hundreds of starting processes delay this one, and the times it records are late.
+        # At equal priority, hundreds of starting processes delay this one, and its recorded times are late.
         fleet.nice = PROXY_NICENESS
         fleet.discovery_for = self._discovery_address
 
@@ -66,8 +66,8 @@
     async def start(self, name: str, on_listening: Callable[[], None]) -> None:
         """Start a proxy and connect the callers to it once it passes the front's health test.
 
-        ``on_listening`` is called as soon as the proxy listens. Its seed is the number after the first letter
-        of its name. Each start of a name has its own configuration and log.
+        ``on_listening`` is called as soon as the proxy listens. The proxy's seed is the number in its name,
+        after the first letter. Each start of a name has its own configuration and log.
         """
         self._start_count += 1
         tag, environment = f"{name}.{self._start_count}", await self._extension_files(name)
--- a/experiments/simulated_environment.py
+++ b/experiments/simulated_environment.py
@@ -51,8 +51,10 @@
         """Return the processor time of a set-up now; it is longer while the server warms up."""
         speed = 1.0
         if self.cold is not None:
-            age = (self.clock.now_ms / MS_PER_S - self.cold.start_s) / self.cold.warm_up_s
-            speed = self.cold.initial_fraction + (1 - self.cold.initial_fraction) * min(1.0, max(0.0, age))
+            elapsed_fraction = (self.clock.now_ms / MS_PER_S - self.cold.start_s) / self.cold.warm_up_s
+            speed = self.cold.initial_fraction + (1 - self.cold.initial_fraction) * min(
+                1.0, max(0.0, elapsed_fraction)
+            )
         return MS_PER_S / self.capacity_per_s / speed
 
     def enqueue_set_up(self, on_answer: Callable[[bool], None]) -> None:
--- a/experiments/simulated_proxy.py
+++ b/experiments/simulated_proxy.py
@@ -50,11 +50,11 @@
         self._next_ms = INITIAL_BACKOFF_MS
 
     def initial_delay(self) -> float:
-        """See ``PollBackoff``."""
+        """Return 0 ms: a proxy polls as soon as it starts."""
         return 0.0
 
     def retry_delay(self, now_ms: float = 0.0, retry_after_ms: float = 0.0) -> float:
-        """See ``PollBackoff``."""
+        """Return the delay in ms before the next poll; both arguments are ignored."""
         delay_ms, self._next_ms = self._next_ms, min(MAX_BACKOFF_MS, 2 * self._next_ms)
         return delay_ms
 
--- a/tests/test_experiments.py
+++ b/tests/test_experiments.py
@@ -197,8 +197,8 @@
 def test_a_small_experiment_writes_tables_charts_and_a_summary(tmp_path):
     table = run_experiment(tmp_path, SMALL_EXPERIMENT)
     assert {(row["way"], row["size"], row["variant"]) for row in table} == {
-        (way, size, variant)
-        for way, size in (("processes", 3), ("simulated", 30))
+        (mode, size, variant)
+        for mode, size in (("processes", 3), ("simulated", 30))
         for variant in ("as it is", "paced")
     }
     served = [row["value"] for row in table if row["what"] == "served of all calls"]
