--- a/verification/call_rules.py
+++ b/verification/call_rules.py
@@ -14,7 +14,7 @@
 
 SLACK_S = 0.05  # the platform's extension of every time limit
 RELEASE_LIMIT_S = 1.0  # time to pass a release on
-UNSENDABLE_RELEASE_LIMIT_S = 8.0  # the same where there was no connection to send the release on
+UNSENDABLE_RELEASE_LIMIT_S = 8.0  # time to pass a release on where no connection could carry it
 DRAIN_LIMIT_S = 4.0  # time from a quiesce until a process has no idle connections and reports not ready
 MIN_DRAIN_SET_UP_AGE_S = 2.0  # after DRAIN_LIMIT_S, a process holds no connection with a younger set-up
 RESUME_LIMIT_S = 2.0  # time from a resume until a process reports ready
@@ -52,7 +52,7 @@
 
 
 def _waited_past_deadline(call: CallerCall, allowance_s: float, trace_ended_s: float) -> bool:
-    """Whether the caller waited until past its deadline, instead of ending the call earlier."""
+    """Return whether the caller waited until past its deadline, instead of ending the call earlier."""
     waited_until_s = trace_ended_s if call.ended_by_caller_s is None else call.ended_by_caller_s
     return waited_until_s > call.deadline_s + allowance_s
 
@@ -134,7 +134,7 @@
 
 
 def _limit_to_caller_s(trace: CallTrace, ended_s: float | None) -> float:
-    """The time limit for a release by the server at ``ended_s`` to reach the caller."""
+    """Return the time limit for a release by the server at ``ended_s`` to reach the caller."""
     due_s = (ended_s or 0.0) + RELEASE_LIMIT_S
     unsendable = any(ended_s is not None and ended_s <= at_s <= due_s for at_s in trace.no_connection_times_s)
     limit_s = UNSENDABLE_RELEASE_LIMIT_S if unsendable else RELEASE_LIMIT_S
@@ -142,7 +142,7 @@
 
 
 def _limit_to_server_s(trace: CallTrace, server: str, caller_ended_s: float | None) -> float:
-    """The time limit for a release by the caller at ``caller_ended_s`` to reach the server."""
+    """Return the time limit for a release by the caller at ``caller_ended_s`` to reach the server."""
     at_s = caller_ended_s or 0.0
     disturbed = any(
         each.server == server and each.from_s <= at_s + RELEASE_LIMIT_S and at_s <= each.until_s
@@ -153,13 +153,13 @@
 
 
 def _end_by_server_s(call: CallerCall, served: ServerCall) -> float | None:
-    """The earliest known time at which the server released a call that was established for its caller."""
+    """Return the earliest known time at which the server released a call established for its caller."""
     ends_s = (served.release_written_s, served.released_by_server_s)
     return next((at_s for at_s in ends_s if at_s is not None and _is_established(call, at_s)), None)
 
 
 def _is_established(call: CallerCall, at_s: float) -> bool:
-    """Whether the call is established for its caller at this time."""
+    """Return whether the call is established for its caller at this time."""
     ended_s = min([*call.releases_s, call.ended_by_caller_s or float("inf")], default=float("inf"))
     return call.served_s is not None and call.served_s <= at_s < ended_s
 
@@ -186,7 +186,7 @@
     for held in trace.held:
         during = held.process == drain.process and due_s < held.at_s < drain.until_s
         idle = held.request_age_s is None and not held.established
-        # A set-up is answered on its connection: one with an open set-up at every moment had to stay open.
+        # Set-ups are answered on their connection, so one that always had an open set-up had to stay open.
         closable = due_s < held.last_all_answered_s < held.at_s - allowance_s
         young = held.request_age_s is not None and held.request_age_s < MIN_DRAIN_SET_UP_AGE_S and closable
         if during and (idle or young):
@@ -233,12 +233,12 @@
 
 
 def check(trace: CallTrace) -> list[Violation]:
-    """All violations of all rules."""
+    """Return all violations of all rules."""
     return [violation for rule in RULES for violation in rule(trace)]
 
 
 def count_answers(trace: CallTrace) -> dict[Answer, int]:
-    """The number of calls for each final answer; of several answers the first counts."""
+    """Return the number of calls for each final answer; of several answers the first counts."""
     counts = dict.fromkeys(Answer, 0)
     for call in trace.calls.values():
         if call.answers:
--- a/verification/call_trace.py
+++ b/verification/call_trace.py
@@ -1,6 +1,6 @@
 """A trace of what the peers of a deployment of proxies observed.
 
-The peers are callers, call servers, the front, and the observer of the proxy processes.  All times are Unix
+The peers are callers, call servers, the front, and the observer of the proxy processes. All times are Unix
 seconds, read by the one process that emulates all peers.
 """
 
@@ -66,9 +66,8 @@
     call_id: str
     server: str
     established_s: float
-    release_written_s: float | None = (
-        None  # when the server first wrote it; None where the link might hold it back
-    )
+    # When the server first wrote a release; None if the link may have held it back or lost it.
+    release_written_s: float | None = None
     released_by_server_s: float | None = None  # when a release that the proxy read passed the link
     released_by_proxy_s: float | None = None
     server_gone_s: float | None = None  # when the server ended, and the call with it
@@ -76,7 +75,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DrainNotification:
-    """A notification of all proxies by service discovery that a server accepts no new calls."""
+    """Service discovery's notification to all proxies that a server accepts no new calls."""
 
     server: str
     at_s: float
@@ -110,9 +109,8 @@
     at_s: float
     request_age_s: float | None  # age of its newest unanswered set-up; None if it has none
     established: bool  # whether it carries an established call
-    last_all_answered_s: (
-        float  # when the number of its open set-ups last fell to 0; otherwise when it was opened
-    )
+    # When the number of its open set-ups last fell to 0; if it had none yet, when it was opened.
+    last_all_answered_s: float
 
 
 @dataclass(frozen=True, slots=True)
@@ -144,8 +142,9 @@
     killed: bool = False  # whether it had to be killed (SIGKILL)
     exit_status: int | None = None
     log: str = ""
-    first_usage: tuple[int, float] | None = None  # descriptors and resident MB once settled after the start
-    last_usage: tuple[int, float] | None = None  # the same once settled at the end of the run
+    # Open descriptors and resident MiB: once ready after the start, and after the last caller at the end.
+    first_usage: tuple[int, float] | None = None
+    last_usage: tuple[int, float] | None = None
 
 
 @dataclass(slots=True)
--- a/verification/leases.py
+++ b/verification/leases.py
@@ -1,15 +1,15 @@
 """Model checker for the lease protocol: runs the production code in every interleaving within given bounds.
 
 A state consists of a few proxies (each with a production ``LeaseHolder`` and ``FailureDetector``), the state
-in the store, the messages in flight and the time.  The checker tries every possible step from each state:
+in the store, the messages in flight and the time. The checker tries every possible step from each state:
 
 - the time advances by a tick, in which each proxy's clock may gain or lose a tick;
 - a proxy sends a request, which is applied now, late, twice or never;
 - a proxy receives a response, now, late or never;
 - a proxy starts under a name in use, while the older process continues.
 
-A frozen process corresponds to a proxy that takes no step for several ticks.  Sending a request changes only
-its sender.  A request that is applied in the tick in which it is sent is therefore sent and applied in one
+A frozen process corresponds to a proxy that takes no step for several ticks. Sending a request changes only
+its sender. A request that is applied in the tick in which it is sent is therefore sent and applied in one
 step; any other order of the two leads to the same states.
 
 The invariant is checked in every state: the sum of the shares that the proxies may be using, each by its own
@@ -59,11 +59,14 @@
     now: int = 0
 
     def in_use(self) -> int:
-        """The sum of the shares that the proxies may be using now."""
+        """Return the sum of the shares that the proxies may be using now."""
         return sum(p.holder.share(BUDGET, self.now + p.clock_offset) for p in self.proxies)
 
     def key(self) -> tuple[object, ...]:
-        """Equal for states with the same future; an expired lease equals one that was never granted."""
+        """Return a key that is equal for states with the same future.
+
+        An expired lease has the same key as one that was never granted.
+        """
         return (
             tuple(self._proxy_key(p) for p in self.proxies),
             tuple(sorted((k, m.seq, m.allocations[BUDGET].held) for k, m in self.fleet.members.items())),
@@ -162,7 +165,7 @@
         return Exploration(len(predecessors), True, None)
 
     def initial_state(self) -> State:
-        """The state in which no proxy has sent a request yet."""
+        """Return the state in which no proxy has sent a request yet."""
         return State([self._proxy("p0") for _ in range(self._bounds.initial_processes)])
 
     @staticmethod
@@ -195,7 +198,7 @@
                     yield f"{step.__name__.strip('_')} {number}", after
 
     def _ticks(self, state: State) -> Iterator[tuple[str, State]]:
-        """The steps that advance the time by a tick, for each subset of clocks that gain or lose a tick."""
+        """Yield the steps that advance the time by a tick, one per subset of clocks that gain or lose one."""
         can_slip = [
             number for number, p in enumerate(state.proxies) if p.clock_slips < self._bounds.clock_slips
         ]
--- a/verification/memberships.py
+++ b/verification/memberships.py
@@ -1,7 +1,7 @@
 """Checks the logs of all processes: no member of a fleet may be removed before its lease has expired.
 
 The end of a lease is taken from the member's own log, the time of a removal from the log of the process that
-removed the member.  Both are times of the machine's ``CLOCK_BOOTTIME``, so the check is valid for processes
+removed the member. Both are times of the machine's ``CLOCK_BOOTTIME``, so the check is valid for processes
 of one machine only.
 """
 
@@ -39,15 +39,15 @@
     removals: list[Removal] = field(default_factory=list)
 
     def last_membership(self, process: str) -> Membership:
-        """The newest membership of a process; raises ``IndexError`` if the process never joined."""
+        """Return the newest membership of a process; raises ``IndexError`` if the process never joined."""
         return [each for each in self.memberships if each.process == process][-1]
 
     def was_removed(self, membership: Membership) -> bool:
-        """Whether another process removed this member."""
+        """Return whether another process removed this member."""
         return any(removal.incarnation == membership.incarnation for removal in self.removals)
 
     def removed_too_early(self) -> list[Membership]:
-        """The members that another process removed before the end of their last logged lease."""
+        """Return the members that another process removed before the end of their last logged lease."""
         return [
             each
             for each in self.memberships
@@ -77,7 +77,7 @@
 
 
 def _events(path: Path) -> Iterator[dict[str, Any]]:
-    """The events of a log; a line that is incomplete, for example after SIGKILL, is skipped."""
+    """Yield the events of a log; a line that is incomplete, for example after SIGKILL, is skipped."""
     for line in path.read_text().splitlines():
         try:
             event = json.loads(line)
--- a/verification/spending.py
+++ b/verification/spending.py
@@ -1,7 +1,7 @@
 """Checks the logs of all processes: together they must not exceed a budget.
 
-There are two invariants.  At every instant, the leased shares of all processes sum to no more than what may
-be leased; a share counts until its lease ends or the process logs another share.  In every window, all
+There are two invariants. At every instant, the leased shares of all processes sum to no more than what may
+be leased; a share counts until its lease ends or the process logs another share. In every window, all
 processes together spend no more units than the budget's total allows for the window, plus its burst, plus one
 unit for each process.
 """
@@ -49,7 +49,7 @@
 
 
 def max_leased_per_s(traces: Iterable[ProcessTrace]) -> float:
-    """The maximum, over all instants, of the sum of the leased shares, in units a second."""
+    """Return the maximum, over all instants, of the sum of the leased shares, in units a second."""
     changes: list[tuple[float, float]] = []
     for trace in traces:
         for start_ms, until_ms, share in trace.shares:
@@ -63,13 +63,13 @@
 
 
 def max_window_excess(traces: Iterable[ProcessTrace], total_per_s: float, burst_ms: float) -> float:
-    """The maximum, over all windows, of the units spent in excess of the total and the burst.
+    """Return the maximum, over all windows, of the units spent in excess of the total and the burst.
 
-    The invariant allows an excess of one unit for each process, which it may have saved up.
+    The invariant allows an excess of one unit for each process, which the process may have saved up.
     """
     spent_ms = sorted(at_ms for trace in traces for at_ms in trace.spent)
-    # The window from unit i to unit j has j - i + 1 units.  With allowed(n), what the total allows up to the
-    # time of unit n, its excess is (j + 1 - allowed(j)) - (i - allowed(i)).  Of all windows that end with
+    # The window from unit i to unit j has j - i + 1 units. With allowed(n), what the total allows up to the
+    # time of unit n, its excess is (j + 1 - allowed(j)) - (i - allowed(i)). Of all windows that end with
     # unit j, the one with the minimum of i - allowed(i) therefore has the largest excess.
     worst, minimum = float("-inf"), float("inf")
     for index, at_ms in enumerate(spent_ms):
@@ -80,13 +80,13 @@
 
 
 def used_per_s(traces: Iterable[ProcessTrace], start_ms: float, end_ms: float) -> float:
-    """Units a second that all processes together spent from ``start_ms`` up to, but excluding, ``end_ms``."""
+    """Return the units a second that all processes spent from ``start_ms`` (included) to ``end_ms`` (not)."""
     count = sum(start_ms <= at_ms < end_ms for trace in traces for at_ms in trace.spent)
     return count * MILLI / (end_ms - start_ms)
 
 
 def max_count_in_window(times: Sequence[float], window: float) -> int:
-    """The maximum number of ``times``, which are sorted, in any window of the length ``window``."""
+    """Return the maximum number of ``times``, which are sorted, in any window of the length ``window``."""
     maximum = first = 0
     for last, at in enumerate(times):
         while times[first] <= at - window:
