--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements on loopback with the project's own stand-ins; none is part of the tests."""
+"""Benchmarks on loopback with the project's emulators. The tests do not run them."""
--- a/benchmarks/budgets.py
+++ b/benchmarks/budgets.py
@@ -82,7 +82,7 @@
 
 
 def last_share(deployment: BudgetFleet, name: str) -> float:
-    """The share that a proxy logged last, in units a second."""
+    """Return the share that a proxy logged last, in units a second."""
     shares = read_trace(deployment.proxies[name].log, "all").shares
     return shares[-1][2] if shares else 0.0
 
@@ -96,7 +96,7 @@
 
 
 async def measure_join_and_kill(count: int) -> list[Measurement]:
-    """The times until a new proxy has four fifths of an even share, and others as much of a killed one's."""
+    """Measure until a new proxy has four fifths of an even share, and others as much of a killed one's."""
     async with deploy(PLAN, count) as (deployment, callers):
         load = asyncio.create_task(callers.offer(2 * PLAN.total_per_s, 120.0))
         leased_per_s = PLAN.total_per_s * (1 - PLAN.reserve_fraction)
@@ -130,7 +130,7 @@
 
 
 async def measure_skewed_demand(static: bool) -> list[Measurement]:
-    """How much of the total is used while one of eight proxies has nine tenths of the calls."""
+    """Measure how much of the total is used while one of eight proxies has nine tenths of the calls."""
     plan = replace(PLAN, reserve_fraction=1.0 if static else PLAN.reserve_fraction, max_members=8)
     async with deploy(plan, 8) as (deployment, callers):
         busiest = deployment.proxies["n0"].address
@@ -147,7 +147,7 @@
 
 
 async def measure_store_load(count: int) -> list[Measurement]:
-    """Transactions a second and CPU time with ``count`` lease renewers in one process."""
+    """Measure transactions a second and CPU time with ``count`` lease renewers in one process."""
     with tempfile.TemporaryDirectory() as folder:
         store = PostgresqlEmulator(Path(folder))
         await store.start()
@@ -180,14 +180,14 @@
 
 
 async def measure_set_up_times(variant: str) -> list[Measurement]:
-    """Set-up times with budgets off, on, or with the store stalled; the budget is large enough for all."""
+    """Measure set-up times with budgets off, on, or the store stalled; the budget is large enough for all."""
     plan = replace(PLAN, total_per_s=4000.0, max_members=4, reserve_fraction=0.5)
     async with deploy(plan, 4, without_budgets=variant == "off") as (deployment, callers):
         await asyncio.sleep(2.0)
         deployment.store.faults.stalled = variant == "store stalled"
         await callers.offer(200.0, 8.0)
         await callers.wait_until_answered(4.0)
-        times_ms = sorted(1000 * t.took_s for t in callers.calls.values() if t.outcome == "served")
+        times_ms = sorted(1000 * call.took_s for call in callers.calls.values() if call.outcome == "served")
         deployment.store.faults.stalled = False
         return [
             Measurement("set-up time: median", variant, "ms", statistics.median(times_ms)),
@@ -229,7 +229,7 @@
 
 
 async def measure_faults(count: int) -> list[Measurement]:
-    """The invariants over the traces of all processes, under a schedule of faults."""
+    """Check the invariants over the traces of all processes, under a schedule of faults."""
     async with deploy(PLAN, count) as (deployment, callers):
         load = asyncio.create_task(callers.offer(2 * PLAN.total_per_s, 300.0))
         await inject_faults(deployment, count)
--- a/benchmarks/learning_join.py
+++ b/benchmarks/learning_join.py
@@ -2,9 +2,9 @@
 
 ``python -m benchmarks.learning_join [--seeds N] [--at-once N]``
 
-Two instances with three call servers get an open-loop load of calls.  One server slows down, and some
-seconds later a third instance starts and gets its share of the calls.  Each seed is run twice: the new
-instance starts with a snapshot of a running instance, or without one.  The table shows the service level of
+Two instances with three call servers get an open-loop load of calls. One server slows down, and some
+seconds later a third instance starts and gets its share of the calls. Each seed is run twice: the new
+instance starts with a snapshot of a running instance, or without one. The table shows the service level of
 the new instance in its first 5 s and after them, and that of the running instances at the same times.
 """
 
@@ -34,7 +34,7 @@
 
 @dataclass(frozen=True)
 class JoinResult:
-    """The result of one run; ``first`` is the first period after the join, ``later`` the time after it."""
+    """The result of one run, in the first period after the join (``_first``) and after that (``_later``)."""
 
     new_first: float  # service level of the new instance
     new_later: float
@@ -46,22 +46,22 @@
 
     @staticmethod
     def from_calls(calls: list[PlacedCall], joined_s: float, new: str) -> JoinResult:
-        """The result of the calls due after the join; ``new`` is the address of the new instance."""
-        since = [t for t in calls if t.due_s >= joined_s]
-        first = [t for t in since if t.due_s < joined_s + FIRST_PERIOD_S]
-        later = [t for t in since if t.due_s >= joined_s + FIRST_PERIOD_S]
+        """Return the result of the calls due after the join; ``new`` is the address of the new instance."""
+        since = [call for call in calls if call.due_s >= joined_s]
+        first = [call for call in since if call.due_s < joined_s + FIRST_PERIOD_S]
+        later = [call for call in since if call.due_s >= joined_s + FIRST_PERIOD_S]
 
         def level(period: list[PlacedCall], *, of_new: bool) -> float:
-            return service_level([t for t in period if (t.proxy == new) is of_new])
+            return service_level([call for call in period if (call.proxy == new) is of_new])
 
-        at_new = [t for t in since if t.proxy == new]
+        at_new = [call for call in since if call.proxy == new]
         return JoinResult(
             level(first, of_new=True),
             level(later, of_new=True),
             level(first, of_new=False),
             level(later, of_new=False),
-            late=sum(t.outcome == "served" and t.took_s > t.kind.aim_s for t in at_new),
-            lost=sum(t.outcome in ("lost", "given_up") for t in at_new),
+            late=sum(call.outcome == "served" and call.took_s > call.kind.aim_s for call in at_new),
+            lost=sum(call.outcome in ("lost", "given_up") for call in at_new),
             steady_after_s=_steady_after_s(since, joined_s, new),
         )
 
@@ -71,14 +71,14 @@
 
 
 def _steady_after_s(since: list[PlacedCall], joined_s: float, new: str) -> float:
-    """Seconds from the join to the start of the first window in which the new instance is steady.
+    """Return the seconds from the join to the start of the first window in which the new instance is steady.
 
     It is steady if its service level is at most ``STEADY_TOLERANCE`` below that of the others.
     """
     for number in range(int(MEASURED_S - STEADY_WINDOW_S) + 1):
         start_s = joined_s + number
-        window = [t for t in since if start_s <= t.due_s < start_s + STEADY_WINDOW_S]
-        own, others = ([t for t in window if (t.proxy == new) is of_new] for of_new in (True, False))
+        window = [call for call in since if start_s <= call.due_s < start_s + STEADY_WINDOW_S]
+        own, others = ([call for call in window if (call.proxy == new) is of_new] for of_new in (True, False))
         if not own or not others or service_level(own) >= service_level(others) - STEADY_TOLERANCE:
             return float(number)
     return MEASURED_S
@@ -121,7 +121,9 @@
             await load
             await callers.wait_until_answered(5.0)
             result = JoinResult.from_calls(
-                [t for t in callers.calls.values() if t.due_s < joined_s + MEASURED_S], joined_s, new.address
+                [call for call in callers.calls.values() if call.due_s < joined_s + MEASURED_S],
+                joined_s,
+                new.address,
             )
             await callers.stop()
             return result
--- a/benchmarks/ownership.py
+++ b/benchmarks/ownership.py
@@ -93,10 +93,12 @@
             )
 
     async def leaders(self) -> dict[str, str]:
-        """The names of the leaders, by task."""
+        """Return the names of the leaders, by task."""
         state = await self.fleet.read_state()
         return {
-            task: state.members[t.owner].name for task, t in state.tasks.items() if t.owner in state.members
+            name: state.members[task.owner].name
+            for name, task in state.tasks.items()
+            if task.owner in state.members
         }
 
     async def wait_until_leader(self, name: str) -> float:
@@ -118,7 +120,7 @@
 
 
 async def measure_takeover() -> list[Result]:
-    """The time until a second worker leads all tasks, after SIGKILL, SIGSTOP or SIGTERM for the first."""
+    """Measure when a second worker leads all tasks, after SIGKILL, SIGSTOP or SIGTERM to the first one."""
     results: list[Result] = []
     for event, signal_number in {
         "killed": signal.SIGKILL,
@@ -146,7 +148,7 @@
 
 
 async def measure_exactly_once(count: int) -> list[Result]:
-    """The number of calls exported, of records written while leaders are killed and responses are lost."""
+    """Count the calls exported, of records written while leaders are killed and responses are lost."""
     with tempfile.TemporaryDirectory() as folder:
         cluster, rng, crashes = Cluster(Path(folder)), random.Random(11), 0
         await cluster.start()
@@ -187,7 +189,7 @@
 
 
 async def measure_set_up_times(exporting: bool) -> list[Result]:
-    """Set-up times of a proxy, with ``exporting`` while a worker closes and exports 100,000 records."""
+    """Measure set-up times; with ``exporting``, a worker meanwhile closes and exports 100,000 records."""
     with tempfile.TemporaryDirectory() as folder:
         cluster = Cluster(Path(folder))
         database = await _start_database(folder)
@@ -208,7 +210,9 @@
                 await cluster.start_worker("w0")
             await callers.offer(100.0, 10.0)
             await callers.wait_until_answered(4.0)
-            times_ms = sorted(1000 * t.took_s for t in callers.calls.values() if t.outcome == "served")
+            times_ms = sorted(
+                1000 * call.took_s for call in callers.calls.values() if call.outcome == "served"
+            )
             exported_calls = count_exported(cluster.export_folder)
             await callers.stop()
         await cluster.stop()
@@ -253,7 +257,7 @@
 
 
 def count_exported(folder: Path) -> int:
-    """The number of calls in all exported files."""
+    """Return the number of calls in all exported files."""
     return sum(int(line["calls"]) for path in folder.glob("*.csv") for line in csv.DictReader(path.open()))
 
 
--- a/benchmarks/store_latency.py
+++ b/benchmarks/store_latency.py
@@ -2,9 +2,9 @@
 
 ``python -m benchmarks.store_latency [--seeds N] [--at-once N]``
 
-Each run has emulated call servers, callers with an open-loop load, a proxy and a store.  The store is none,
+Each run has emulated call servers, callers with an open-loop load, a proxy and a store. The store is none,
 an SQLite file, or the emulated PostgreSQL, which is available, stalls for 5 s, is down for 5 s, or resets its
-connection once a second, before and after a commit by turns.  Times count from when a call was due.
+connection once a second, alternately before and after a commit. Times count from when a call was due.
 """
 
 from __future__ import annotations
@@ -167,8 +167,8 @@
 
 def _compare(calls: list[PlacedCall], rows: list[Record]) -> Measurement:
     recorded = {call_id: (class_name, final) for call_id, class_name, final in rows}
-    times_ms = sorted(1000 * t.took_s for t in calls if t.outcome == "served")
-    wrong = sum(recorded.get(t.id) != (t.kind.name, t.outcome) for t in calls) if rows else 0
+    times_ms = sorted(1000 * call.took_s for call in calls if call.outcome == "served")
+    wrong = sum(recorded.get(call.id) != (call.kind.name, call.outcome) for call in calls) if rows else 0
     return Measurement(
         len(calls),
         len(times_ms),
