--- a/emulators/server.py
+++ b/emulators/server.py
@@ -56,7 +56,7 @@
 
 @dataclass
 class CallServer:
-    """One call server. ``speed``, ``silent`` and ``notices_end_after_s`` may be changed at any time.
+    """One call server. ``speed``, ``silent`` and ``end_notice_delay_s`` may be changed at any time.
 
     ``speed`` is a factor on ``capacity_per_s``. The server releases an answered call after ``hold_ms``.
     ``lines`` is the number of circuits in load reports. It does not limit the calls that are accepted.
@@ -69,7 +69,7 @@
     lines: int = 400
     speed: float = 1.0
     silent: bool = False  # messages are read, but nothing is sent
-    notices_end_after_s: float = 0.0  # a connection that its peer has closed counts as open for this time
+    end_notice_delay_s: float = 0.0  # a connection counts as open for this time after its peer has closed it
     set_ups: int = 0
     connections: int = 0  # open now
     # When each connection was accepted and each set-up received, in seconds of the event loop's clock.
@@ -209,7 +209,7 @@
         with contextlib.suppress(asyncio.CancelledError):  # ``stop`` cancels this handler
             await self._read(reader, writer)
             self._record_event(writer, "ended by the peer")
-            await asyncio.sleep(self.notices_end_after_s)
+            await asyncio.sleep(self.end_notice_delay_s)
         self._record_event(writer, "closed by the server")
         self.connections -= 1
         self._writers.remove(writer)
--- a/experiments/fault_injection.py
+++ b/experiments/fault_injection.py
@@ -144,11 +144,11 @@
         await self._fleet.list(*self._fleet.servers)
 
 
-def _setter(emulator: object, switch: str, value: object) -> Action:
+def _setter(emulator: object, field_name: str, value: object) -> Action:
     """Return an action that sets a public field of an emulator, one that may change while it runs."""
 
     async def change() -> None:
-        setattr(emulator, switch, value)
+        setattr(emulator, field_name, value)
 
     return change
 
--- a/experiments/measures.py
+++ b/experiments/measures.py
@@ -50,7 +50,7 @@
     """Return the fraction served of the calls due in each second; None for a second without calls."""
     due = per_second([call.due_s for call in calls], duration_s)
     served = per_second([call.due_s for call in calls if call.outcome == "served"], duration_s)
-    return [good / count if count else None for good, count in zip(served, due, strict=True)]
+    return [served_count / count if count else None for served_count, count in zip(served, due, strict=True)]
 
 
 def steady_since_s(calls: Sequence[CallResult], duration_s: float) -> float | None:
--- a/experiments/soak/deployment.py
+++ b/experiments/soak/deployment.py
@@ -402,7 +402,7 @@
         rng, until_s = random.Random(f"muted first {self._scenario.seed}"), time.time() + duration_s
         if rng.random() < MUTE_PROBABILITY:
             await server.mute(rng.uniform(*MUTE_DURATION_S))
-            server.emulator.notices_end_after_s = rng.uniform(*END_NOTICE_DELAY_S)
+            server.emulator.end_notice_delay_s = rng.uniform(*END_NOTICE_DELAY_S)
             server.emulator.send_unreadable_message(rng.choice(list(UnreadableKind)), newest=False)
             await asyncio.sleep(rng.uniform(*UNREADABLE_INTERVAL_S))
         await self._send_unreadable_messages(server.emulator, until_s)
@@ -411,7 +411,7 @@
         """Write unreadable messages at random intervals; meanwhile the server notices ends late."""
         rng = random.Random(self._scenario.seed)
         while time.time() < until_s:
-            server.notices_end_after_s = rng.uniform(*END_NOTICE_DELAY_S)
+            server.end_notice_delay_s = rng.uniform(*END_NOTICE_DELAY_S)
             kind = rng.choice(list(UnreadableKind))
             if rng.random() < UNREADABLE_ANSWER_PROBABILITY:
                 server.make_next_answer_unreadable(kind)
@@ -419,7 +419,7 @@
                 server.send_unreadable_message(kind, newest=rng.random() >= OLDEST_CONNECTION_PROBABILITY)
             soon = rng.random() < UNREADABLE_SOON_PROBABILITY
             await asyncio.sleep(rng.uniform(*(UNREADABLE_SOON_INTERVAL_S if soon else UNREADABLE_INTERVAL_S)))
-        server.notices_end_after_s = 0.0
+        server.end_notice_delay_s = 0.0
 
     def _record_disturbance(self, server: ObservedServer, duration_s: float) -> None:
         now_s = time.time()
--- a/tests/test_emulators.py
+++ b/tests/test_emulators.py
@@ -198,7 +198,7 @@
 
     async def run():
         async with call_server() as server:
-            server.notices_end_after_s = LATE_S
+            server.end_notice_delay_s = LATE_S
             first, successor = await connect(server), await connect(server)
             first.invite()
             await first.next_message("INVITE")
