--- a/experiments/soak/deployment.py
+++ b/experiments/soak/deployment.py
@@ -54,7 +54,8 @@
 # server's oldest connection with ``OLDEST_CONNECTION_PROBABILITY``, and otherwise on its newest.
 UNREADABLE_ANSWER_PROBABILITY = 0.3
 OLDEST_CONNECTION_PROBABILITY = 0.3
-# With ``MUTE_PROBABILITY`` the server is muted first: proxies replace its connections and keep the old ones.
+# With ``MUTE_PROBABILITY`` the server is muted first, so that proxies replace its connections and keep the
+# old ones open.
 MUTE_PROBABILITY = 0.4
 MUTE_DURATION_S = (0.7, 1.0)  # longer than a proxy waits before it replaces a hung connection
 END_NOTICE_DELAY_S = (0.0, 0.3)  # from the end of a connection until a disturbed server notices it
--- a/verification/call_trace.py
+++ b/verification/call_trace.py
@@ -142,7 +142,7 @@
     killed: bool = False  # whether it had to be killed (SIGKILL)
     exit_status: int | None = None
     log: str = ""
-    # Open descriptors and resident MiB: once ready after the start, and after the last caller at the end.
+    # Open descriptors and resident MiB: once the process is ready, and once all callers have disconnected.
     first_usage: tuple[int, float] | None = None
     last_usage: tuple[int, float] | None = None
 
